--- a/opalwick/interface.py
+++ b/opalwick/interface.py
@@ -1,7 +1,7 @@
-"""What a host hands to the decision module (`balance.py`) and what it gets back.
+"""Types of the inputs and decisions of the load balancer (`balance.py`).
 
-The host makes the objects once, at its door, and hands them over; inside they point to each other.
-Times are seconds with fractions, on the host's clock.
+The host creates each object once and passes it in; the objects refer to each other.
+Times are float seconds on the host's clock.
 """
 
 from __future__ import annotations
@@ -14,32 +14,40 @@
 
 
 class Effect(Enum):
+    """Whether work of a category may run more than once."""
+
     RERUNNABLE = "rerunnable"  # running it again does no harm
-    TICKETED = "ticketed"  # bears a mark by which a group of workers discards a repeat
+    TICKETED = "ticketed"  # carries an idempotency key by which a group of workers discards duplicates
     EXCLUSIVE = "exclusive"  # must never run a second time
 
 
 class Group(Enum):
+    """The set of workers that share one record of idempotency keys."""
+
     ALL = "all"
     ZONE = "zone"
     CELL = "cell"
 
 
 class Reports(Enum):
-    """How workers tell their load."""
+    """How workers report their load."""
 
-    ANSWERS = "answers"  # with the end of a hand-off, and with probes
-    PROBES = "probes"  # with probes alone
+    ANSWERS = "answers"  # in responses to delivery attempts and to probes
+    PROBES = "probes"  # in responses to probes only
     NONE = "none"
 
 
 class Phase(IntEnum):
+    """State of a worker in the list from service discovery."""
+
     GONE = 0
     READY = 1
     DRAINING = 2
 
 
 class ListForm(IntEnum):
+    """What an update of the worker list contains."""
+
     CHANGES = 0
     FULL = 1
     CACHED = 2
@@ -47,6 +55,8 @@
 
 
 class Outcome(IntEnum):
+    """How a delivery attempt ended."""
+
     FINISHED = 1
     ERROR = 2
     FULL = 3
@@ -57,26 +67,27 @@
     NOT_SENT = 8
 
 
-# the outcomes that prove that nothing ran
+# outcomes which prove that the worker did not run the item
 NEVER_RAN = frozenset({Outcome.FULL, Outcome.NO_CONNECTION, Outcome.NOT_SENT})
 
 
 @dataclass(slots=True, eq=False)
 class Category:
+    """A class of work items: its settings, then statistics of its items."""
+
     credit: float
     effect: Effect
     group: Group
     due: float  # seconds from the client's first try
-    stretch: float  # the due time grows by this multiple of the work item's own running time
-    expiry: float
-    tardy_credit: float
-    window: float  # how long the group discards repeats
-    kind: int = -1  # the one kind of worker that runs it; -1: any
-    # what it has shown so far; at first it is taken to be wanted within about its running time
-    run: float = 0.0
-    ended: int = 0
-    allowance: float = 0.0  # the longest time left to a try: that of a first try
-    open: Block | None = None  # waits for one more work item
+    stretch: float  # this multiple of the item's own running time is added to the due time
+    expiry: float  # seconds
+    tardy_credit: float  # share of the credit for an item that finishes after its due time
+    window: float  # seconds for which the group discards duplicates
+    kind: int = -1  # the only kind of worker that runs it; -1: any
+    run: float = 0.0  # mean running time in seconds; until an item has finished, `due`
+    ended: int = 0  # finished items
+    allowance: float = 0.0  # longest time that a client left: that of a first try
+    open: Block | None = None  # has room for one more work item
 
     def __post_init__(self) -> None:
         self.run = self.run or max(self.due, 0.01)
@@ -84,51 +95,53 @@
 
 @dataclass(slots=True, eq=False)
 class Customer:
-    quota: float  # work items a second within its share, over all schedulers
-    saved: float = 0.0  # work items that it may still send within its share
+    """A tenant, with the token bucket that enforces its share."""
+
+    quota: float  # work items per second within its share, over all schedulers
+    saved: float = 0.0  # tokens: work items that it may still send within its share
 
 
 @dataclass(slots=True, eq=False)
 class Terms:
-    """What a scheduler is told once, at its start."""
+    """Settings of a scheduler, fixed at its start. Prices are in credit of a mean work item."""
 
     categories: list[Category]
     customers: list[Customer]
     zone: int
-    schedulers: int
-    hand_offs: int  # at most, for one work item
+    schedulers: int  # how many there are
+    hand_offs: int  # delivery attempts per work item, at most
     may_copy: bool
     may_cancel: bool
     may_tell: bool
-    retry_after: float  # the longest advice a client honours; 0: clients take none
-    by_work: bool  # credit counts for each unit of work
-    excess_credit: float
-    price_cross: float
-    price_tell: float  # for 256 bytes that reach a scheduler, per work item
-    position: int  # of this scheduler among them
-    must_ask: bool
-    ask_every: float
-    fall_multiple: float
-    fall_span: float
-    cold_share: float
-    ramp: float
-    tells_start: bool
-    progress_every: float
-    tick: float
-    cpu: float  # seconds that a work item may cost a scheduler; 0: no such limit
+    retry_after: float  # longest Retry-After in seconds that clients honour; 0: they honour none
+    by_work: bool  # credit counts per second of work instead of per item
+    excess_credit: float  # factor on the credit of items beyond a customer's share
+    price_cross: float  # of an attempt in another zone
+    price_tell: float  # of each 256 bytes that a scheduler receives from its peers
+    position: int  # index of this scheduler
+    must_ask: bool  # the worker list has to be subscribed to
+    ask_every: float  # seconds within which a scheduler must have subscribed
+    fall_multiple: float  # a starting worker fails when it gets this multiple of its capacity
+    fall_span: float  # within so many seconds
+    cold_share: float  # share of its capacity that a worker has at its start
+    ramp: float  # seconds until it has all of it
+    tells_start: bool  # workers report when an item starts
+    progress_every: float  # seconds between progress reports
+    tick: float  # resolution of the host's timers in seconds
+    cpu: float  # CPU seconds that a work item may cost a scheduler; 0: unlimited
     reports: Reports
     may_probe: bool
-    price_probe: float  # per work item
-    price_fetch: float  # for each fetch of what a work item is about, per work item
-    marks_repeats: bool  # clients say which of their tries are no first ones
-    drains_alone: bool  # of the list, only that a worker drains binds; gone proves nothing
-    sized: bool  # the list's size figures stand still
-    report: tuple[str, ...]  # names from Report, in the order of the figures
-    shun: float = 8.0  # seconds at most until a worker found silent is tried again
+    price_probe: float
+    price_fetch: float  # of fetching an item's subject to a worker that has not cached it
+    marks_repeats: bool  # clients mark their retries
+    drains_alone: bool  # only a drain in the list is binding; `gone` may be wrong
+    sized: bool  # worker sizes in the list are constant
+    report: tuple[str, ...]  # names from Report, in the order of the reported figures
+    shun: float = 8.0  # longest ejection of an unresponsive worker in seconds
 
 
 class Report:
-    """Names of the figures a worker may report."""
+    """Names of the load metrics that a worker may report."""
 
     FREE_SLOTS = "free slots"
     HELD = "held"
@@ -137,70 +150,72 @@
 
 @dataclass(slots=True, eq=False)
 class Kind:
-    """What workers of one kind have shown."""
+    """Statistics of the workers of one kind."""
 
-    ran: float = 0.0  # seconds run, against seconds of work asked for
-    asked: float = 0.0
-    size: float = 1.0  # slots seen
-    step: float = 0.0  # its pace in octaves, by halves: as far as all schedulers see it alike
+    ran: float = 0.0  # seconds run, with decay
+    asked: float = 0.0  # seconds of work in the same items
+    size: float = 1.0  # slots
+    step: float = 0.0  # log2 of its pace in half steps, coarse enough that all schedulers agree on it
     reports: int = 0
 
 
 @dataclass(slots=True, eq=False)
 class Worker:
+    """State and load estimate of one worker."""
+
     id: int
     zone: int = 0
     kind: int = 0
     cell: int = 0
     phase: Phase = Phase.READY
-    out: bool = False  # left out by an operator's hand, whatever the list says
+    out: bool = False  # disabled by an operator, whatever the list says
     drained: bool = False  # listed as draining, and not as ready since
-    stays: bool = False  # called gone without a drain, but it gave a sign since: that alone binds not
-    owed: bool = False  # put back by hand, and nothing went there since
+    stays: bool = False  # listed as gone without a drain, but has responded since: still usable
+    owed: bool = False  # enabled again by an operator, and no attempt sent since
     ready_at: float = 0.0
     flights: dict[HandOff, None] = field(default_factory=dict)  # in the order sent
-    lingering: list[HandOff] = field(default_factory=list)  # cancelled, perhaps still being worked on
-    askers: list[WorkItem] = field(default_factory=list)  # that wait for its answer to a probe
-    asked_at: float = -1e9
-    mean: float = 0.0  # recent mean of own in flight
+    lingering: list[HandOff] = field(default_factory=list)  # cancelled attempts that may still be running
+    askers: list[WorkItem] = field(default_factory=list)  # items that wait for its probe response
+    asked_at: float = -1e9  # of the last probe
+    mean: float = 0.0  # recent mean of own attempts there
     mean_at: float = 0.0
-    others: float = 0.0  # work items of other schedulers, by its reports
+    others: float = 0.0  # work items of other schedulers, estimated from its reports
     others_at: float = -1e9
-    ran: float = 0.0  # seconds run, faded, against `asked`
+    ran: float = 0.0  # seconds run, with decay
     ran_at: float = 0.0
-    asked: float = 0.0  # seconds of work asked for, faded
-    failed: float = 0.0  # runs that failed, of those tried, faded
-    tried: float = 0.0
+    asked: float = 0.0  # seconds of work in the same items
+    failed: float = 0.0  # runs that failed, with decay
+    tried: float = 0.0  # runs, with decay
     failed_at: float = -1e9
-    limit: float = 0.0  # own work items in flight, at most
-    sign_at: float = -1e9  # last sign that it works
-    doubt: int = 0  # times in a row that it was found silent
+    limit: float = 0.0  # concurrency limit of own attempts
+    sign_at: float = -1e9  # last response that shows that it is up
+    doubt: int = 0  # consecutive ejections
     shun_until: float = -1e9
-    turned: int = 0  # times in a row that it turned something away
-    rest_until: float = -1e9  # nothing new until then, for that
-    sends: list[tuple[float, float]] = field(default_factory=list)  # (time, work), while it is cold
+    turned: int = 0  # consecutive rejections for overload
+    rest_until: float = -1e9  # no new attempt until then, after a rejection
+    sends: list[tuple[float, float]] = field(default_factory=list)  # (time, work) during slow start
     slots: float = 2.0
-    share: float = 1.0  # its size against others', as listed
-    size_pace: float = 1.0  # the pace that this comes to
-    seen_at: float = -1.0  # the moment the following hold for
-    warm: float = 1.0  # the share of its capacity that it is sure to have
+    share: float = 1.0  # relative size, as listed
+    size_pace: float = 1.0  # the pace which that size implies
+    seen_at: float = -1.0  # when the fields below were computed; -1: they are out of date
+    warm: float = 1.0  # share of its capacity available during slow start
     pace: float = 1.0  # seconds it needs for a second of work
-    busy_beside: float = 0.0  # what another process of the same scheduler has there, as it says
+    busy_beside: float = 0.0  # slots of this scheduler's other process, as that reported
     left_beside: float = 0.0
-    busy_own: float = 0.0  # slots taken or waited for by own work items
+    busy_own: float = 0.0  # slots that own items occupy or wait for
     left_own: float = 0.0  # seconds of slot time that those still have to run
-    told_busy: float = 0.0  # the same of the other schedulers, as a keeper said
+    told_busy: float = 0.0  # the same for the other schedulers, from the aggregator
     told_left: float = 0.0
-    busy: float = 0.0  # slots taken or waited for, by all
-    residual: float = 0.0  # seconds that a work item there has still to run, in the mean
+    busy: float = 0.0  # slots occupied or waited for, by all
+    residual: float = 0.0  # mean seconds that an item there still has to run
 
     @property
     def open(self) -> bool:
-        """Whether the list and the operators let it have anything new."""
+        """Whether the list and the operators allow new attempts there."""
         return (self.phase is Phase.READY or self.stays) and not self.out
 
     def renew(self, out: bool) -> None:
-        """Left out or put back: what it did before says nothing of what it will do then."""
+        """Disables or enables it, and resets its statistics: they may belong to an earlier process."""
         self.out, self.owed = out, not out
         self.doubt = self.turned = 0
         self.shun_until = self.rest_until = -1e9
@@ -209,30 +224,28 @@
 
     @property
     def held(self) -> int:
-        """Own hand-offs in flight, with those cancelled that may still be worked on."""
+        """Own attempts there, with cancelled ones that may still be running."""
         return len(self.flights) + len(self.lingering)
 
 
 @dataclass(slots=True, eq=False)
 class Zone:
-    """Of the workers; one scheduler keeps the sums of what all have in flight there."""
+    """A zone of workers. One scheduler, its aggregator, sums the load of all schedulers there."""
 
     id: int
-    tell_at: float
-    told_any: bool = False
-    unanswered: int = 0  # words in a row
-    tries: int = 0  # keepers passed over
-    home_at: float = 0.0  # when the first keeper is tried again
-    # a low quartile of the times from a send there to its start note, and how long one is waited for
-    trip: float = 0.0
-    note_in: float = 0.0
-    answered: int = 0  # mark of the words answered last
+    tell_at: float  # next load report to the aggregator
+    told_any: bool = False  # the last report held any load
+    unanswered: int = 0  # consecutive reports
+    tries: int = 0  # aggregators skipped
+    home_at: float = 0.0  # when the first aggregator is tried again
+    trip: float = 0.0  # low quartile of the seconds from sending an attempt to its start report
+    note_in: float = 0.0  # seconds after which a missing start report means that the item is queued
+    answered: int = 0  # sequence mark of the report answered last
     heard_at: float = -1e9
-    heard: float = 0.0  # the share of the schedulers that its keeper has heard
+    heard: float = 0.0  # share of the schedulers that are in the totals
 
     def keeper(self, schedulers: int, absent: frozenset[int]) -> int:
-        """The number of the scheduler that keeps its sums, as far as this one knows; who is known not to be
-        there is passed over."""
+        """The index of the scheduler that aggregates this zone; absent schedulers are skipped."""
         first = self.id + self.tries
         order = [n % schedulers for n in range(first, first + schedulers)] if absent else []
         return next((n for n in order if n not in absent), first % schedulers)
@@ -240,37 +253,39 @@
 
 @dataclass(slots=True, eq=False)
 class WorkItem:
-    id: Hashable  # the door's
+    id: Hashable  # opaque, from the host
     category: Category
     customer: Customer | None
     taken_at: float
     expiry_at: float
-    hint: float  # seconds of work; 0: none
+    hint: float  # seconds of work according to the client; 0: none
     slots: float
-    subject: int = 0  # what it is about; 0: none
-    repeat: bool = False  # no first try, as its client says
-    work: float = 0.0  # expected, seconds
-    worth: float = 0.0  # credit it stands for
+    subject: int = 0  # cache key of the data it works on; 0: none
+    repeat: bool = False  # the client marked it as a retry
+    work: float = 0.0  # expected seconds of work
+    worth: float = 0.0  # credit for finishing it in time
     due_at: float = 0.0
     hand_offs: list[HandOff] = field(default_factory=list)
     answered: bool = False
     block: Block | None = None
-    looked: list[Worker] = field(default_factory=list)  # drawn for it when probes were sent
-    awaits: int = 0  # their answers
-    calls: float = math.inf  # hand-offs that its front can carry now; a proxy brings them one by one
+    looked: list[Worker] = field(default_factory=list)  # the sample for which probes were sent
+    awaits: int = 0  # probe responses to come
+    calls: float = math.inf  # attempts that the host allows now; a proxy allows them one by one
 
 
 @dataclass(slots=True, eq=False)
 class HandOff:
+    """One delivery of a work item to a worker."""
+
     wi: WorkItem
     worker: Worker
     number: int
     sent_at: float
-    wait: float  # expected, seconds
-    run: float  # expected, seconds
-    copy: bool
-    away: bool = False  # where its subject is likely to be fetched first
-    began_at: float = 0.0  # 0: not known to have begun
+    wait: float  # expected seconds in the worker's queue
+    run: float  # expected seconds
+    copy: bool  # a hedge: an earlier attempt is still running
+    away: bool = False  # at a worker that has probably not cached the subject
+    began_at: float = 0.0  # 0: not known to have started
     ended: bool = False
     cancelled: bool = False
     outcome: Outcome | None = None
@@ -278,13 +293,13 @@
 
 @dataclass(slots=True, eq=False)
 class Block:
-    """Work items of one category that need slots together; row i belongs to the worker of item i."""
+    """Work items of one category that need slots together; workers[i] is that of items[i]."""
 
     items: list[WorkItem]
     workers: list[Worker]
 
 
-Row = tuple[Worker, float, float]  # slots in flight at a worker, seconds of slot time still to run
+Row = tuple[Worker, float, float]  # a worker, slots occupied there, seconds of slot time still to run
 
 
 # decisions
@@ -302,20 +317,24 @@
 
 
 class Defer(NamedTuple):
+    """Sheds a work item: the client is advised to retry after some seconds."""
+
     wi: WorkItem
     come_back_in: float
 
 
 class WriteOff(NamedTuple):
+    """Fails a work item: it may have run, so that a retry could do harm."""
+
     wi: WorkItem
 
 
 class Subscribe(NamedTuple):
-    pass
+    """Requests the list of workers."""
 
 
 class Tell(NamedTuple):
-    """To a zone's keeper: what this scheduler has in flight there."""
+    """A load report to a zone's aggregator: what this scheduler has in flight there."""
 
     to: int
     mark: int
@@ -324,12 +343,12 @@
 
 
 class Sum(NamedTuple):
-    """A keeper's answer to the words with this mark: what the others it has heard have in flight."""
+    """An aggregator's answer to the report with this mark: what the other schedulers have in flight."""
 
     to: int
     mark: int
     zone: int
-    heard: int
+    heard: int  # schedulers in the totals
     rows: list[Row]
 
 
