--- a/opalwick/interface.py
+++ b/opalwick/interface.py
@@ -84,7 +84,7 @@
     tardy_credit: float  # share of the credit for an item that finishes after its due time
     window: float  # seconds for which the group discards duplicates
     kind: int = -1  # the only kind of worker that runs it; -1: any
-    run: float = 0.0  # mean running time in seconds; until an item has finished, `due`
+    run: float = 0.0  # mean running time in seconds; initially `due`, unless given
     ended: int = 0  # finished items
     allowance: float = 0.0  # longest time that a client left: that of a first try
     open: Block | None = None  # has room for one more work item
@@ -120,7 +120,7 @@
     price_tell: float  # of each 256 bytes that a scheduler receives from its peers
     position: int  # index of this scheduler
     must_ask: bool  # the worker list has to be subscribed to
-    ask_every: float  # seconds within which a scheduler must have subscribed
+    ask_every: float  # seconds after which a scheduler is expected to have the list
     fall_multiple: float  # a starting worker fails when it gets this multiple of its capacity
     fall_span: float  # within so many seconds
     cold_share: float  # share of its capacity that a worker has at its start
