--- a/opalwick/balance.py
+++ b/opalwick/balance.py
@@ -76,7 +76,7 @@
         if form is not ListForm.CACHED and self.asked:
             self.asked, self.subscribed = False, form is not ListForm.FAILED
             self.refused = 0 if self.subscribed else self.refused + 1
-            # discovery serves all from one slow queue: jittered backoff, under half of the time until it is due
+            # discovery serves all from one slow queue: jittered backoff, under half of the time it has
             self.ask_at = self.now + min(0.5 * self.doubled(self.refused) * (0.5 + self.chance.draw()),
                                          0.4 * self.terms.ask_every)
         elif form is ListForm.FAILED:
--- a/opalwick/routing/__init__.py
+++ b/opalwick/routing/__init__.py
@@ -1,1 +1,1 @@
-"""The reducer: owns all state and the decision module; no input or output, no clock."""
+"""The reducer, which owns the scheduler's state and the load balancer; no I/O, no clock."""
--- a/opalwick/routing/learned.py
+++ b/opalwick/routing/learned.py
@@ -1,7 +1,7 @@
-"""What one process has learned of workers and work, for the process that follows it.
+"""Statistics on workers and work that one process hands over to its successor at a restart.
 
-Times go as they are: both processes read one clock. What comes back is checked number by number, and what is
-odd is left out: it was only learned, and will be again.
+Times are passed unchanged, as both processes read one clock. Every number received is validated, and invalid
+entries are dropped: the successor can collect the statistics again.
 """
 
 from __future__ import annotations
@@ -13,7 +13,8 @@
 from opalwick.interface import Worker
 from opalwick.protocol.handover import number
 
-# of each object the fields that tell what it has shown, not what is out for it now
+# of each object the attributes that hold statistics, not its current load. The values are handed over without
+# their names: the order is part of the format
 _ALL = (
     "firsts",
     "copies",
@@ -55,55 +56,58 @@
 _ZONE = ("trip", "note_in", "answered", "heard_at", "heard")
 
 
-def _told(thing: Any, fields: Sequence[str]) -> list[float]:
-    return [getattr(thing, field) for field in fields]
+def _values(owner: Any, fields: Sequence[str]) -> list[float]:
+    return [getattr(owner, field) for field in fields]
 
 
-def _take(thing: Any, fields: Sequence[str], told: Any) -> None:
-    if not isinstance(told, list) or len(told) != len(fields):
+def _restore(owner: Any, fields: Sequence[str], received: Any) -> None:
+    if not isinstance(received, list) or len(received) != len(fields):
         return
-    found = [number(value) for value in told]
+    found = [number(value) for value in received]
     if any(value is None for value in found):
         return
     for field, value in zip(fields, found):
-        setattr(thing, field, type(getattr(thing, field))(value))
+        setattr(owner, field, type(getattr(owner, field))(value))
 
 
-def _entry(told: Mapping[str, Any], key: str, name: Any) -> Any:
-    found = told.get(key)
+def _entry(received: Mapping[str, Any], key: str, name: Any) -> Any:
+    found = received.get(key)
     return found.get(name) if isinstance(found, dict) else None
 
 
 def exported(balancer: Balancer, workers: Mapping[Any, Worker]) -> dict[str, Any]:
+    """The statistics in a form that JSON can hold."""
     return {
-        "all": _told(balancer, _ALL),
-        "categories": [_told(c, _CATEGORY) for c in balancer.terms.categories],
-        "kinds": {str(i): _told(kind, _KIND) for i, kind in balancer.kinds.items()},
-        "zones": {str(i): _told(zone, _ZONE) for i, zone in balancer.zones.items()},
-        "workers": {name: [_told(w, _WORKER), w.sends] for name, w in workers.items()},
+        "all": _values(balancer, _ALL),
+        "categories": [_values(c, _CATEGORY) for c in balancer.terms.categories],
+        "kinds": {str(i): _values(kind, _KIND) for i, kind in balancer.kinds.items()},
+        "zones": {str(i): _values(zone, _ZONE) for i, zone in balancer.zones.items()},
+        "workers": {name: [_values(w, _WORKER), w.sends] for name, w in workers.items()},
     }
 
 
-def imported(balancer: Balancer, workers: Mapping[Any, Worker], told: Any) -> None:
-    """After the list: what is told of workers or kinds that are not in it is passed over."""
-    if not isinstance(told, dict):
+def imported(balancer: Balancer, workers: Mapping[Any, Worker], received: Any) -> None:
+    """Restores what `exported` gave; to be called after the worker list, as entries of unlisted workers and
+    kinds are ignored.
+    """
+    if not isinstance(received, dict):
         return
-    _take(balancer, _ALL, told.get("all"))
-    categories = told.get("categories")
-    for category, shown in zip(balancer.terms.categories, categories if isinstance(categories, list) else ()):
-        _take(category, _CATEGORY, shown)
+    _restore(balancer, _ALL, received.get("all"))
+    categories = received.get("categories")
+    for category, saved in zip(balancer.terms.categories, categories if isinstance(categories, list) else ()):
+        _restore(category, _CATEGORY, saved)
     for i, kind in balancer.kinds.items():
-        _take(kind, _KIND, _entry(told, "kinds", str(i)))
+        _restore(kind, _KIND, _entry(received, "kinds", str(i)))
     for i, zone in balancer.zones.items():
-        _take(zone, _ZONE, _entry(told, "zones", str(i)))
+        _restore(zone, _ZONE, _entry(received, "zones", str(i)))
     for name, w in workers.items():
-        shown = _entry(told, "workers", name)
-        if isinstance(shown, list) and len(shown) == 2 and isinstance(shown[1], list):
-            _take(w, _WORKER, shown[0])
-            # the budget of a cold worker counts what either process sent it
+        saved = _entry(received, "workers", name)
+        if isinstance(saved, list) and len(saved) == 2 and isinstance(saved[1], list):
+            _restore(w, _WORKER, saved[0])
+            # the slow-start budget of a worker counts what either process sent it
             w.sends = [
                 (send[0], send[1])
-                for send in shown[1]
+                for send in saved[1]
                 if isinstance(send, list) and len(send) == 2 and None not in map(number, send)
             ]
     balancer.resize()
--- a/opalwick/routing/reducer.py
+++ b/opalwick/routing/reducer.py
@@ -1,6 +1,6 @@
-"""The one owner of all state: an input goes in, effects come out. No input or output, and no clock.
+"""The reducer owns the scheduler's state: inputs go in, effects come out. It has no I/O and no clock.
 
-The keys of work items are whatever the front gives: they are only kept and handed back.
+The keys of work items are opaque values from the host.
 """
 
 from __future__ import annotations
@@ -35,47 +35,61 @@
 
 
 class Final(Enum):
+    """How a work item ended."""
+
     FINISHED = "finished"
     DEFERRED = "deferred"
     WRITTEN_OFF = "written off"
 
 
-# effects: what the front is asked to do
+# effects: what the host has to do
 class Send(NamedTuple):
+    """Start a delivery attempt."""
+
     key: Any
-    number: int
+    number: int  # of the attempt, from 0
     worker: Any
-    place: Any  # where the worker is, as last listed
-    give_up_after: float
+    place: Any  # the worker's address, as last listed
+    give_up_after: float  # seconds
 
 
 class Close(NamedTuple):
+    """Cancel a delivery attempt."""
+
     key: Any
     number: int
 
 
 class Probe(NamedTuple):
+    """Request a worker's load."""
+
     worker: Any
     place: Any
 
 
 class Answer(NamedTuple):
+    """Answer the client."""
+
     key: Any
     final: Final
     result: Any = None
-    come_back_in: float = 0.0
+    come_back_in: float = 0.0  # seconds; only for DEFERRED
 
 
 class Watch(NamedTuple):
-    pass
+    """Subscribe to the worker list."""
 
 
 class Datagram(NamedTuple):
+    """Send a peer message."""
+
     to: int
     octets: bytes
 
 
 class Timer(NamedTuple):
+    """Call `woken` at this time."""
+
     at: float
 
 
@@ -83,23 +97,25 @@
 
 
 class Reducer:
+    """A scheduler without its I/O."""
+
     def __init__(self, terms: Terms, seed: int, now: float) -> None:
         self.terms, self.balancer = terms, Balancer(terms, seed, now)
         self.items: dict[Hashable, WorkItem] = {}
         self.workers: dict[Hashable, Worker] = {}
         self.names: dict[Worker, Hashable] = {}
         self.places: dict[Worker, Any] = {}
-        self.shorts: dict[int, Worker | None] = {}  # by folded id; None: two workers share it
+        self.shorts: dict[int, Worker | None] = {}  # by short id; None: two workers share it
         self.finished: list[Answer] = []
-        self.leave_at = math.inf  # by then all must be answered
+        self.leave_at = math.inf  # by then every item must be answered
 
     def reduce(self, now: float, kind: str, *fields: Any) -> Iterator[Effect]:
-        """Takes in one input, named as its method below; gives the effects, to be carried out in order."""
+        """Applies one input, named as its method below; the effects are to be carried out in order."""
         self.note(now, kind, *fields)
         return self.effects()
 
     def note(self, now: float, kind: str, *fields: Any) -> None:
-        """Takes in one input and decides nothing: what follows from it comes with the next `reduce`."""
+        """Applies one input without any decisions; its effects come with the next `reduce`."""
         self.clock(now)
         getattr(self, kind)(*fields)
 
@@ -109,21 +125,21 @@
     # ---- inputs
 
     def listed(self, form: ListForm, rows: Sequence[tuple]) -> None:
-        """Rows: name, number, zone, kind, cell, phase, when it started, where it is, its size."""
+        """The worker list; a row: name, number, zone, kind, cell, phase, start time, address, size."""
         known = []
         for name, number, zone, kind, cell, phase, ready_at, place, share in rows:
             worker = self.workers.get(name)
             if worker is None:
                 worker = self.workers[name] = Worker(number)
                 self.names[worker] = name
-                folded = short(number)
-                self.shorts[folded] = None if folded in self.shorts else worker
+                short_id = short(number)
+                self.shorts[short_id] = None if short_id in self.shorts else worker
             self.places[worker] = place
             known.append((worker, zone, kind, cell, Phase(phase), ready_at, share))
         self.balancer.listed(form, known)
 
     def disabled(self, name: Hashable) -> None:
-        """By an operator's hand: nothing new goes there until it is put back, whatever is listed."""
+        """By an operator: no new attempt goes there until it is enabled, whatever the list says."""
         if name in self.workers:
             self.balancer.banned(self.workers[name], True)
 
@@ -131,20 +147,20 @@
         if name in self.workers:
             self.balancer.banned(self.workers[name], False)
 
-    def beside(self, told: Mapping[Hashable, tuple[float, float]]) -> None:
-        """All that another process of this scheduler has in flight: slots, seconds of slot time left."""
+    def beside(self, load: Mapping[Hashable, tuple[float, float]]) -> None:
+        """The load of this scheduler's other process, by worker: slots, seconds of slot time left."""
         for name, w in self.workers.items():
-            w.busy_beside, w.left_beside = told.get(name, (0.0, 0.0))
+            w.busy_beside, w.left_beside = load.get(name, (0.0, 0.0))
             w.seen_at = -1.0
             if w.busy_beside:
-                self.balancer.active[w] = None  # words tell it too
+                self.balancer.active[w] = None  # so that load reports to peers include it
 
-    def taught(self, told: Any) -> None:
-        """What the process before had learned; after its list."""
-        learned.imported(self.balancer, self.workers, told)
+    def taught(self, statistics: Any) -> None:
+        """The statistics of the preceding process; to be applied after its worker list."""
+        learned.imported(self.balancer, self.workers, statistics)
 
     def moved(self) -> None:
-        """The list is to be had at another place."""
+        """Service discovery has a new address."""
         self.balancer.moved()
 
     def taken(
@@ -158,24 +174,25 @@
         slots: float,
         subject: int = 0,
         repeat: bool = False,
-        calls: float = math.inf,
+        permits: float = math.inf,
     ) -> None:
-        """`calls`: hand-offs that the front can carry at once; more come with `asked`."""
-        wi = self.items[key] = WorkItem(
-            key, category, customer, taken_at, expiry_at, hint, slots, subject, repeat, calls=calls
+        """A new work item. `permits`: attempts that the host allows at once; `asked` allows more."""
+        item = self.items[key] = WorkItem(
+            key, category, customer, taken_at, expiry_at, hint, slots, subject, repeat, calls=permits
         )
-        self.balancer.taken(wi)
-        self._leave(wi)
+        self.balancer.taken(item)
+        self._leave(item)
 
-    def asked(self, key: Hashable, calls: int = 1) -> None:
-        """The front can carry one more hand-off of this work item now; or with nought, none any more."""
-        if (wi := self.items.get(key)) and not wi.answered:
-            self.balancer.wanted(wi, calls)
+    def asked(self, key: Hashable, permits: int = 1) -> None:
+        """The host allows one more attempt for this item now; 0: no more at all."""
+        if (item := self.items.get(key)) and not item.answered:
+            self.balancer.wanted(item, permits)
 
     def left(self, key: Hashable) -> None:
-        if wi := self.items.get(key):
-            self.balancer.left(wi)
-            self._forget(wi)
+        """The client has disconnected."""
+        if item := self.items.get(key):
+            self.balancer.left(item)
+            self._forget(item)
 
     def ended(
         self,
@@ -185,94 +202,98 @@
         answered: bool = False,
         figures: Sequence[float] = (),
         result: Any = None,
-        kept: bool = False,
+        reused: bool = False,
     ) -> None:
-        """`kept`: over a connection from before, which broke without a word."""
-        ho = self._hand_off(key, number)
-        if ho is None or ho.ended:
+        """An attempt has ended. `answered`: the host has answered the client. `reused`: it was sent over a
+        connection that was open before and broke without any response.
+        """
+        attempt = self._attempt(key, number)
+        if attempt is None or attempt.ended:
             return
         if figures:
-            self.balancer.reported(ho.worker, figures)
-        if outcome is Outcome.FINISHED and not ho.wi.answered:
+            self.balancer.reported(attempt.worker, figures)
+        if outcome is Outcome.FINISHED and not attempt.wi.answered:
             self.finished.append(Answer(key, Final.FINISHED, result))
             answered = True
-        elif answered:  # by the door: what else is out for it is taken back
-            self.balancer.left(ho.wi)
-        self.balancer.ended(ho, outcome, answered, kept)
-        self._forget(ho.wi)
+        elif answered:  # by the host: other attempts are cancelled
+            self.balancer.left(attempt.wi)
+        self.balancer.ended(attempt, outcome, answered, reused)
+        self._forget(attempt.wi)
 
     def began(self, key: Hashable, number: int) -> None:
-        ho = self._hand_off(key, number)
-        if ho is not None and not ho.ended:
-            self.balancer.began(ho)
+        attempt = self._attempt(key, number)
+        if attempt is not None and not attempt.ended:
+            self.balancer.began(attempt)
 
     def progressed(self, key: Hashable, number: int, share: float) -> None:
-        ho = self._hand_off(key, number)
-        if ho is not None and not ho.ended:
-            self.balancer.progressed(ho, share)
+        attempt = self._attempt(key, number)
+        if attempt is not None and not attempt.ended:
+            self.balancer.progressed(attempt, share)
 
     def reported(self, name: Hashable, figures: Sequence[float]) -> None:
         if figures and name in self.workers:
             self.balancer.reported(self.workers[name], figures)
 
     def probed(self, name: Hashable, figures: Sequence[float] = ()) -> None:
-        """A probe's answer, or without figures that there is none."""
+        """A probe's response; without figures, the probe failed."""
         if name in self.workers:
             self.balancer.probed(self.workers[name], figures)
 
-    def heard(self, peer: int, octets: bytes) -> None:
-        if word := unpacked(octets, self.shorts):
-            if word[0] == "told":
-                self.balancer.told(peer, *word[1])
+    def heard(self, peer: int, data: bytes) -> None:
+        """A peer message; a malformed one is ignored."""
+        if message := unpacked(data, self.shorts):
+            if message[0] == "told":
+                self.balancer.told(peer, *message[1])
             else:
-                self.balancer.summed(*word[1])
+                self.balancer.summed(*message[1])
 
     def absent(self, numbers: frozenset[int]) -> None:
-        """Schedulers that are known not to be there, where membership is on: they keep no sums."""
+        """Schedulers that are known to be down, where membership is enabled: they aggregate no load."""
         self.balancer.absent = numbers
 
     def closing(self, leave_at: float) -> None:
-        """The process will be killed: what is unanswered then would be lost, so no item expires later."""
+        """The process will be killed at that time: no item expires later, as it would get no answer."""
         self.leave_at = leave_at
-        for wi in self.items.values():
-            self._leave(wi)
+        for item in self.items.values():
+            self._leave(item)
 
     def woken(self) -> None:
-        """The time has moved on, which is all there is to it."""
+        """Only the time has changed."""
 
-    # ---- what another process is told
+    # ---- for the succeeding process
 
     def rows(self) -> list[tuple]:
-        """All workers that were ever listed, as `listed` takes them."""
+        """All workers ever listed, in the form that `listed` takes."""
         return [
             (name, w.id, w.zone, w.kind, w.cell, w.phase, w.ready_at, self.places[w], w.share)
             for name, w in self.workers.items()
         ]
 
     def out(self) -> list[Hashable]:
-        """The workers left out by hand."""
+        """The workers that an operator has disabled."""
         return [name for name, w in self.workers.items() if w.out]
 
     def in_flight(self) -> dict[Hashable, tuple[float, float]]:
-        """As `beside` takes it at the other process."""
+        """The own load, in the form that `beside` takes."""
         held = {name: w for name, w in self.workers.items() if w.held}
         for w in held.values():
             self.balancer.look(w)
         return {name: (w.busy_own - w.busy_beside, w.left_own - w.left_beside) for name, w in held.items()}
 
     def learned(self) -> dict[str, Any]:
+        """Statistics, in the form that `taught` takes."""
         return learned.exported(self.balancer, self.workers)
 
     # ---- figures
 
     def gauges(self) -> dict[str, int]:
-        """Of the workers, as they are at this moment."""
+        """Current numbers of workers, by the names of their metrics."""
         listed = [w for w in self.balancer.listed_all if w.phase is not Phase.GONE]
         return {"registry_entries": len(listed), "out_of_rotation": sum(map(self.balancer.avoids, listed))}
 
     def beliefs(self, now: float) -> list[tuple]:
-        """What it takes to be so of the fleet as a whole, for whoever records it: of the sums of each zone
-        who keeps them, their age in seconds, and the share of the schedulers that is in them.
+        """Where and how well load is aggregated, for a recorder: for each zone the aggregator, the age of the
+        totals in seconds, and the share of the schedulers that they include.
         """
         b = self.balancer
         count = self.terms.schedulers
@@ -292,37 +313,37 @@
         yield from finished
         for decision in self.balancer.decisions():
             match decision:
-                case interface.Send(ho, give_up_after):
-                    w = ho.worker
-                    yield Send(ho.wi.id, ho.number, self.names[w], self.places[w], give_up_after)
-                case Cancel(ho):
-                    yield Close(ho.wi.id, ho.number)
+                case interface.Send(attempt, give_up_after):
+                    w = attempt.worker
+                    yield Send(attempt.wi.id, attempt.number, self.names[w], self.places[w], give_up_after)
+                case Cancel(attempt):
+                    yield Close(attempt.wi.id, attempt.number)
                 case interface.Probe(w):
                     yield Probe(self.names[w], self.places[w])
-                case Defer(wi, come_back_in):
-                    self._forget(wi)
-                    yield Answer(wi.id, Final.DEFERRED, None, come_back_in)
-                case WriteOff(wi):
-                    self._forget(wi)
-                    yield Answer(wi.id, Final.WRITTEN_OFF)
+                case Defer(item, come_back_in):
+                    self._forget(item)
+                    yield Answer(item.id, Final.DEFERRED, None, come_back_in)
+                case WriteOff(item):
+                    self._forget(item)
+                    yield Answer(item.id, Final.WRITTEN_OFF)
                 case Wake(at):
                     yield Timer(at)
                 case Subscribe():
                     yield Watch()
                 case Tell() | Sum():
-                    for octets in packed(decision):
-                        yield Datagram(decision.to, octets)
-
-    def _hand_off(self, key: Hashable, number: int) -> HandOff | None:
-        wi = self.items.get(key)
-        return wi.hand_offs[number] if wi is not None and number < len(wi.hand_offs) else None
-
-    def _leave(self, wi: WorkItem) -> None:
-        # after the module has taken it: with less time left it would count as a client's repeat, and as late
-        if self.leave_at < wi.expiry_at:
-            wi.expiry_at = self.leave_at
-            self.balancer.at(self.leave_at, wi)
-
-    def _forget(self, wi: WorkItem) -> None:
-        if wi.answered and all(ho.ended for ho in wi.hand_offs):
-            self.items.pop(wi.id, None)
+                    for data in packed(decision):
+                        yield Datagram(decision.to, data)
+
+    def _attempt(self, key: Hashable, number: int) -> HandOff | None:
+        item = self.items.get(key)
+        return item.hand_offs[number] if item is not None and number < len(item.hand_offs) else None
+
+    def _leave(self, item: WorkItem) -> None:
+        # after the balancer has it: with less time left it would count as a client's retry, and as late
+        if self.leave_at < item.expiry_at:
+            item.expiry_at = self.leave_at
+            self.balancer.at(self.leave_at, item)
+
+    def _forget(self, item: WorkItem) -> None:
+        if item.answered and all(attempt.ended for attempt in item.hand_offs):
+            self.items.pop(item.id, None)
--- a/opalwick/sums.py
+++ b/opalwick/sums.py
@@ -1,4 +1,4 @@
-"""Bookkeeping of a keeper: what all schedulers said they have in flight in a zone, and the sums of it."""
+"""Load aggregation: the load that each scheduler reports in a zone, and its totals per worker."""
 
 from __future__ import annotations
 
@@ -8,29 +8,33 @@
 
 
 def older(mark: int, known: int) -> bool:
-    """Marks come round: half of the circle lies behind the known one."""
+    """Whether a mark is older; marks are 32-bit serial numbers that wrap around."""
     return (mark - known) & 0xFFFFFFFF >= 0x80000000
 
 
 class Sums:
+    """The load reports that an aggregator has received, at most one per scheduler and zone."""
+
     def __init__(self) -> None:
-        self.words: dict[tuple[int, int], tuple[int, float, Sequence[Row]]] = {}  # the oldest first
-        self.askers: dict[tuple[int, int], None] = {}
+        # by scheduler and zone: mark, time of receipt, rows; the oldest first
+        self.words: dict[tuple[int, int], tuple[int, float, Sequence[Row]]] = {}
+        self.askers: dict[tuple[int, int], None] = {}  # keys of the reports to be answered
         self.totals: dict[Worker, tuple[float, float]] = {}
-        self.heard: dict[int, int] = {}  # zone: schedulers whose words are held
+        self.heard: dict[int, int] = {}  # by zone: schedulers with a current report
 
     def told(self, now: float, peer: int, mark: int, zone: int, rows: Sequence[Row]) -> None:
+        """Stores a report in place of that scheduler's earlier one; a delayed older one is ignored."""
         key = peer, zone
         if key in self.words and older(mark, self.words[key][0]):
-            return  # it came late
+            return
         self._drop(key)
         self.words[key] = mark, now, rows
         self.askers[key] = None
         self._add(zone, rows, 1)
 
     def answers(self, now: float, workers: Sequence[Worker]) -> Iterator[tuple]:
-        """For each scheduler that asked: its number, mark, zone, how many were heard, what others hold."""
-        # words of two seconds ago come from a scheduler that is gone or cut off
+        """For each report to be answered: scheduler, mark, zone, schedulers in the totals, others' load."""
+        # after two seconds without a newer report a scheduler is down or unreachable
         while self.words and now - next(iter(self.words.values()))[1] > 2.0:
             self._drop(next(iter(self.words)))
         while self.askers:
