--- a/opalwick/chance.py
+++ b/opalwick/chance.py
@@ -15,7 +15,7 @@
         return (self.state >> 33) / 2147483648.0
 
     def mixed(self) -> float:
-        """A draw for a seed whose bits are poorly mixed, such as a product: some steps, each followed by a fold."""
+        """A draw for a seed whose bits are poorly mixed, such as a product: after some steps, each folded."""
         for _ in range(3):
             self.draw()
             self.state ^= self.state >> 29
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -1,4 +1,4 @@
-"""The design's ordinary path: blocks, the cyclic-row copy, its caps, the cancels."""
+"""The basic path: blocks, hedged attempts by cyclic rows and their limits, cancellation."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def warmed(**changes) -> Bench:
-    """Ten work items done, so that copies are within their share and recent means above nothing."""
+    """Ten work items done, so that the hedge budget and the recent means are above 0."""
     bench = Bench("AB", **changes)
     for name in "abcdefghij":
         bench.take(name)
@@ -22,7 +22,7 @@
 
 
 def pair(bench: Bench, work: float = 0.5) -> tuple[str, str]:
-    """x and y form a block; the one on A is returned first."""
+    """x and y form a block; the one at A is returned first."""
     bench.take("x", "y", work=work)
     bench.pull("x and y taken")
     on_a = bench.items["x"].hand_offs[0].worker is bench.workers["A"]
@@ -39,15 +39,15 @@
     return first, second
 
 
-def copied(bench: Bench) -> str:
-    """The item of a slow pair that has just got a copy."""
+def hedged(bench: Bench) -> str:
+    """The item of a slow pair that has just been hedged."""
     first, second = slow_pair(bench)
     bench.end(first)
     bench.pull(f"copy of {second}")
     return second
 
 
-def test_a_freed_worker_copies_the_next_of_its_row() -> None:
+def test_a_freed_worker_hedges_the_next_item_of_its_row() -> None:
     bench = warmed()
     first, second = slow_pair(bench)
     bench.end(first)
@@ -58,7 +58,7 @@
     bench.matches("copy")
 
 
-def test_no_copy_for_a_worker_at_its_recent_mean() -> None:
+def test_no_hedge_at_a_worker_at_its_recent_mean() -> None:
     bench = warmed()
     first, _second = slow_pair(bench)
     bench.workers["A"].mean, bench.workers["A"].mean_at = 0.0, bench.now
@@ -67,17 +67,17 @@
     bench.matches("copy_mean")
 
 
-def test_no_copy_beyond_a_fifth_of_first_sends() -> None:
-    for copies in (1, 2):
+def test_no_hedges_beyond_a_fifth_of_first_attempts() -> None:
+    for hedges in (1, 2):
         bench = warmed()
-        bench.balancer.copies = copies
+        bench.balancer.copies = hedges
         first, _second = slow_pair(bench)
         bench.end(first)
-        bench.pull(f"{copies} copies before, 12 first sends")
-        bench.matches(f"copy_cap_{copies}")
+        bench.pull(f"{hedges} copies before, 12 first sends")
+        bench.matches(f"copy_cap_{hedges}")
 
 
-def test_no_copy_to_a_draining_worker_nor_when_time_is_short() -> None:
+def test_no_hedge_at_a_draining_worker_nor_when_it_would_end_late() -> None:
     bench = warmed()
     first, second = slow_pair(bench)
     bench.list(ListForm.CHANGES, A=Phase.DRAINING)
@@ -96,7 +96,7 @@
 
 def test_an_ignored_cancel_counts_until_it_would_have_ended() -> None:
     bench = warmed()
-    second = copied(bench)
+    second = hedged(bench)
     bench.begin(second, 1)
     bench.wait(0.1)
     bench.end(second, 0)
@@ -118,14 +118,14 @@
     bench.pull("three taken, two workers")
     bench.lines.append(
         "blocks: "
-        + " ".join("".join(sorted(chr(wi.id) for wi in bench.items[name].block.items)) for name in "xyz")
+        + " ".join("".join(sorted(chr(item.id) for item in bench.items[name].block.items)) for name in "xyz")
     )
     bench.matches("blocks")
 
 
-def test_a_cancelled_copy_that_had_not_begun_frees_its_worker() -> None:
+def test_a_cancelled_hedge_that_had_not_started_frees_its_worker() -> None:
     bench = warmed()
-    second = copied(bench)
+    second = hedged(bench)
     bench.end(second, 0)
     bench.take("p", "q", work=0.5)
     bench.pull("the original finished, two more taken")
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -1,4 +1,4 @@
-"""The reducer alone: inputs and the effects that come out, without a socket or a clock."""
+"""The reducer alone: its inputs and the resulting effects, without sockets and clocks."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from opalwick.interface import ListForm, Outcome, Phase
 
 
-def test_a_work_item_from_taking_to_its_answer() -> None:
+def test_a_work_item_from_acceptance_to_its_answer() -> None:
     desk = Desk()
     desk.take("a")
     desk.now += 0.01
     desk.put("began", "a", 0)
     desk.put("ended", "a", 0, Outcome.FINISHED, False, (3.0, 1.0), b"7")
-    # a second result, odd numbers and unknown keys change nothing
+    # a second result, unknown attempt numbers and unknown keys change nothing
     desk.put("ended", "a", 0, Outcome.FINISHED, False, (), b"8")
     desk.put("began", "a", 5)
     desk.put("progressed", "nobody", 0, 0.5)
@@ -22,8 +22,8 @@
     desk.matches("reducer_item")
 
 
-def test_what_never_ran_goes_elsewhere_and_is_deferred_at_last() -> None:
-    """Without descriptors every hand-off is `not sent`: the client is told so at once."""
+def test_an_item_that_never_ran_is_retried_and_finally_deferred() -> None:
+    """Without free file descriptors no attempt can be sent: the client gets its answer at once."""
     desk = Desk()
     desk.take("a")
     for number in range(3):
@@ -31,7 +31,7 @@
     desk.matches("reducer_not_sent")
 
 
-def test_what_the_door_has_answered_is_not_sent_again() -> None:
+def test_an_item_answered_by_the_host_is_not_sent_again() -> None:
     desk = Desk()
     desk.take("a")
     assert (
@@ -44,7 +44,7 @@
     )
 
 
-def test_a_client_that_leaves_takes_its_hand_offs_along() -> None:
+def test_attempts_of_a_disconnected_client_are_cancelled() -> None:
     desk = Desk()
     desk.take("a")
     desk.put("left", "a")
@@ -53,7 +53,7 @@
     desk.matches("reducer_left")
 
 
-def test_one_that_may_have_run_outside_its_group_is_written_off() -> None:
+def test_an_item_that_may_have_run_fails_when_its_group_has_no_worker() -> None:
     desk = Desk(workers="A")
     desk.take("a", category=1)
     desk.put("listed", ListForm.CHANGES, [desk.row("A", Phase.DRAINING)], note="A drains")
@@ -61,7 +61,7 @@
     desk.matches("reducer_ticketed")
 
 
-def test_the_list_moves_workers_and_a_failed_watch_is_asked_again() -> None:
+def test_workers_get_new_addresses_and_a_failed_watch_is_repeated() -> None:
     desk = Desk(workers="A")
     desk.now += 0.1
     desk.put("listed", ListForm.FULL, [desk.row("A", place="elsewhere")], note="whole list")
@@ -71,12 +71,12 @@
     desk.put("woken")
     desk.put("woken")
     desk.put("listed", ListForm.FAILED, [], note="watch failed")
-    desk.put("moved", note="discovery is elsewhere")  # the pause is for the old one
+    desk.put("moved", note="discovery is elsewhere")  # the backoff applied to the old address
     desk.matches("reducer_list")
 
 
-def test_words_between_schedulers() -> None:
-    """A word is answered with the sums; what is not one of ours is passed over."""
+def test_peer_messages_between_schedulers() -> None:
+    """A load report is answered with the totals; malformed messages are ignored."""
     desk, other = Desk(), Desk(position=1)
     other.take("a")
     other.now += 1.2
@@ -91,7 +91,7 @@
     desk.matches("reducer_words")
 
 
-def test_what_comes_while_it_leaves_is_sent_and_all_is_answered_in_time() -> None:
+def test_items_accepted_during_shutdown_are_sent_and_all_are_answered_before_it() -> None:
     desk = Desk()
     desk.take("a")
     desk.put("began", "a", 0)
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -1,4 +1,4 @@
-"""The whole scheduler on loopback, with stand-ins for a worker and for discovery."""
+"""The complete scheduler on loopback, with fakes for a worker and for service discovery."""
 
 from __future__ import annotations
 
@@ -81,7 +81,7 @@
     served.stop()
 
 
-def test_after_sigterm_what_still_comes_is_taken_and_all_is_finished(tmp_path) -> None:
+def test_after_sigterm_new_requests_are_accepted_and_all_are_finished(tmp_path) -> None:
     served = Served(
         tmp_path, chunked('{"id":"c1","state":"started"}', last=False)[:-1], DONE.replace(b"c1", b"c2")
     )
@@ -106,11 +106,11 @@
     ]
 
 
-def test_what_cannot_be_finished_is_answered_before_the_process_is_killed(tmp_path) -> None:
+def test_unfinished_requests_are_answered_before_the_process_is_killed(tmp_path) -> None:
     served = Served(tmp_path, None)
     served.scheduler.limits = replace(served.scheduler.limits, leave=0.8)
     waits = served.ask(post("/pay/1", X_Time_Left_Ms="4000"))
-    half = served.ask(post()[:40])  # never whole, so never taken
+    half = served.ask(post()[:40])  # never complete, so never accepted
     served.stop_asked.set()
     gevent.sleep(0.7)
     began = served.running.ready()
@@ -120,17 +120,17 @@
     half.close()
 
 
-def test_an_input_that_fails_ends_neither_the_scheduler_nor_the_rest(tmp_path) -> None:
+def test_a_failing_input_stops_neither_the_scheduler_nor_other_requests(tmp_path) -> None:
     served = Served(tmp_path, DONE)
     served.scheduler.put("nonsense")
     assert first(served.ask(post())) == "HTTP/1.1 200 OK | 7"
     served.stop()
 
 
-def test_at_the_brim_idle_clients_make_room_and_busy_ones_do_not(tmp_path) -> None:
+def test_at_the_connection_limit_idle_clients_are_closed_and_busy_ones_are_not(tmp_path) -> None:
     served = Served(tmp_path, DONE, DONE, DONE, limits={"sockets": 40})
     most = served.scheduler.limits.clients
-    kept = served.ask(post())  # a usual client, idle for longer than the others
+    kept = served.ask(post())  # a regular client, idle for longer than the others
     first(kept)
     kept.sendall(post())
     trace = [first(kept)]
@@ -140,10 +140,10 @@
     busy = [served.ask(post()[:40]) for _ in range(most)]
     assert [sock.recv(9) for sock in idle] == [b""] * (most - 1)
     trace.append(first(served.ask(post())))
-    busy[-1].close()  # the one in the spare place
+    busy[-1].close()  # the one in the spare slot
     kept.sendall(READY)
     trace.append(first(kept))
-    gevent.sleep(1.0)  # those have dripped for too long: they make room as well
+    gevent.sleep(1.0)  # those have been incomplete for too long: they are closed as well
     trace.append(first(served.ask(post())))
     assert trace == [
         "HTTP/1.1 200 OK | 7",
@@ -156,8 +156,10 @@
     served.stop()
 
 
-def test_those_that_ask_once_and_stay_leave_the_others_room(tmp_path) -> None:
-    """r5ea213: they held all that clients may hold; a fifth of the usual tries could not connect."""
+def test_idle_connections_after_one_request_do_not_use_up_the_limit(tmp_path) -> None:
+    """Clients that send one request and stay connected took up the connection limit, so that a fifth of the
+    regular clients could not connect.
+    """
     served = Served(tmp_path, *[DONE] * 8, limits={"sockets": 40})
     usual = served.ask(post())
     stay = [served.ask(post()) for _ in range(served.scheduler.limits.kept)]
@@ -171,7 +173,7 @@
     served.stop()
 
 
-def test_a_place_that_is_still_held_is_waited_for(tmp_path) -> None:
+def test_an_address_that_is_still_in_use_is_waited_for(tmp_path) -> None:
     before = door()
     served = Served(tmp_path, DONE, listen="%s:%d" % before.getsockname())
     gevent.sleep(0.1)
@@ -181,14 +183,14 @@
     served.stop()
 
 
-def test_an_id_that_is_still_open_disturbs_neither_the_first_client_nor_the_worker(tmp_path) -> None:
-    """It would end as the first one's second copy at a worker, and the answers could change hands."""
+def test_a_duplicate_of_an_open_id_affects_neither_the_first_client_nor_the_worker(tmp_path) -> None:
+    """It would reach a worker as a duplicate of the first, and the clients could get each other's answers."""
     served = Served(tmp_path, None, None)
     one, two = served.ask(post()), served.ask(post("/look/8"))
     trace = [first(two), f"{len(served.worker.heard)} heard"]
     one.close()
     gevent.sleep(0.02)
-    served.ask(post("/look/8"))  # free again
+    served.ask(post("/look/8"))  # the id may be used again
     trace.append(f"{len(served.worker.heard)} heard")
     assert trace == [
         "HTTP/1.1 409 Conflict | Connection: close | a work item with this id is open",
@@ -198,8 +200,8 @@
     served.stop()
 
 
-def test_what_a_worker_blames_on_the_client_is_not_tried_elsewhere(tmp_path) -> None:
-    """It went out up to the limit, and was deferred at last, which asked for it again."""
+def test_a_client_error_from_a_worker_is_not_retried(tmp_path) -> None:
+    """It was sent as often as the limit allows and then deferred, so that the client sent it again."""
     served = Served(tmp_path, b"HTTP/1.1 400 x\r\nContent-Length: 0\r\n\r\n", DONE)
     assert first(served.ask(post())) == "HTTP/1.1 400 Bad Request | turned away by a worker"
     assert (len(served.worker.heard), served.scheduler.reducer.items) == (1, {})
@@ -208,7 +210,7 @@
 
 
 class Early:
-    """An event whose time-outs come too early."""
+    """An event whose timeouts expire too early."""
 
     def clear(self) -> None:
         pass
@@ -218,7 +220,7 @@
 
 
 def test_a_timer_that_fires_early_is_not_lost(tmp_path) -> None:
-    """The module passes over a wake before its time and asks for no other."""
+    """The balancer ignores a wake before its time and does not request another."""
     served = Served(tmp_path, None)
     woken = []
     served.scheduler.put = lambda kind, *fields: woken.append(time.monotonic())
@@ -231,7 +233,7 @@
     served.stop()
 
 
-def test_faulty_keys_are_named(tmp_path) -> None:
+def test_errors_name_the_invalid_key(tmp_path) -> None:
     odd = {
         "name": 7,
         "listen": "here",
@@ -243,22 +245,22 @@
         "settings": None,
         "known": [],
     }
-    said = []
+    messages = []
     for key, value in odd.items():
         try:
             configuration(tmp_path, **{key: value})
         except BadConfiguration as problem:
-            said.append(str(problem))
+            messages.append(str(problem))
     for path, value in {"ceilings": {}, "categories": [{"name": "x"}], "discovery": "rumour"}.items():
         try:
             configuration(tmp_path, settings=SETTINGS | {path: value})
         except BadConfiguration as problem:
-            said.append(str(problem))
+            messages.append(str(problem))
     try:
         read({})
     except BadConfiguration as problem:
-        said.append(str(problem))
-    assert said == [
+        messages.append(str(problem))
+    assert messages == [
         "name is malformed: 7 is not str",
         "listen is malformed: not an address: 'here'",
         "discovery is malformed: not an address: '127.0.0.1:0'",
@@ -275,8 +277,8 @@
     ]
 
 
-# serves as `run` does, and notes what the fleet's platform refuses: other programs, forks, calls that pass
-# files on, sockets of other kinds
+# serves as `run` does, and records what the target platform refuses: other programs, forks, sendfile and
+# splice, sockets of other families
 WATCHED = """
 import os, runpy, socket, sys
 seen = open(sys.argv.pop(1), "w", 1)
@@ -297,7 +299,7 @@
 """
 
 
-def test_the_program_serves_and_leaves_on_sigterm(tmp_path) -> None:
+def test_the_program_serves_and_exits_on_sigterm(tmp_path) -> None:
     there, path = Stand(told(41), None), tmp_path / "configuration.json"
     with door() as free:
         place = free.getsockname()
@@ -317,12 +319,12 @@
     assert sock is not None
     sock.sendall(READY)
     assert first(sock) == "HTTP/1.1 200 OK"
-    running.send_signal(signal.SIGHUP)  # which would end it by default
+    running.send_signal(signal.SIGHUP)  # which terminates a process by default
     gevent.sleep(0.1)
     sock.sendall(READY)
     assert first(sock) == "HTTP/1.1 200 OK"
     running.send_signal(signal.SIGTERM)
-    gevent.sleep(2.0)  # a client that has no other scheduler is served on
+    gevent.sleep(2.0)  # a client that has no other scheduler is still served
     sock.sendall(READY)
     assert first(sock) == "HTTP/1.1 503 Service Unavailable"
     for _ in range(30):
@@ -331,18 +333,18 @@
             break
     assert running.wait(1.0) == 0
     seen = set((tmp_path / "seen").read_text().splitlines())
-    # the Unix socket is the hand-over's, to which nobody need come
+    # the Unix socket is that of the handover; no successor has to connect to it
     assert "socket AF_INET" in seen and seen <= {"socket AF_INET", "socket AF_UNIX"}
 
 
-def test_a_restart_does_not_wait_for_the_parser_of_the_command_line() -> None:
-    """It took a third of the time until the scheduler was ready, in which its clients were turned away."""
+def test_a_restart_does_not_import_the_command_line_parser() -> None:
+    """The import took a third of the time until the scheduler was ready, while its clients were rejected."""
     loads = "import sys, opalwick.program.service; print('typer' in sys.modules, 'pydantic' in sys.modules)"
     assert subprocess.run([sys.executable, "-c", loads], capture_output=True).stdout == b"False False\n"
 
 
-def test_what_waits_in_the_backlog_when_listening_ends_is_still_taken(tmp_path, monkeypatch) -> None:
-    """It counts as accepted: closing the listener would reset it."""
+def test_connections_in_the_backlog_at_the_end_of_listening_are_accepted(tmp_path, monkeypatch) -> None:
+    """The kernel has accepted them: closing the listener would reset them."""
     monkeypatch.setattr(Door, "accept", lambda self: gevent.sleep(5.0))
     served = Served(tmp_path, DONE)
     served.scheduler.limits = replace(served.scheduler.limits, closing=0.1)
@@ -353,20 +355,20 @@
     assert served.running.successful()
 
 
-def test_sighup_moves_the_watch_in_mid_call_and_keeps_the_rest(tmp_path) -> None:
-    """The old place stays silent; neither a bad file nor what binds only at a start changes anything."""
+def test_sighup_moves_a_pending_watch_and_keeps_the_rest(tmp_path) -> None:
+    """The old address never responds; an invalid file and settings that need a restart change nothing."""
     served = Served(tmp_path, DONE, DONE)
     there = Stand(told(42, entry("b", dial="127.0.0.1:9")), None)
-    with logged("reread") as said:
+    with logged("reread") as messages:
         other = {"name": "n9", "seed": "80", "limits": {"memory_mb": 64, "sockets": 256}}
         for found in (
             lambda: read({"BALANCER_CONFIG": str(tmp_path / "none")}),
             lambda: served.configure(**other),
             lambda: served.configure(discovery="%s:%d" % there.place),
         ):
-            lines, served.found = len(said), found
+            lines, served.found = len(messages), found
             served.again.set()
-            wait_until(lambda lines=lines: len(said) > lines)
+            wait_until(lambda lines=lines: len(messages) > lines)
             gevent.sleep(0.05)
         wait_until(lambda: len(there.heard) == 2)
         gevent.sleep(0.05)
@@ -377,7 +379,7 @@
     assert len(served.discovery.heard) == 2 and sorted(served.scheduler.reducer.workers) == ["a", "b"]
     assert first(served.ask(post())) == "HTTP/1.1 200 OK | 7"
     served.stop()
-    assert said == [
+    assert messages == [
         "the configuration was read again and is not used: BALANCER_CONFIG cannot be read: [Errno 2] No such "
         f"file or directory: '{tmp_path}/none'",
         "changed, but not applied before a restart: limits.memory_mb, name",
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -1,4 +1,4 @@
-"""What grows with schedulers and workers: words, draws, quiet schedulers."""
+"""Costs and behaviour in large fleets: peer messages, draws, lightly loaded schedulers."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 FLEET = "".join(chr(code) for code in range(0x100, 0x150))
 
 
-def test_words_go_to_one_keeper_and_pass_over_a_silent_one() -> None:
-    """Grown bookings: a word to all, ten times a second, cut full-size days off for CPU."""
+def test_load_reports_go_to_one_aggregator_and_skip_a_silent_one() -> None:
+    """Load reports to all peers, ten times a second, exceeded the CPU limit in full-size scenarios."""
     bench = Bench("AB", schedulers=300, may_tell=True, position=7, price_tell=0.0)
     bench.take("x", work=0.5)
     bench.pull()
     bench.begin("x")
     bench.wait(0.5, "no sum came")
-    bench.balancer.summed(0xFFFFFFF0, 0, 299, [])  # marks come round at 32 bits
+    bench.balancer.summed(0xFFFFFFF0, 0, 299, [])  # marks wrap around at 32 bits
     bench.wait(0.25, "the third keeper answered")
     bench.matches("keeper")
 
 
-def test_a_keeper_answers_with_what_the_others_hold() -> None:
+def test_an_aggregator_answers_with_the_load_of_the_others() -> None:
     bench = Bench("AB", schedulers=300, may_tell=True, position=0)
     a, b = bench.workers["A"], bench.workers["B"]
     bench.balancer.told(5, 1000, 0, [(a, 2.0, 1.0)])
@@ -36,7 +36,7 @@
     bench.matches("sums")
 
 
-def test_a_sum_keeps_items_off_a_worker_that_others_fill() -> None:
+def test_load_totals_keep_items_off_a_worker_that_others_fill() -> None:
     for slots in (0.0, 12.0):
         bench = Bench("AB", schedulers=300, may_tell=True, position=7)
         bench.balancer.summed(1, 0, 300, [(bench.workers["A"], slots, slots * 0.2)])
@@ -46,7 +46,7 @@
 
 
 def test_a_light_item_is_sent_after_heavy_ones() -> None:
-    """Grown bookings: what was worth less than a twentieth of a mean item was always deferred."""
+    """Items worth less than a twentieth of a mean item were always deferred."""
     bench = Bench("ABCD")
     bench.take(*"abc", work=2.0)
     bench.take("x", work=0.02)
@@ -54,8 +54,8 @@
     bench.matches("light")
 
 
-def test_an_item_taken_to_run_is_kept_where_no_note_tells() -> None:
-    """Grown water: what was about to finish was given up, as its whole run was still counted."""
+def test_an_item_expected_to_run_stays_where_start_is_not_reported() -> None:
+    """Items about to finish were given up, as their whole running time was still expected."""
     bench = Bench(
         "A", [category(due=0.1, stretch=1.5), category(due=8.0, credit=3.0)], tells_start=False, hand_offs=1
     )
@@ -67,7 +67,9 @@
 
 
 def test_a_waiting_item_counts_once_at_its_worker() -> None:
-    """Grown locks: long items with good prospects were given up after a tenth of a second."""
+    """A queued item was also counted as load ahead of itself: long items that would have
+    finished in time were given up after a tenth of a second.
+    """
     bench = Bench("A", [category(due=8.0)], hand_offs=1, by_work=False)
     for name, work in zip("abcdxe", (1.0, 1.0, 1.0, 1.0, 3.0, 1.0)):
         bench.take(name, work=work)
@@ -78,16 +80,16 @@
     bench.matches("counted_once")
 
 
-def test_the_workers_of_a_large_fleet_are_met_evenly() -> None:
-    """Looking at all workers for each item cut a day off; fewer must not mean that some are met too often."""
+def test_the_workers_of_a_large_fleet_are_sampled_evenly() -> None:
+    """Examining all workers for each item exceeded the CPU limit; a sample must not prefer some workers."""
     bench = Bench(FLEET)
-    met = dict.fromkeys(bench.workers.values(), 0)
+    samples = dict.fromkeys(bench.workers.values(), 0)
     for _ in range(2000):
         for w in bench.balancer.some():
-            met[w] += 1
+            samples[w] += 1
     bench.lines.append(
-        f"of 2000 draws each worker is met by {min(met.values()) // 50 * 50}"
-        f" to {-(-max(met.values()) // 50) * 50}"
+        f"of 2000 draws each worker is met by {min(samples.values()) // 50 * 50}"
+        f" to {-(-max(samples.values()) // 50) * 50}"
     )
     bench.list(ListForm.FULL, A=Phase.READY)
     bench.take("x")
@@ -100,8 +102,8 @@
     bench.matches("ring")
 
 
-def test_hundreds_of_schedulers_fill_a_cold_worker_and_do_not_push_it_over() -> None:
-    """iac0a64, h17a8e1: even parts of its budget were less than a work item, so new workers idled."""
+def test_hundreds_of_schedulers_use_a_starting_worker_without_overloading_it() -> None:
+    """With its budget in equal parts a part was less than a work item, so new workers stayed idle."""
     lines = []
     for work in (0.02, 0.4, 2.0):
         sent = 0
@@ -116,8 +118,8 @@
     bench.matches("cold_crowd")
 
 
-def test_an_item_that_earns_less_than_its_crossing_does_not_cross() -> None:
-    """iac0a64: with the own zone full, light items crossed for more than they were worth."""
+def test_an_item_worth_less_than_the_price_of_another_zone_stays() -> None:
+    """With the own zone full, light items went to another zone for more than their credit."""
     for price in (0.0, 0.16):
         bench = Bench("AB", price_cross=price)
         bench.list(ListForm.FULL, zones="01", A=Phase.DRAINING, B=Phase.READY)
--- a/tests/test_subjects.py
+++ b/tests/test_subjects.py
@@ -1,4 +1,4 @@
-"""Equal subjects meet at the same workers, from every scheduler."""
+"""Cache affinity: items with the same subject go to the same workers, from every scheduler."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def places(bench: Bench, subject: int, count: int) -> Counter:
-    """Where items of a subject go, one after the other."""
+    """The workers that get a sequence of items of a subject."""
     found: Counter = Counter()
     for _ in range(count):
         bench.take("x", subject=subject)
@@ -33,14 +33,14 @@
     return found
 
 
-def test_a_rare_subject_has_one_home_for_all_schedulers() -> None:
-    homes = Counter(
+def test_a_rare_subject_has_one_worker_for_all_schedulers() -> None:
+    used = Counter(
         place for i in range(3) for subject in (5, 6, 7, 8, 9) for place in places(scheduler(i), subject, 2)
     )
-    assert all(count % 3 == 0 for count in homes.values()), homes
+    assert all(count % 3 == 0 for count in used.values()), used
 
 
-def test_a_popular_subject_has_homes_in_each_zone_and_several() -> None:
+def test_a_popular_subject_has_several_workers_in_each_zone() -> None:
     for i in range(3):
         bench = scheduler(i)
         places(bench, 5, 30)
@@ -48,7 +48,7 @@
         assert len(found) > 2 and {bench.workers[name].zone for name in found} == {i}
 
 
-def test_few_subjects_move_when_a_worker_goes() -> None:
+def test_few_subjects_move_when_a_worker_is_gone() -> None:
     bench = scheduler(0)
     before = {s: next(iter(places(bench, s, 1))) for s in range(1, 41)}
     bench.list(ListForm.CHANGES, A=Phase.GONE)
@@ -56,30 +56,31 @@
     assert {s for s in before if before[s] != after[s]} == {s for s in before if before[s] == "A"}
 
 
-def test_a_full_home_passes_on_what_is_worth_a_fetch_and_defers_the_rest() -> None:
-    """quito-lending: every scheduler spilled over to any free worker, fetches filled the fleet, 70% were
-    deferred on a quiet day."""
+def test_an_item_leaves_its_full_worker_only_if_it_is_worth_a_fetch() -> None:
+    """When items went to any free worker once the preferred one was full, fetches occupied the fleet, and 70%
+    of the items were deferred at low load.
+    """
     bench = scheduler(0, kinds=[category(), category(credit=8.0)])
-    home = next(iter(places(bench, 5, 1)))
-    bench.balancer.reported(bench.workers[home], (0.0,))
-    w = bench.workers[home]
+    preferred = next(iter(places(bench, 5, 1)))
+    bench.balancer.reported(bench.workers[preferred], (0.0,))
+    w = bench.workers[preferred]
     w.others, w.others_at, w.seen_at = 14.0, bench.now, -1.0
     bench.take("y", "z", category=1, subject=5)
     bench.take("b", subject=5, work=0.05)
     bench.pull()
     for name in "yz":
-        assert chr(bench.items[name].hand_offs[0].worker.id) != home
+        assert chr(bench.items[name].hand_offs[0].worker.id) != preferred
         assert bench.items[name].hand_offs[0].away
-    assert all(chr(ho.worker.id) == home for ho in bench.items["b"].hand_offs)
+    assert all(chr(ho.worker.id) == preferred for ho in bench.items["b"].hand_offs)
 
 
-def test_items_without_a_subject_are_drawn_as_before() -> None:
+def test_items_without_a_subject_go_to_any_worker() -> None:
     bench = scheduler(0)
     assert len(places(bench, 0, 60)) > 12 and not bench.balancer.ranks
 
 
 def test_a_first_try_with_little_time_left_counts_from_now_where_repeats_are_marked() -> None:
-    """quito-lending, give_up: reckoned from a usual first try their due time had passed, and all went."""
+    """Counted from a usual first try their due time had passed, so that all of them were given up."""
     for marked in (False, True):
         bench = Bench("A", marks_repeats=marked)
         bench.take("a")
@@ -89,8 +90,8 @@
         assert bool(bench.items["b"].hand_offs) is marked
 
 
-def test_trips_are_learnt_by_zone() -> None:
-    """A slow way to one zone made the notes of all others look late, or early."""
+def test_start_delays_are_estimated_per_zone() -> None:
+    """A slow path to one zone made the start reports from all other zones look late, or early."""
     bench = Bench("AB", zone=0)
     bench.list(ListForm.CHANGES, "01", A=Phase.READY, B=Phase.READY)
     for _ in range(40):
