--- a/opalwick/chance.py
+++ b/opalwick/chance.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Chance:
+class RandomSource:
     """A seeded generator, so that runs can be repeated exactly."""
 
     def __init__(self, seed: int) -> None:
@@ -14,7 +14,7 @@
         self.state = (self.state * 6364136223846793005 + 1442695040888963407) & 0xFFFFFFFFFFFFFFFF
         return (self.state >> 33) / 2147483648.0
 
-    def mixed(self) -> float:
+    def mixed_draw(self) -> float:
         """A draw for a seed whose bits are poorly mixed, such as a product: after some steps, each folded."""
         for _ in range(3):
             self.draw()
--- a/opalwick/fleet/members.py
+++ b/opalwick/fleet/members.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from opalwick.chance import Chance
+from opalwick.chance import RandomSource
 from opalwick.fleet.words import BUCKETS, MOST, News, State, What, Word, later, newer, packed, unpacked
 
 
@@ -120,7 +120,7 @@
 
     def __init__(self, me: int, count: int, life: int, now: float, terms: Terms, seed: int) -> None:
         self.me, self.count, self.life, self.terms, self.now = me, count, life & 0xFFFFFFFF, terms, now
-        self.chance = Chance(seed)
+        self.chance = RandomSource(seed)
         self.incarnation, self.started = 0, now
         self.peers = {i: Peer(i) for i in range(count) if i != me}
         self.ring = [self.peers[(me + k) % count] for k in range(1, count)]
--- a/opalwick/lab/baselines.py
+++ b/opalwick/lab/baselines.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterator
 
 from opalwick.balance import Balancer
-from opalwick.interface import Decision, Effect, HandOff, Terms, Worker, WorkItem
+from opalwick.interface import Decision, Effect, Attempt, SchedulerConfig, Worker, WorkItem
 from opalwick.lab.world.worker import Worker as True_
 from opalwick.lab.world.world import World
 from opalwick.routing.reducer import Reducer
@@ -21,24 +21,24 @@
 
     def choose(self, wi: WorkItem) -> Worker | None:
         # one that was found silent or unreachable rests, as any such policy has its health checks
-        among = [w for w in self.workers if w.shun_until <= self.now and self.may(wi, w)]
+        among = [w for w in self.workers if w.ejected_until <= self.now and self.may_send(wi, w)]
         return self.pick(wi, among) if among else None
 
-    def copy(self, freed: HandOff) -> Iterator[Decision]:
+    def hedge(self, freed: Attempt) -> Iterator[Decision]:
         yield from ()
 
-    def fall_due(self, wi: WorkItem) -> Iterator[Decision]:
+    def check(self, wi: WorkItem) -> Iterator[Decision]:
         if wi.answered:
             return
-        if self.now >= wi.expiry_at - self.early - 1e-6:
-            yield from self.answer(wi)
-        elif all(ho.ended for ho in wi.hand_offs):
-            self.todo.append(wi)
+        if self.now >= wi.expiry_at - self.margin - 1e-6:
+            yield from self.give_up(wi)
+        elif all(ho.ended for ho in wi.attempts):
+            self.pending.append(wi)
 
 
 class Random(Baseline):
     def pick(self, wi: WorkItem, among: list[Worker]) -> Worker | None:
-        return among[int(self.chance.draw() * len(among))]
+        return among[int(self.random.draw() * len(among))]
 
 
 class RoundRobin(Baseline):
@@ -51,20 +51,20 @@
 
 class LeastOwn(Baseline):
     def pick(self, wi: WorkItem, among: list[Worker]) -> Worker | None:
-        least = min(len(w.flights) for w in among)
-        near = [w for w in among if len(w.flights) == least]
-        return near[int(self.chance.draw() * len(near))]
+        least = min(len(w.in_flight) for w in among)
+        near = [w for w in among if len(w.in_flight) == least]
+        return near[int(self.random.draw() * len(near))]
 
 
 class TwoChoices(Baseline):
     def pick(self, wi: WorkItem, among: list[Worker]) -> Worker | None:
-        one, other = (among[int(self.chance.draw() * len(among))] for _ in "12")
-        return one if len(one.flights) <= len(other.flights) else other
+        one, other = (among[int(self.random.draw() * len(among))] for _ in "12")
+        return one if len(one.in_flight) <= len(other.in_flight) else other
 
 
 class LeastReported(Baseline):
     def pick(self, wi: WorkItem, among: list[Worker]) -> Worker | None:
-        return min(among, key=lambda w: (w.others + len(w.flights)) / w.slots + 0.01 * self.chance.draw())
+        return min(among, key=lambda w: (w.others + len(w.in_flight)) / w.slots + 0.01 * self.random.draw())
 
 
 class Oracle(Baseline):
@@ -84,7 +84,7 @@
             not there.alive
             or there.leaving
             or not pace
-            or (self.terms.position, there.name) in (self.world.links.silent | self.world.links.refused)
+            or (self.config.position, there.name) in (self.world.links.silent | self.world.links.refused)
         ):
             return 1e9
         if len(there.waiting) >= there.model.queue or there.resets > 0.5:
@@ -95,10 +95,10 @@
             heapq.heapreplace(free, left) if i < len(free) else None
         for job in there.waiting:
             heapq.heapreplace(free, free[0] + job.work / pace)
-        for ho in w.flights:  # on their way
-            if not ho.began_at and self.now - ho.sent_at < 0.02:
-                heapq.heapreplace(free, free[0] + self.work_of(ho.wi) / pace)
-        way = self.world.day.network.cross if there.zone != self.terms.zone else self.world.day.network.same
+        for ho in w.in_flight:  # on their way
+            if not ho.started_at and self.now - ho.sent_at < 0.02:
+                heapq.heapreplace(free, free[0] + self.work_of(ho.item) / pace)
+        way = self.world.day.network.cross if there.zone != self.config.zone else self.world.day.network.same
         return free[0] + self.work_of(wi) / pace + 2.0 * way
 
     def work_of(self, wi: WorkItem) -> float:
@@ -111,29 +111,29 @@
         due = wi.due_at
         if (attempt := self.world.clients.tries.get(str(wi.id))) is not None:
             due = 1000.0 + attempt.want.due_at
-        if self.now + ends > due and not wi.category.tardy_credit:
+        if self.now + ends > due and not wi.category.late_credit:
             return None
         return found
 
-    def fall_due(self, wi: WorkItem) -> Iterator[Decision]:
-        live = [ho for ho in wi.hand_offs if not ho.ended]
+    def check(self, wi: WorkItem) -> Iterator[Decision]:
+        live = [ho for ho in wi.attempts if not ho.ended]
         if (
             not wi.answered
             and live
-            and self.now < wi.expiry_at - self.early - 1e-6
-            and wi.category.effect is Effect.RERUNNABLE
+            and self.now < wi.expiry_at - self.margin - 1e-6
+            and wi.category.effect is Effect.IDEMPOTENT
         ):
             w = self.choose(wi)
             # it would end sooner elsewhere, started anew, than where it is: stuck, or lost
             if w is not None and all(w is not ho.worker for ho in live):
                 there = [self.truth(ho.worker) for ho in live]
                 if all(not t.alive or t.stopped or t.slow > 1.5 for t in there):
-                    self.undo.extend(live)
-                    yield self.hand(wi, w, False)
+                    self.to_cancel.extend(live)
+                    yield self.send(wi, w, False)
                     return
-            self.at(self.now + 0.1, wi)
+            self.check_at(self.now + 0.1, wi)
             return
-        yield from super().fall_due(wi)
+        yield from super().check(wi)
 
 
 BASELINES: dict[str, type[Baseline]] = {
@@ -153,7 +153,7 @@
         return lambda terms, seed, now, world, scheduler: Reducer(terms, seed, now)
     kind = BASELINES[policy]
 
-    def make(terms: Terms, seed: int, now: float, world: World, scheduler: int) -> Reducer:
+    def make(terms: SchedulerConfig, seed: int, now: float, world: World, scheduler: int) -> Reducer:
         reducer = Reducer(terms, seed, now)
         baseline = kind(terms, seed, now)
         reducer.balancer = baseline
--- a/opalwick/lab/fleet/virtual.py
+++ b/opalwick/lab/fleet/virtual.py
@@ -251,7 +251,7 @@
     def look(self) -> None:
         for i, found in enumerate(self.running):
             if isinstance(found, Scheduler) and not found.still:
-                for what, *fields in found.reducer.beliefs(found.now()):
+                for what, *fields in found.reducer.aggregation_state(found.now()):
                     self.note("holds", i, what, *[round(x, 4) for x in fields])
         self.world.agenda.after(POLL, self.look)
 
--- a/opalwick/lab/proxy.py
+++ b/opalwick/lab/proxy.py
@@ -9,7 +9,7 @@
 
 from typing import Any
 
-from opalwick.interface import Outcome, Terms
+from opalwick.interface import Outcome, SchedulerConfig
 from opalwick.lab.scheduler import START, Hand, Scheduler
 from opalwick.lab.world.clients import Try
 from opalwick.processor.exchange import Asked, Call, Exchange, Go, Immediate, Proxy, Reported, Route
@@ -46,7 +46,7 @@
 class Sidecar(Scheduler):
     """Proxy and processor of one place: they live and die together, a trip apart."""
 
-    def adapt(self, terms: Terms) -> None:
+    def adapt(self, terms: SchedulerConfig) -> None:
         terms.may_cancel = False
         self.requests: dict[str, Request] = {}
         self.exchange = Exchange(self, Proxy(), HELD_CALLS)
--- a/opalwick/lab/scheduler.py
+++ b/opalwick/lab/scheduler.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from opalwick.interface import ListForm, Outcome, Terms
+from opalwick.interface import ListForm, Outcome, SchedulerConfig
 from opalwick.lab.agenda import Entry
 from opalwick.lab.day import Day
 from opalwick.lab.settings import settings
@@ -36,7 +36,7 @@
 }
 
 # makes the reducer of a scheduler: the real one, one with a baseline in place of the module, or a mutant
-Make = Callable[[Terms, int, float, World, int], Reducer]
+Make = Callable[[SchedulerConfig, int, float, World, int], Reducer]
 
 
 class Host(Protocol):
@@ -175,7 +175,7 @@
         self.way, self.words = stage.world.draws.of(f"way/{i}"), stage.world.draws.of(f"words/{i}")
         self.put("listed", ListForm.CACHED, known)
 
-    def adapt(self, terms: Terms) -> None:
+    def adapt(self, terms: SchedulerConfig) -> None:
         """What a front makes of the settings."""
 
     def resume(self, gap: float, calls: list[tuple]) -> None:
@@ -196,7 +196,7 @@
 
     def put(self, kind: str, *fields: Any) -> None:
         if self.waking:
-            self.reducer.note(self.now(), kind, *fields)
+            self.reducer.apply(self.now(), kind, *fields)
             return
         for effect in self.reducer.reduce(self.now(), kind, *fields):
             self.perform(effect)
--- a/opalwick/post/counter/desks.py
+++ b/opalwick/post/counter/desks.py
@@ -12,7 +12,16 @@
 from collections.abc import Callable, Iterator
 from typing import Any, NamedTuple
 
-from opalwick.interface import Category, Effect, Group, ListForm, Phase, Report, Reports, Terms
+from opalwick.interface import (
+    Category,
+    Effect,
+    Group,
+    ListForm,
+    Phase,
+    LoadMetric,
+    ReportSource,
+    SchedulerConfig,
+)
 from opalwick.post.maintenance.resting import Resting
 from opalwick.post.settings import Settings
 from opalwick.post.wire_pb2 import Route, Service, Worker
@@ -107,40 +116,40 @@
         self.wake_at = math.inf
         self.queue = Waiting()  # items that wait for a ceiling's permits
         # under a ceiling each send needs its own permit
-        self.terms = Terms(
+        self.terms = SchedulerConfig(
             categories=[],
             customers=[],
             zone=zones.setdefault(settings.zone, len(zones)),
             schedulers=schedulers,
-            hand_offs=1 if service.rate > 0 else 3,
-            may_copy=True,
+            max_attempts=1 if service.rate > 0 else 3,
+            may_hedge=True,
             may_cancel=True,
-            may_tell=False,
-            retry_after=0.0,
-            by_work=False,
+            may_message_peers=False,
+            max_retry_after=0.0,
+            credit_per_work=False,
             excess_credit=1.0,
-            price_cross=CROSS,
-            price_tell=0.0,
+            price_cross_zone=CROSS,
+            price_peer_message=0.0,
             position=0,
-            must_ask=False,
-            ask_every=10.0,
-            fall_multiple=50.0,
-            fall_span=1.0,
+            must_subscribe=False,
+            subscribe_within=10.0,
+            overload_multiple=50.0,
+            overload_span=1.0,
             cold_share=0.5,
             ramp=CHILL,
-            tells_start=False,
+            reports_start=False,
             progress_every=0.0,
             tick=0.005,
-            cpu=0.0,
-            reports=Reports.ANSWERS,
+            cpu_per_item=0.0,
+            report_source=ReportSource.RESPONSES,
             may_probe=False,
             price_probe=0.0,
             price_fetch=0.0,
-            marks_repeats=False,
-            drains_alone=False,
-            sized=False,
-            report=(Report.HELD, Report.WAITING),
-            shun=SHUN,
+            marks_retries=False,
+            only_draining_binds=False,
+            fixed_sizes=False,
+            load_metrics=(LoadMetric.IN_FLIGHT, LoadMetric.WAITING),
+            max_ejection=SHUN,
         )
         self.reducer = Reducer(self.terms, seed, now)
         self.categories: dict[str, Category] = {}
@@ -155,20 +164,20 @@
         """Of that route as it is now; what its jobs have shown so far stays."""
         found = self.categories.get(route.name)
         if found is None:
-            effect = Effect.RERUNNABLE if self.service.dedup else Effect.EXCLUSIVE
+            effect = Effect.IDEMPOTENT if self.service.dedup else Effect.AT_MOST_ONCE
             found = self.categories[route.name] = Category(
                 credit=1.0,
                 effect=effect,
                 group=Group.ALL,
                 due=route.start,
-                stretch=1.0,
+                due_stretch=1.0,
                 expiry=SPAN,
-                tardy_credit=TARDY,
-                window=SPAN,
-                run=RUN,
+                late_credit=TARDY,
+                dedup_window=SPAN,
+                mean_run=RUN,
             )
             self.terms.categories.append(found)
-            self.reducer.balancer.average()
+            self.reducer.balancer.update_means()
         found.due = route.start
         return found
 
@@ -205,19 +214,19 @@
         reducer = self.reducer
         for id in [id for id in self.known if id not in listed]:
             worker = reducer.workers.get(id)
-            if worker is None or not worker.held:
+            if worker is None or not worker.outstanding:
                 del self.known[id]
                 if worker is not None:
                     del reducer.workers[id], reducer.names[worker], reducer.places[worker]
-                    reducer.balancer.listed_all.pop(worker, None)
+                    reducer.balancer.all_workers.pop(worker, None)
                     reducer.balancer.active.pop(worker, None)
 
     def sized(self, kind: int, slots: int) -> None:
         """Workers tell how many they work on at once: the module need not learn it from their load."""
         balancer = self.reducer.balancer
-        if (known := balancer.kinds.get(kind)) is not None and (known.size != slots or known.reports < 50):
-            known.size, known.reports = float(slots), 50
-            balancer.resize()
+        if (known := balancer.kinds.get(kind)) is not None and (known.slots != slots or known.reports < 50):
+            known.slots, known.reports = float(slots), 50
+            balancer.update_sizes()
 
     def told(self, load: Load | None) -> tuple[float, ...]:
         """A worker's load in the module's figures."""
@@ -239,8 +248,8 @@
         count = 0
         for id, worker in self.reducer.workers.items():
             known = workers.get(str(id))
-            if worker.flights and known is not None and resting(known.id, known.zone, known.host):
-                count += len(worker.flights)
+            if worker.in_flight and known is not None and resting(known.id, known.zone, known.host):
+                count += len(worker.in_flight)
         return count
 
     def bears(self, now: float) -> int:
@@ -249,8 +258,8 @@
         balancer.clock(now)  # nothing may have been put in since one was found silent
         for w in balancer.workers:
             if not balancer.avoids(w):
-                limit = 1 if w.doubt else int(w.limit or 4 * w.slots)
-                count += max(0, limit - w.held)
+                limit = 1 if w.ejections else int(w.limit or 4 * w.slots)
+                count += max(0, limit - w.outstanding)
         return count
 
     def doubt(self) -> None:
@@ -258,10 +267,10 @@
         believe for ever what it heard last: half of it is let go each time.
         """
         balancer = self.reducer.balancer
-        if not any(w.flights for w in balancer.workers):
-            balancer.others *= 0.5
+        if not any(w.in_flight for w in balancer.workers):
+            balancer.mean_others *= 0.5
             for w in balancer.workers:
-                w.others, w.seen_at = w.others * 0.5, -1.0
+                w.others, w.as_of = w.others * 0.5, -1.0
 
     def put(self, now: float, kind: str, *fields: Any) -> Iterator[Decided]:
         """An input to the reducer; its decisions but for the timer, which is kept here."""
@@ -275,7 +284,7 @@
 
     def figures(self) -> dict[str, int]:
         b = self.reducer.balancer
-        return {"firsts": b.firsts, "copies": b.copies}
+        return {"firsts": b.first_attempts, "copies": b.hedges}
 
 
 def load(text: bytes) -> Load | None:
--- a/opalwick/post/counter/rounds.py
+++ b/opalwick/post/counter/rounds.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from opalwick.chance import Chance
+from opalwick.chance import RandomSource
 from opalwick.post.counter.agreement import Agreement
 from opalwick.post.counter.ceilings import USE
 from opalwick.post.counter.desks import SPAN, Desk, Load, Row, rows
@@ -43,7 +43,7 @@
     ) -> None:
         """`may_send`: whether the depots that keep a message have heard this counter of late."""
         self.node, self.settings, self.now, self.seed = node, settings, now, seed
-        self.chance = Chance(seed)
+        self.chance = RandomSource(seed)
         self.may_send = may_send
         self.items: dict[str, Item] = {}
         self.due: list[tuple[float, int, Item]] = []
--- a/opalwick/post/counter/status.py
+++ b/opalwick/post/counter/status.py
@@ -33,9 +33,9 @@
 def worker_state(worker: Any, now: float) -> str:
     if worker.phase is not Phase.READY:
         return str(worker.phase.name.lower())
-    if worker.shun_until > now:
+    if worker.ejected_until > now:
         return "silent"  # and tried again then
-    return "rests" if worker.rest_until > now else "ready"
+    return "rests" if worker.backoff_until > now else "ready"
 
 
 def desk_status(desk: Desk, now: float) -> dict[str, Any]:
@@ -50,21 +50,21 @@
                 "id": id,
                 "zone": zones.get(w.zone, ""),
                 "state": worker_state(w, now),
-                "held": w.held,
+                "held": w.outstanding,
                 "limit": w.limit,
                 "slots": w.slots,
                 "pace": w.pace,
                 "others": w.others,
             }
             for id, w in desk.reducer.workers.items()
-            if w.phase is not Phase.GONE or w.held
+            if w.phase is not Phase.GONE or w.outstanding
         ],
         "queue": len(desk.queue),
         "jobs": len(items),
-        "out": sum(not ho.ended for wi in items.values() for ho in wi.hand_offs),
+        "out": sum(not ho.ended for wi in items.values() for ho in wi.attempts),
         "blocks": len({id(wi.block) for wi in items.values() if wi.block is not None}),
-        "firsts": balancer.firsts,
-        "copies": balancer.copies,
+        "firsts": balancer.first_attempts,
+        "copies": balancer.hedges,
         "cancels": getattr(desk, "cancels", None),
     }
 
@@ -192,8 +192,8 @@
     if desk is None or wi is None:
         return []
     return [
-        {"worker": desk.reducer.names.get(ho.worker), "copy": ho.copy, "age": role.now - item.out[ho.number]}
-        for ho in wi.hand_offs
+        {"worker": desk.reducer.names.get(ho.worker), "copy": ho.hedge, "age": role.now - item.out[ho.number]}
+        for ho in wi.attempts
         if ho.number in item.out
     ]
 
@@ -297,13 +297,13 @@
             "desk_first_sends",
             True,
             "Since its start.",
-            [({"service": name}, desk.reducer.balancer.firsts) for name, desk in desks],
+            [({"service": name}, desk.reducer.balancer.first_attempts) for name, desk in desks],
         ),
         (
             "desk_copies",
             True,
             "Since its start.",
-            [({"service": name}, desk.reducer.balancer.copies) for name, desk in desks],
+            [({"service": name}, desk.reducer.balancer.hedges) for name, desk in desks],
         ),
         (
             "ceiling_held",
--- a/opalwick/processor/front.py
+++ b/opalwick/processor/front.py
@@ -202,7 +202,7 @@
         # hand-off
         c.terms.may_cancel = False
         if not settings.proxy.retries:
-            c.terms.hand_offs = 1
+            c.terms.max_attempts = 1
         super().__init__(c, stop, again, read)
         self.settings, self.place = settings, settings.listen
         self.exchange = Exchange(self, settings.proxy, c.limits.work_items, self.counts.final)
@@ -264,7 +264,7 @@
         """GOAWAY; streams finish, new ones go elsewhere."""
         for connection in list(self.connections):
             connection.leave()
-        until = self.reducer.leave_at + self.limits.linger
+        until = self.reducer.exit_at + self.limits.linger
         while time.monotonic() < until and any(c.working() for c in self.connections):
             gevent.sleep(0.01)
         self.accepting.kill()
--- a/opalwick/program/configuration.py
+++ b/opalwick/program/configuration.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from opalwick.interface import Terms
+from opalwick.interface import SchedulerConfig
 from opalwick.protocol.discovery import address
 from opalwick.protocol.settings import BadStart, Names, Values, flat, read_names, read_terms, refuse_mixed
 from opalwick.transport.connection import Address
@@ -33,7 +33,7 @@
     peers: list[Address]
     seed: int
     known: dict[str, Any]  # the list of workers as last had
-    terms: Terms
+    terms: SchedulerConfig
     names: Names
     limits: Limits
     fleet: dict[str, Any] | None  # what its parts were given, checked; none: off
@@ -74,7 +74,7 @@
 
 
 def _fleet(
-    given: Mapping[str, Any], terms: Terms, peers: list[Any], peer_listen: Any
+    given: Mapping[str, Any], terms: SchedulerConfig, peers: list[Any], peer_listen: Any
 ) -> dict[str, Any] | None:
     """What `fleet` says, or none where it is off; the keys are named that are unknown or do not fit."""
     fleet = _take(given, "fleet", dict, {})
@@ -88,7 +88,7 @@
             raise BadConfiguration(f"fleet.{key} is malformed: {value!r} is no whole number above nought")
     if not fleet.get("members"):
         return None
-    if not terms.may_tell:
+    if not terms.may_message_peers:
         raise BadConfiguration("fleet.members needs settings.ceilings.peers: schedulers may not talk")
     if not peers or peer_listen is None:
         raise BadConfiguration(f"fleet.members needs {'peer_listen' if peers else 'peers'}")
@@ -170,7 +170,7 @@
             int(values.number("ceilings.max-open", 20000)),
             values.seconds("ceilings.conn-idle-us", 10.0),
             values.seconds("ceilings.connect-timeout-us", 0.25),
-            terms.ask_every,
+            terms.subscribe_within,
             max((c.expiry for c in terms.categories), default=0.0),
         )
     except BadStart as problem:
--- a/opalwick/program/core.py
+++ b/opalwick/program/core.py
@@ -100,7 +100,7 @@
             self.stood(now)
         try:
             if self.waking:
-                self.reducer.note(now, kind, *fields)
+                self.reducer.apply(now, kind, *fields)
                 return
             for effect in self.reducer.reduce(now, kind, *fields):
                 self.perform(effect)
@@ -282,8 +282,8 @@
     def state_of_things(self) -> dict[str, Any]:
         """For the process that follows: all that it must know before it serves."""
         return {
-            "list": listing(self.discovery.version, self.reducer.rows(), self.names, self.unix),
-            "out": self.reducer.out(),
+            "list": listing(self.discovery.version, self.reducer.list_rows(), self.names, self.unix),
+            "out": self.reducer.disabled_names(),
             "draining": self.state is State.DRAINING,
             "learned": self.reducer.learned(),
             **self.goings_on(),
@@ -431,7 +431,7 @@
         """Runs in a greenlet of its own, where the configuration names a file: the lab reads it."""
         while True:
             now = time.monotonic()
-            for what, *fields in self.reducer.beliefs(now):
+            for what, *fields in self.reducer.aggregation_state(now):
                 logger.bind(fleet={"at": now, "what": "holds", "fields": [what, *fields]}).debug("holds")
             gevent.sleep(self.LOOK)
 
@@ -462,7 +462,7 @@
             gevent.spawn(self.forever, self.record)
         for work in (self.keep_time, self.reread, self.sweep):
             gevent.spawn(self.forever, work)
-        if (place := self.configuration.peer_listen) and self.configuration.terms.may_tell:
+        if (place := self.configuration.peer_listen) and self.configuration.terms.may_message_peers:
             gevent.spawn(self.forever, self.listen_to_words, place)
         self.start()
         # without any list it could only send clients away
--- a/opalwick/program/scheduler.py
+++ b/opalwick/program/scheduler.py
@@ -31,7 +31,7 @@
         self.bodies = self.open_count = 0  # bytes, work items: unanswered
         self.accepting: Any = None
         # when the door itself defers: a second, in which a crowd passes, or as long as clients honour
-        self.advice = come_back(min(1.0, c.terms.retry_after))
+        self.advice = come_back(min(1.0, c.terms.max_retry_after))
 
     # ---- effects
 
@@ -176,5 +176,5 @@
             self.door.empty()  # what waits there otherwise is left to the next process
         self.listener.close()
         # a request that has not come whole is not taken, so one that drips on may be left
-        while self.door.conversations and time.monotonic() < self.reducer.leave_at + self.limits.linger:
+        while self.door.conversations and time.monotonic() < self.reducer.exit_at + self.limits.linger:
             gevent.sleep(0.01)
--- a/opalwick/protocol/clients.py
+++ b/opalwick/protocol/clients.py
@@ -107,7 +107,7 @@
     if message.method != b"POST":
         raise Malformed(405, "only POST")
     _mark(message, "X-Correlation-Id", True)
-    _mark(message, "Idempotency-Key", category.effect is Effect.TICKETED)
+    _mark(message, "Idempotency-Key", category.effect is Effect.KEYED)
     left = _number(message, "X-Time-Left-Ms")
     # counted from the sending: its first byte
     expiry_at = message.first_at + (category.expiry if left is None else left / 1000.0)
--- a/opalwick/protocol/settings.py
+++ b/opalwick/protocol/settings.py
@@ -7,11 +7,11 @@
 from dataclasses import dataclass
 from typing import Any
 
-from opalwick.interface import Category, Customer, Effect, Group, Report, Reports, Terms
+from opalwick.interface import Category, Customer, Effect, Group, LoadMetric, ReportSource, SchedulerConfig
 
-_EFFECTS = {"repeatable": Effect.RERUNNABLE, "by_key": Effect.TICKETED, "once": Effect.EXCLUSIVE}
-_REPORT = {"active": Report.HELD, "waiting": Report.WAITING}
-_REPORTS = {"piggyback": Reports.ANSWERS, "pull": Reports.PROBES, "silent": Reports.NONE}
+_EFFECTS = {"repeatable": Effect.IDEMPOTENT, "by_key": Effect.KEYED, "once": Effect.AT_MOST_ONCE}
+_REPORT = {"active": LoadMetric.IN_FLIGHT, "waiting": LoadMetric.WAITING}
+_REPORTS = {"piggyback": ReportSource.RESPONSES, "pull": ReportSource.PROBES, "silent": ReportSource.NONE}
 # what the list tells of sizes: under load `live` is no size
 _SIZED = {"silent": False, "live": False, "nominal": True, "rough": True}
 _MICRO = 1e-6
@@ -81,7 +81,7 @@
         return [part for part in self._values.get(key, "").split(",") if part]
 
 
-def read_terms(given: Mapping[str, str]) -> Terms:
+def read_terms(given: Mapping[str, str]) -> SchedulerConfig:
     values = Values(given)
     stretches = values.row("family-info.class-stretch")
     groups, kinds = {group.value: group for group in Group}, values.row("family-info.class-kind")
@@ -116,44 +116,44 @@
     ]
     extra = {f"x{n}": values.text(f"family-info.report-x{n}", "") for n in (0, 1)}
     report = tuple(
-        Report.FREE_SLOTS if extra.get(name) == "free_slots" else _REPORT.get(name, "")
+        LoadMetric.FREE_SLOTS if extra.get(name) == "free_slots" else _REPORT.get(name, "")
         for name in values.row("load-report.names")
     )
-    return Terms(
+    return SchedulerConfig(
         categories=categories,
         customers=customers,
         zone=int(values.number("az", 0.0)),
         schedulers=max(1, int(values.number("peers-total"))),
-        hand_offs=int(values.number("ceilings.max-hand-offs")),
-        may_copy=values.flag("ceilings.parallel-tries"),
+        max_attempts=int(values.number("ceilings.max-hand-offs")),
+        may_hedge=values.flag("ceilings.parallel-tries"),
         may_cancel=values.flag("ceilings.may-cancel"),
-        may_tell=values.flag("ceilings.peers"),
-        retry_after=(
+        may_message_peers=values.flag("ceilings.peers"),
+        max_retry_after=(
             values.seconds("ceilings.max-retry-after-us", 0.0) if values.flag("ceilings.retry-after") else 0.0
         ),
-        by_work=values.choice("credit-basis", {"work": True, "request": False}),
+        credit_per_work=values.choice("credit-basis", {"work": True, "request": False}),
         excess_credit=values.number("excess-credit", 1.0),
-        price_cross=values.number("prices.cross-zone", 0.0),
-        price_tell=values.number("prices.peer", 0.0),
+        price_cross_zone=values.number("prices.cross-zone", 0.0),
+        price_peer_message=values.number("prices.peer", 0.0),
         position=int(values.number("position", 0.0)),
-        must_ask=values.choice("discovery", {"ask": True, "push": False}),
-        ask_every=values.seconds("guarantees.ask-every-us", 10.0),
-        fall_multiple=values.number("guarantees.fall-multiple"),
-        fall_span=values.seconds("guarantees.fall-us"),
+        must_subscribe=values.choice("discovery", {"ask": True, "push": False}),
+        subscribe_within=values.seconds("guarantees.ask-every-us", 10.0),
+        overload_multiple=values.number("guarantees.fall-multiple"),
+        overload_span=values.seconds("guarantees.fall-us"),
         cold_share=values.number("guarantees.cold-share"),
         ramp=values.seconds("guarantees.ramp-time-us"),
-        tells_start=values.flag("family-info.tells-start", "false"),
+        reports_start=values.flag("family-info.tells-start", "false"),
         progress_every=values.seconds("family-info.progress-us", 0.0),
         tick=values.seconds("tick-us", 0.005),
-        cpu=values.seconds("ceilings.cpu-us-per-request", 0.0),
-        sized=values.choice("weights", _SIZED, "silent"),
+        cpu_per_item=values.seconds("ceilings.cpu-us-per-request", 0.0),
+        fixed_sizes=values.choice("weights", _SIZED, "silent"),
         may_probe=values.flag("ceilings.may-probe", "false"),
         price_probe=values.number("prices.probe", 0.0),
         price_fetch=values.number("prices.origin", 0.0),
-        marks_repeats=values.flag("callers.marks-retry", "false"),
-        drains_alone=values.flag("guarantees.only-draining-binds", "false"),
-        reports=values.choice("load-report.how", _REPORTS, "piggyback"),
-        report=report,
+        marks_retries=values.flag("callers.marks-retry", "false"),
+        only_draining_binds=values.flag("guarantees.only-draining-binds", "false"),
+        report_source=values.choice("load-report.how", _REPORTS, "piggyback"),
+        load_metrics=report,
     )
 
 
@@ -189,7 +189,7 @@
         return self.kinds.setdefault(name, len(self.kinds))
 
 
-def read_names(given: Mapping[str, str], terms: Terms) -> Names:
+def read_names(given: Mapping[str, str], terms: SchedulerConfig) -> Names:
     values = Values(given)
     zones, kinds = ({name: i for i, name in enumerate(values.row(key))} for key in ("localities", "skus"))
     return Names(
--- a/opalwick/protocol/words.py
+++ b/opalwick/protocol/words.py
@@ -6,7 +6,7 @@
 import struct
 from collections.abc import Iterator
 
-from opalwick.interface import Row, Sum, Tell, Worker
+from opalwick.interface import LoadRow, LoadTotals, LoadReport, Worker
 
 # kind, zone, mark and, in sums, how many were heard; then a row a worker: the low and high half of its id
 # folded, half slots, and seconds to run on a scale of even ratios
@@ -19,7 +19,7 @@
     return (wid ^ wid >> 16) & 0xFFFF
 
 
-def _rows(rows: list[Row]) -> bytes:
+def _rows(rows: list[LoadRow]) -> bytes:
     return b"".join(
         [
             _ROW.pack(
@@ -30,8 +30,8 @@
     )
 
 
-def packed(decision: Tell | Sum) -> Iterator[bytes]:
-    if isinstance(decision, Tell):
+def packed(decision: LoadReport | LoadTotals) -> Iterator[bytes]:
+    if isinstance(decision, LoadReport):
         # one message, as a second would take the first's place: the heaviest that fit
         heaviest = sorted(decision.rows, key=lambda row: -row[2])[:_FIT]
         yield _WORD.pack(0, decision.zone, decision.mark) + _rows(heaviest)
@@ -39,7 +39,8 @@
     # a zone of more workers than fit takes several: what is left out would stay as last told
     for at in range(0, max(1, len(decision.rows)), _FIT):
         yield (
-            _SUM.pack(1, decision.zone, decision.mark, decision.heard) + _rows(decision.rows[at : at + _FIT])
+            _SUM.pack(1, decision.zone, decision.mark, decision.schedulers)
+            + _rows(decision.rows[at : at + _FIT])
         )
 
 
--- a/opalwick/routing/learned.py
+++ b/opalwick/routing/learned.py
@@ -16,44 +16,44 @@
 # of each object the attributes that hold statistics, not its current load. The values are handed over without
 # their names: the order is part of the format
 _ALL = (
-    "firsts",
-    "copies",
-    "rate",
-    "taken_at",
-    "largest",
+    "first_attempts",
+    "hedges",
+    "arrival_rate",
+    "accepted_at",
+    "assumed_slots",
     "mean_run",
-    "noise",
-    "full",
-    "queue",
-    "failing",
-    "others",
-    "fetch",
-    "value",
-    "work",
+    "run_error",
+    "queued_share",
+    "mean_queue",
+    "error_rate",
+    "mean_others",
+    "fetch_s",
+    "mean_credit",
+    "mean_work",
 )
-_CATEGORY = ("run", "ended", "allowance")
-_KIND = ("ran", "asked", "size", "reports")
+_CATEGORY = ("mean_run", "finished", "max_time_left")
+_KIND = ("run_sum", "work_sum", "slots", "reports")
 _WORKER = (
-    "mean",
+    "mean_outstanding",
     "mean_at",
     "others",
     "others_at",
-    "ran",
+    "run_sum",
     "ran_at",
-    "asked",
-    "failed",
-    "tried",
-    "failed_at",
+    "work_sum",
+    "errors",
+    "runs",
+    "errors_at",
     "limit",
-    "sign_at",
-    "doubt",
-    "shun_until",
-    "turned",
-    "rest_until",
-    "told_busy",
-    "told_left",
+    "alive_at",
+    "ejections",
+    "ejected_until",
+    "rejections",
+    "backoff_until",
+    "peers_busy",
+    "peers_left",
 )
-_ZONE = ("trip", "note_in", "answered", "heard_at", "heard")
+_ZONE = ("start_delay", "start_timeout", "answered_mark", "totals_at", "coverage")
 
 
 def _values(owner: Any, fields: Sequence[str]) -> list[float]:
@@ -79,10 +79,10 @@
     """The statistics in a form that JSON can hold."""
     return {
         "all": _values(balancer, _ALL),
-        "categories": [_values(c, _CATEGORY) for c in balancer.terms.categories],
+        "categories": [_values(c, _CATEGORY) for c in balancer.config.categories],
         "kinds": {str(i): _values(kind, _KIND) for i, kind in balancer.kinds.items()},
         "zones": {str(i): _values(zone, _ZONE) for i, zone in balancer.zones.items()},
-        "workers": {name: [_values(w, _WORKER), w.sends] for name, w in workers.items()},
+        "workers": {name: [_values(w, _WORKER), w.cold_sends] for name, w in workers.items()},
     }
 
 
@@ -94,7 +94,9 @@
         return
     _restore(balancer, _ALL, received.get("all"))
     categories = received.get("categories")
-    for category, saved in zip(balancer.terms.categories, categories if isinstance(categories, list) else ()):
+    for category, saved in zip(
+        balancer.config.categories, categories if isinstance(categories, list) else ()
+    ):
         _restore(category, _CATEGORY, saved)
     for i, kind in balancer.kinds.items():
         _restore(kind, _KIND, _entry(received, "kinds", str(i)))
@@ -105,9 +107,9 @@
         if isinstance(saved, list) and len(saved) == 2 and isinstance(saved[1], list):
             _restore(w, _WORKER, saved[0])
             # the slow-start budget of a worker counts what either process sent it
-            w.sends = [
+            w.cold_sends = [
                 (send[0], send[1])
                 for send in saved[1]
                 if isinstance(send, list) and len(send) == 2 and None not in map(number, send)
             ]
-    balancer.resize()
+    balancer.update_sizes()
--- a/opalwick/routing/reducer.py
+++ b/opalwick/routing/reducer.py
@@ -17,18 +17,18 @@
     Category,
     Customer,
     Defer,
-    HandOff,
+    Attempt,
     ListForm,
     Outcome,
     Phase,
     Subscribe,
-    Sum,
-    Tell,
-    Terms,
+    LoadTotals,
+    LoadReport,
+    SchedulerConfig,
     Wake,
     Worker,
     WorkItem,
-    WriteOff,
+    Fail,
 )
 from opalwick.protocol.words import packed, short, unpacked
 from opalwick.routing import learned
@@ -50,7 +50,7 @@
     number: int  # of the attempt, from 0
     worker: Any
     place: Any  # the worker's address, as last listed
-    give_up_after: float  # seconds
+    timeout: float  # seconds
 
 
 class Close(NamedTuple):
@@ -73,7 +73,7 @@
     key: Any
     final: Final
     result: Any = None
-    come_back_in: float = 0.0  # seconds; only for DEFERRED
+    retry_after: float = 0.0  # seconds; only for DEFERRED
 
 
 class Watch(NamedTuple):
@@ -84,7 +84,7 @@
     """Send a peer message."""
 
     to: int
-    octets: bytes
+    payload: bytes
 
 
 class Timer(NamedTuple):
@@ -99,22 +99,22 @@
 class Reducer:
     """A scheduler without its I/O."""
 
-    def __init__(self, terms: Terms, seed: int, now: float) -> None:
-        self.terms, self.balancer = terms, Balancer(terms, seed, now)
+    def __init__(self, terms: SchedulerConfig, seed: int, now: float) -> None:
+        self.config, self.balancer = terms, Balancer(terms, seed, now)
         self.items: dict[Hashable, WorkItem] = {}
         self.workers: dict[Hashable, Worker] = {}
         self.names: dict[Worker, Hashable] = {}
         self.places: dict[Worker, Any] = {}
-        self.shorts: dict[int, Worker | None] = {}  # by short id; None: two workers share it
+        self.by_short_id: dict[int, Worker | None] = {}  # by short id; None: two workers share it
         self.finished: list[Answer] = []
-        self.leave_at = math.inf  # by then every item must be answered
+        self.exit_at = math.inf  # by then every item must be answered
 
     def reduce(self, now: float, kind: str, *fields: Any) -> Iterator[Effect]:
         """Applies one input, named as its method below; the effects are to be carried out in order."""
-        self.note(now, kind, *fields)
+        self.apply(now, kind, *fields)
         return self.effects()
 
-    def note(self, now: float, kind: str, *fields: Any) -> None:
+    def apply(self, now: float, kind: str, *fields: Any) -> None:
         """Applies one input without any decisions; its effects come with the next `reduce`."""
         self.clock(now)
         getattr(self, kind)(*fields)
@@ -133,26 +133,26 @@
                 worker = self.workers[name] = Worker(number)
                 self.names[worker] = name
                 short_id = short(number)
-                self.shorts[short_id] = None if short_id in self.shorts else worker
+                self.by_short_id[short_id] = None if short_id in self.by_short_id else worker
             self.places[worker] = place
             known.append((worker, zone, kind, cell, Phase(phase), ready_at, share))
-        self.balancer.listed(form, known)
+        self.balancer.update_workers(form, known)
 
     def disabled(self, name: Hashable) -> None:
         """By an operator: no new attempt goes there until it is enabled, whatever the list says."""
         if name in self.workers:
-            self.balancer.banned(self.workers[name], True)
+            self.balancer.set_disabled(self.workers[name], True)
 
     def enabled(self, name: Hashable) -> None:
         if name in self.workers:
-            self.balancer.banned(self.workers[name], False)
+            self.balancer.set_disabled(self.workers[name], False)
 
     def beside(self, load: Mapping[Hashable, tuple[float, float]]) -> None:
         """The load of this scheduler's other process, by worker: slots, seconds of slot time left."""
         for name, w in self.workers.items():
-            w.busy_beside, w.left_beside = load.get(name, (0.0, 0.0))
-            w.seen_at = -1.0
-            if w.busy_beside:
+            w.sibling_busy, w.sibling_left = load.get(name, (0.0, 0.0))
+            w.as_of = -1.0
+            if w.sibling_busy:
                 self.balancer.active[w] = None  # so that load reports to peers include it
 
     def taught(self, statistics: Any) -> None:
@@ -161,7 +161,7 @@
 
     def moved(self) -> None:
         """Service discovery has a new address."""
-        self.balancer.moved()
+        self.balancer.discovery_moved()
 
     def taken(
         self,
@@ -178,20 +178,20 @@
     ) -> None:
         """A new work item. `permits`: attempts that the host allows at once; `asked` allows more."""
         item = self.items[key] = WorkItem(
-            key, category, customer, taken_at, expiry_at, hint, slots, subject, repeat, calls=permits
+            key, category, customer, taken_at, expiry_at, hint, slots, subject, repeat, permits=permits
         )
-        self.balancer.taken(item)
+        self.balancer.accept(item)
         self._leave(item)
 
     def asked(self, key: Hashable, permits: int = 1) -> None:
         """The host allows one more attempt for this item now; 0: no more at all."""
         if (item := self.items.get(key)) and not item.answered:
-            self.balancer.wanted(item, permits)
+            self.balancer.allow_attempts(item, permits)
 
     def left(self, key: Hashable) -> None:
         """The client has disconnected."""
         if item := self.items.get(key):
-            self.balancer.left(item)
+            self.balancer.close(item)
             self._forget(item)
 
     def ended(
@@ -211,41 +211,41 @@
         if attempt is None or attempt.ended:
             return
         if figures:
-            self.balancer.reported(attempt.worker, figures)
-        if outcome is Outcome.FINISHED and not attempt.wi.answered:
+            self.balancer.load_reported(attempt.worker, figures)
+        if outcome is Outcome.FINISHED and not attempt.item.answered:
             self.finished.append(Answer(key, Final.FINISHED, result))
             answered = True
         elif answered:  # by the host: other attempts are cancelled
-            self.balancer.left(attempt.wi)
-        self.balancer.ended(attempt, outcome, answered, reused)
-        self._forget(attempt.wi)
+            self.balancer.close(attempt.item)
+        self.balancer.attempt_ended(attempt, outcome, answered, reused)
+        self._forget(attempt.item)
 
     def began(self, key: Hashable, number: int) -> None:
         attempt = self._attempt(key, number)
         if attempt is not None and not attempt.ended:
-            self.balancer.began(attempt)
+            self.balancer.attempt_started(attempt)
 
     def progressed(self, key: Hashable, number: int, share: float) -> None:
         attempt = self._attempt(key, number)
         if attempt is not None and not attempt.ended:
-            self.balancer.progressed(attempt, share)
+            self.balancer.attempt_progressed(attempt, share)
 
     def reported(self, name: Hashable, figures: Sequence[float]) -> None:
         if figures and name in self.workers:
-            self.balancer.reported(self.workers[name], figures)
+            self.balancer.load_reported(self.workers[name], figures)
 
     def probed(self, name: Hashable, figures: Sequence[float] = ()) -> None:
         """A probe's response; without figures, the probe failed."""
         if name in self.workers:
-            self.balancer.probed(self.workers[name], figures)
+            self.balancer.probe_answered(self.workers[name], figures)
 
     def heard(self, peer: int, data: bytes) -> None:
         """A peer message; a malformed one is ignored."""
-        if message := unpacked(data, self.shorts):
+        if message := unpacked(data, self.by_short_id):
             if message[0] == "told":
-                self.balancer.told(peer, *message[1])
+                self.balancer.report_received(peer, *message[1])
             else:
-                self.balancer.summed(*message[1])
+                self.balancer.totals_received(*message[1])
 
     def absent(self, numbers: frozenset[int]) -> None:
         """Schedulers that are known to be down, where membership is enabled: they aggregate no load."""
@@ -253,7 +253,7 @@
 
     def closing(self, leave_at: float) -> None:
         """The process will be killed at that time: no item expires later, as it would get no answer."""
-        self.leave_at = leave_at
+        self.exit_at = leave_at
         for item in self.items.values():
             self._leave(item)
 
@@ -262,23 +262,23 @@
 
     # ---- for the succeeding process
 
-    def rows(self) -> list[tuple]:
+    def list_rows(self) -> list[tuple]:
         """All workers ever listed, in the form that `listed` takes."""
         return [
-            (name, w.id, w.zone, w.kind, w.cell, w.phase, w.ready_at, self.places[w], w.share)
+            (name, w.id, w.zone, w.kind, w.cell, w.phase, w.ready_at, self.places[w], w.listed_size)
             for name, w in self.workers.items()
         ]
 
-    def out(self) -> list[Hashable]:
+    def disabled_names(self) -> list[Hashable]:
         """The workers that an operator has disabled."""
-        return [name for name, w in self.workers.items() if w.out]
+        return [name for name, w in self.workers.items() if w.disabled]
 
     def in_flight(self) -> dict[Hashable, tuple[float, float]]:
         """The own load, in the form that `beside` takes."""
-        held = {name: w for name, w in self.workers.items() if w.held}
+        held = {name: w for name, w in self.workers.items() if w.outstanding}
         for w in held.values():
-            self.balancer.look(w)
-        return {name: (w.busy_own - w.busy_beside, w.left_own - w.left_beside) for name, w in held.items()}
+            self.balancer.estimate(w)
+        return {name: (w.own_busy - w.sibling_busy, w.own_left - w.sibling_left) for name, w in held.items()}
 
     def learned(self) -> dict[str, Any]:
         """Statistics, in the form that `taught` takes."""
@@ -288,21 +288,27 @@
 
     def gauges(self) -> dict[str, int]:
         """Current numbers of workers, by the names of their metrics."""
-        listed = [w for w in self.balancer.listed_all if w.phase is not Phase.GONE]
+        listed = [w for w in self.balancer.all_workers if w.phase is not Phase.GONE]
         return {"registry_entries": len(listed), "out_of_rotation": sum(map(self.balancer.avoids, listed))}
 
-    def beliefs(self, now: float) -> list[tuple]:
+    def aggregation_state(self, now: float) -> list[tuple]:
         """Where and how well load is aggregated, for a recorder: for each zone the aggregator, the age of the
         totals in seconds, and the share of the schedulers that they include.
         """
         b = self.balancer
-        count = self.terms.schedulers
+        count = self.config.schedulers
         return (
             [
-                ("sums", z.id, z.keeper(count, b.absent), max(0.0, min(now - z.heard_at, 1e6)), z.heard)
+                (
+                    "sums",
+                    z.id,
+                    z.aggregator(count, b.absent),
+                    max(0.0, min(now - z.totals_at, 1e6)),
+                    z.coverage,
+                )
                 for z in b.zones.values()
             ]
-            if b.tells
+            if b.reports_load
             else []
         )
 
@@ -315,35 +321,35 @@
             match decision:
                 case interface.Send(attempt, give_up_after):
                     w = attempt.worker
-                    yield Send(attempt.wi.id, attempt.number, self.names[w], self.places[w], give_up_after)
+                    yield Send(attempt.item.id, attempt.number, self.names[w], self.places[w], give_up_after)
                 case Cancel(attempt):
-                    yield Close(attempt.wi.id, attempt.number)
+                    yield Close(attempt.item.id, attempt.number)
                 case interface.Probe(w):
                     yield Probe(self.names[w], self.places[w])
                 case Defer(item, come_back_in):
                     self._forget(item)
                     yield Answer(item.id, Final.DEFERRED, None, come_back_in)
-                case WriteOff(item):
+                case Fail(item):
                     self._forget(item)
                     yield Answer(item.id, Final.WRITTEN_OFF)
                 case Wake(at):
                     yield Timer(at)
                 case Subscribe():
                     yield Watch()
-                case Tell() | Sum():
+                case LoadReport() | LoadTotals():
                     for data in packed(decision):
                         yield Datagram(decision.to, data)
 
-    def _attempt(self, key: Hashable, number: int) -> HandOff | None:
+    def _attempt(self, key: Hashable, number: int) -> Attempt | None:
         item = self.items.get(key)
-        return item.hand_offs[number] if item is not None and number < len(item.hand_offs) else None
+        return item.attempts[number] if item is not None and number < len(item.attempts) else None
 
     def _leave(self, item: WorkItem) -> None:
         # after the balancer has it: with less time left it would count as a client's retry, and as late
-        if self.leave_at < item.expiry_at:
-            item.expiry_at = self.leave_at
-            self.balancer.at(self.leave_at, item)
+        if self.exit_at < item.expiry_at:
+            item.expiry_at = self.exit_at
+            self.balancer.check_at(self.exit_at, item)
 
     def _forget(self, item: WorkItem) -> None:
-        if item.answered and all(attempt.ended for attempt in item.hand_offs):
+        if item.answered and all(attempt.ended for attempt in item.attempts):
             self.items.pop(item.id, None)
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -21,23 +21,23 @@
     Decision,
     Defer,
     Effect,
+    Fail,
     Group,
     ListForm,
+    LoadMetric,
+    LoadReport,
+    LoadRow,
+    LoadTotals,
     Outcome,
     Phase,
     Probe,
-    Report,
-    Reports,
-    Row,
+    ReportSource,
+    SchedulerConfig,
     Send,
     Subscribe,
-    Sum,
-    Tell,
-    Terms,
     Wake,
     Worker,
     WorkItem,
-    WriteOff,
 )
 from opalwick.protocol.clients import Call, Conversation
 from opalwick.protocol.figures import Counts
@@ -52,17 +52,17 @@
 START = 1000.0
 
 
-def category(effect: Effect = Effect.RERUNNABLE, group: Group = Group.ALL, **changes: float) -> Category:
+def category(effect: Effect = Effect.IDEMPOTENT, group: Group = Group.ALL, **changes: float) -> Category:
     return replace(
         Category(
             credit=1.0,
             effect=effect,
             group=group,
             due=0.4,
-            stretch=2.0,
+            due_stretch=2.0,
             expiry=5.0,
-            tardy_credit=0.0,
-            window=2.0,
+            late_credit=0.0,
+            dedup_window=2.0,
         ),
         **changes,
     )
@@ -83,39 +83,39 @@
     def __init__(
         self, workers: str = "ABCD", kinds: list[Category] | None = None, seed: int = 7, **changes
     ) -> None:
-        terms = Terms(
+        terms = SchedulerConfig(
             categories=kinds or [category()],
             customers=[],
             zone=0,
             schedulers=1,
-            hand_offs=4,
-            may_copy=True,
+            max_attempts=4,
+            may_hedge=True,
             may_cancel=True,
-            may_tell=False,
-            retry_after=1.0,
-            by_work=True,
+            may_message_peers=False,
+            max_retry_after=1.0,
+            credit_per_work=True,
             excess_credit=0.1,
-            price_cross=0.0,
-            price_tell=0.0,
+            price_cross_zone=0.0,
+            price_peer_message=0.0,
             position=0,
-            must_ask=False,
-            ask_every=10.0,
-            fall_multiple=3.0,
-            fall_span=2.0,
+            must_subscribe=False,
+            subscribe_within=10.0,
+            overload_multiple=3.0,
+            overload_span=2.0,
             cold_share=0.25,
             ramp=10.0,
-            tells_start=True,
+            reports_start=True,
             progress_every=1.0,
             tick=0.005,
-            cpu=0.0,
-            reports=Reports.ANSWERS,
+            cpu_per_item=0.0,
+            report_source=ReportSource.RESPONSES,
             may_probe=False,
-            sized=False,
+            fixed_sizes=False,
             price_probe=0.0,
             price_fetch=0.0,
-            marks_repeats=False,
-            drains_alone=False,
-            report=(Report.FREE_SLOTS,),
+            marks_retries=False,
+            only_draining_binds=False,
+            load_metrics=(LoadMetric.FREE_SLOTS,),
         )
         self.terms = replace(terms, **changes)
         self.now, self.lines, self.items = START, [], {}
@@ -123,7 +123,7 @@
         self.workers = {name: Worker(ord(name)) for name in workers}
         self.list(ListForm.CACHED, **{name: Phase.READY for name in workers})
         for w in self.workers.values():
-            self.balancer.reported(w, (4.0,))
+            self.balancer.load_reported(w, (4.0,))
 
     def list(
         self,
@@ -147,7 +147,7 @@
                     1.0,
                 )
             )
-        self.balancer.listed(form, rows)
+        self.balancer.update_workers(form, rows)
 
     def take(
         self,
@@ -164,17 +164,17 @@
                 ord(name[0]), c, customer, self.now, self.now + (expiry or c.expiry), work, 1.0, **more
             )
             self.items[name] = wi
-            self.balancer.taken(wi)
+            self.balancer.accept(wi)
 
     def end(
         self, name: str, number: int = 0, outcome: Outcome = Outcome.FINISHED, kept: bool = False
     ) -> None:
-        ho = self.items[name].hand_offs[number]
+        ho = self.items[name].attempts[number]
         done = self.items[name].answered or outcome is Outcome.FINISHED
-        self.balancer.ended(ho, outcome, done, kept)
+        self.balancer.attempt_ended(ho, outcome, done, kept)
 
     def begin(self, name: str, number: int = 0) -> None:
-        self.balancer.began(self.items[name].hand_offs[number])
+        self.balancer.attempt_started(self.items[name].attempts[number])
 
     def pull(self, note: str = "") -> list[Decision]:
         decisions = list(self.balancer.decisions())
@@ -201,27 +201,27 @@
         names = {id(wi): name for name, wi in self.items.items()}
         match decision:
             case Send(ho, _):
-                return f"{'copy of' if ho.copy else 'send'} {names[id(ho.wi)]} to {chr(ho.worker.id)}"
+                return f"{'copy of' if ho.hedge else 'send'} {names[id(ho.item)]} to {chr(ho.worker.id)}"
             case Cancel(ho):
-                return f"cancel {names[id(ho.wi)]} at {chr(ho.worker.id)}"
+                return f"cancel {names[id(ho.item)]} at {chr(ho.worker.id)}"
             case Probe(w):
                 return f"probe {chr(w.id)}"
             case Defer(wi, after):
                 return f"defer {names[id(wi)]} for {after:g} s"
-            case WriteOff(wi):
+            case Fail(wi):
                 return f"write off {names[id(wi)]}"
             case Subscribe():
                 return "subscribe"
-            case Tell(to, _, zone, rows):
+            case LoadReport(to, _, zone, rows):
                 return f"tell {to} of zone {zone}:{self.row(rows)}"
-            case Sum(to, _, zone, heard, rows):
+            case LoadTotals(to, _, zone, heard, rows):
                 return f"sum to {to} of zone {zone} from {heard}:{self.row(rows)}"
             case Wake():
                 return ""
         raise AssertionError(decision)
 
     @staticmethod
-    def row(rows: list[Row]) -> str:
+    def row(rows: list[LoadRow]) -> str:
         return "".join(f" {chr(w.id)}:{slots:g}" for w, slots, _ in rows) or " nothing"
 
 
@@ -311,7 +311,7 @@
     @staticmethod
     def word(effect: Asked) -> str:
         if isinstance(effect, Answer):
-            told = effect.result or (f"back in {effect.come_back_in:g} s" if effect.come_back_in else "")
+            told = effect.result or (f"back in {effect.retry_after:g} s" if effect.retry_after else "")
             return f"{effect.final.value} {effect.key} {told}".strip()
         return f"{type(effect).__name__.lower()} {' '.join(map(str, effect))}".strip()
 
--- a/tests/lab_days.py
+++ b/tests/lab_days.py
@@ -154,12 +154,12 @@
 
     def __init__(self, *fields) -> None:
         super().__init__(*fields)
-        self.early = -0.3
+        self.margin = -0.3
 
-    def place(self, wi) -> Iterator:
+    def dispatch(self, wi) -> Iterator:
         if wi.expiry_at - 0.01 <= self.now < wi.expiry_at + 0.25:
-            return self.at(wi.expiry_at + 0.3, wi)
-        yield from super().place(wi)
+            return self.check_at(wi.expiry_at + 0.3, wi)
+        yield from super().dispatch(wi)
 
 
 class Anywhere(Balancer):
@@ -167,19 +167,19 @@
 
     forget = ""
 
-    def may(self, wi, w) -> bool:
+    def may_send(self, wi, w) -> bool:
         c = wi.category
-        kept = c.effect, c.group, c.window
-        if self.forget == "exclusive" and c.effect is Effect.EXCLUSIVE:
-            c.effect = Effect.RERUNNABLE
-        elif self.forget == "group" and c.effect is Effect.TICKETED:
+        kept = c.effect, c.group, c.dedup_window
+        if self.forget == "exclusive" and c.effect is Effect.AT_MOST_ONCE:
+            c.effect = Effect.IDEMPOTENT
+        elif self.forget == "group" and c.effect is Effect.KEYED:
             c.group = Group.ALL
         elif self.forget == "window":
-            c.window = 1e9
+            c.dedup_window = 1e9
         try:
-            return super().may(wi, w)
+            return super().may_send(wi, w)
         finally:
-            c.effect, c.group, c.window = kept
+            c.effect, c.group, c.dedup_window = kept
 
 
 class Exclusive(Anywhere):
@@ -189,26 +189,28 @@
 class Outside(Anywhere):
     forget = "group"
 
-    def bound(self, wi) -> None:
+    def bound_cell(self, wi) -> None:
         return None
 
 
 class Window(Anywhere):
     forget = "window"
 
-    def place(self, wi) -> Iterator:
+    def dispatch(self, wi) -> Iterator:
         # it waits before it sends again, so that the window passes
-        if wi.hand_offs and self.now < wi.hand_offs[-1].sent_at + 1.2 and not wi.answered:
-            return self.at(wi.hand_offs[-1].sent_at + 1.2, wi)
-        if wi.hand_offs and not wi.answered and (free := [w for w in self.workers if self.may(wi, w)]):
-            yield self.hand(wi, free[0], False)
+        if wi.attempts and self.now < wi.attempts[-1].sent_at + 1.2 and not wi.answered:
+            return self.check_at(wi.attempts[-1].sent_at + 1.2, wi)
+        if wi.attempts and not wi.answered and (free := [w for w in self.workers if self.may_send(wi, w)]):
+            yield self.send(wi, free[0], False)
             return
-        yield from super().place(wi)
+        yield from super().dispatch(wi)
 
 
 class Drained(Balancer):
-    def listed(self, form, rows) -> None:
-        super().listed(form, [(w, z, k, c, Phase.READY, at, size) for w, z, k, c, _, at, size in rows])
+    def update_workers(self, form, rows) -> None:
+        super().update_workers(
+            form, [(w, z, k, c, Phase.READY, at, size) for w, z, k, c, _, at, size in rows]
+        )
 
 
 class Crowd(Balancer):
@@ -216,7 +218,7 @@
         return True
 
     def choose(self, wi):
-        cold = [w for w in self.workers if self.young(w) and self.may(wi, w)]
+        cold = [w for w in self.workers if self.is_cold(w) and self.may_send(wi, w)]
         return cold[0] if cold else super().choose(wi)
 
 
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -25,7 +25,7 @@
     """x and y form a block; the one at A is returned first."""
     bench.take("x", "y", work=work)
     bench.pull("x and y taken")
-    on_a = bench.items["x"].hand_offs[0].worker is bench.workers["A"]
+    on_a = bench.items["x"].attempts[0].worker is bench.workers["A"]
     return ("x", "y") if on_a else ("y", "x")
 
 
@@ -35,7 +35,7 @@
     bench.begin(first)
     bench.begin(second)
     bench.wait(0.25)
-    bench.balancer.progressed(bench.items[second].hand_offs[0], 0.05)
+    bench.balancer.attempt_progressed(bench.items[second].attempts[0], 0.05)
     return first, second
 
 
@@ -61,7 +61,7 @@
 def test_no_hedge_at_a_worker_at_its_recent_mean() -> None:
     bench = warmed()
     first, _second = slow_pair(bench)
-    bench.workers["A"].mean, bench.workers["A"].mean_at = 0.0, bench.now
+    bench.workers["A"].mean_outstanding, bench.workers["A"].mean_at = 0.0, bench.now
     bench.end(first)
     bench.pull(f"{first} finished, mean of its worker 0")
     bench.matches("copy_mean")
@@ -70,7 +70,7 @@
 def test_no_hedges_beyond_a_fifth_of_first_attempts() -> None:
     for hedges in (1, 2):
         bench = warmed()
-        bench.balancer.copies = hedges
+        bench.balancer.hedges = hedges
         first, _second = slow_pair(bench)
         bench.end(first)
         bench.pull(f"{hedges} copies before, 12 first sends")
@@ -103,17 +103,17 @@
     bench.pull("the original finished first")
     bench.end(second, 1, Outcome.CANCELLED)
     a = bench.workers["A"]
-    bench.lines.append(f"in flight at A: {len(a.flights)}, lingering {len(a.lingering)}")
+    bench.lines.append(f"in flight at A: {len(a.in_flight)}, lingering {len(a.still_running)}")
     bench.wait(1.0)
-    a.seen_at = -1.0
-    bench.balancer.look(a)
-    bench.lines.append(f"a second later: {len(a.lingering)}")
+    a.as_of = -1.0
+    bench.balancer.estimate(a)
+    bench.lines.append(f"a second later: {len(a.still_running)}")
     bench.matches("ignored_cancel")
 
 
 def test_a_block_holds_two_items_on_distinct_workers() -> None:
     bench = warmed()
-    bench.balancer.firsts = 100
+    bench.balancer.first_attempts = 100
     bench.take("x", "y", "z", work=0.5)
     bench.pull("three taken, two workers")
     bench.lines.append(
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -8,7 +8,7 @@
 
 
 def worker_with_work() -> Bench:
-    bench = Bench("A", drains_alone=True)
+    bench = Bench("A", only_draining_binds=True)
     bench.take("a")
     bench.pull()
     return bench
@@ -18,22 +18,22 @@
     """Whether a new work item goes to A, the only worker there is."""
     bench.take(name)
     bench.pull()
-    return bool(bench.items[name].hand_offs)
+    return bool(bench.items[name].attempts)
 
 
 def beside(bench: Bench, form: ListForm = ListForm.CHANGES, **phases: Phase) -> None:
     """B is listed and left out by hand, so that A is not the last one of the list."""
     bench.list(form, **{"B": Phase.READY, **phases})
-    bench.balancer.banned(bench.workers["B"], True)
+    bench.balancer.set_disabled(bench.workers["B"], True)
 
 
 def test_gone_binds_until_a_sign_and_a_drain_in_spite_of_signs() -> None:
     for phase, ready in ((Phase.GONE, True), (Phase.DRAINING, False)):
         bench = worker_with_work()
         beside(bench, A=phase)
-        assert not bench.workers["A"].open
+        assert not bench.workers["A"].usable
         bench.begin("a")  # what was on its way begins, and goes on undisturbed
-        assert taken(bench, "b") is ready and not bench.items["a"].hand_offs[0].cancelled
+        assert taken(bench, "b") is ready and not bench.items["a"].attempts[0].cancelled
 
 
 def test_draining_then_gone_or_missing_stays_closed() -> None:
@@ -66,10 +66,10 @@
 def test_left_out_by_hand_binds_whatever_signs_come() -> None:
     bench = worker_with_work()
     beside(bench, A=Phase.GONE)
-    bench.balancer.banned(bench.workers["A"], True)
+    bench.balancer.set_disabled(bench.workers["A"], True)
     bench.begin("a")
     assert not taken(bench, "b")
-    bench.balancer.banned(bench.workers["A"], False)
+    bench.balancer.set_disabled(bench.workers["A"], False)
     assert taken(bench, "c")
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -85,24 +85,24 @@
         ],
     )
     pair.call("PUT /workers/disable?who=c")
-    old.reducer.workers["c"].sends = [(time.monotonic(), 0.5)]
-    old.reducer.workers["a"].ran, old.reducer.workers["a"].doubt = 3.5, 2
-    old.reducer.balancer.rate = 17.0
+    old.reducer.workers["c"].cold_sends = [(time.monotonic(), 0.5)]
+    old.reducer.workers["a"].run_sum, old.reducer.workers["a"].ejections = 3.5, 2
+    old.reducer.balancer.arrival_rate = 17.0
     waits = pair.ask(post())
     new = pair.follow()
     there, here = old.reducer, new.reducer
-    assert {name: (w.phase, w.out, w.ready_at) for name, w in here.workers.items()} == {
-        name: (w.phase, w.out, pytest.approx(w.ready_at, abs=0.002)) for name, w in there.workers.items()
+    assert {name: (w.phase, w.disabled, w.ready_at) for name, w in here.workers.items()} == {
+        name: (w.phase, w.disabled, pytest.approx(w.ready_at, abs=0.002)) for name, w in there.workers.items()
     }
-    assert (here.workers["c"].sends, here.workers["a"].ran, here.workers["a"].doubt) == (
-        there.workers["c"].sends,
+    assert (here.workers["c"].cold_sends, here.workers["a"].run_sum, here.workers["a"].ejections) == (
+        there.workers["c"].cold_sends,
         3.5,
         2,
     )
-    assert 16.0 < here.balancer.rate < 18.0
+    assert 16.0 < here.balancer.arrival_rate < 18.0
     # one scheduler: what is open in one is open
     assert (new.holds(b"c1"), new.holds(b"c2"), new.lent > 0) == (True, False, True)
-    assert here.workers["a"].busy_beside == 1.0 and there.workers["a"].busy_beside == 0.0
+    assert here.workers["a"].sibling_busy == 1.0 and there.workers["a"].sibling_busy == 0.0
     assert (old.state, old.ready(), old.lets_in(), new.state) == (State.LEAVING, False, True, State.SERVING)
     assert new.datagrams.sock.getsockname() == old.datagrams.sock.getsockname()
     assert first(pair.ask(post())) == CONFLICT
@@ -110,16 +110,16 @@
     pair.call("PUT /workers/disable?who=a")
     pair.call("PUT /workers/enable?who=c")
     gevent.sleep(0.05)
-    assert there.out() == here.out() == ["a"]
+    assert there.disabled_names() == here.disabled_names() == ["a"]
     assert not pair.old_running.ready()
     waits.close()
     pair.old_running.join(3.0)  # it ends by itself once it has finished
     assert pair.old_running.successful()
     gevent.sleep(0.05)
     assert (new.other_ids, new.lent, new.pool.most) == (set(), 0, new.limits.workers)
-    assert here.workers["a"].busy_beside == 0.0
+    assert here.workers["a"].sibling_busy == 0.0
     third = pair.follow()  # the next finds it at the same place
-    assert (third.state, third.reducer.out()) == (State.SERVING, ["a"])
+    assert (third.state, third.reducer.disabled_names()) == (State.SERVING, ["a"])
     pair.end()
 
 
@@ -267,7 +267,7 @@
     _stand_in_for_the_old_one(_path(tmp_path), *said)
     pair = Pair(tmp_path, DONE, listen="127.0.0.1:1")
     found = pair.scheduler.reducer
-    assert (sorted(found.workers), found.out()) == (workers, out)
+    assert (sorted(found.workers), found.disabled_names()) == (workers, out)
     assert (pair.scheduler.state, first(pair.ask(READY))) == (State.SERVING, "HTTP/1.1 200 OK")
     pair.end()
 
@@ -302,7 +302,7 @@
     there, here = Desk(), Desk()
     there.take("x")
     there.put("began", "x", 0)
-    there.reducer.workers["B"].sends = [(5.0, 0.25)]
+    there.reducer.workers["B"].cold_sends = [(5.0, 0.25)]
     said = json.loads(json.dumps(there.reducer.learned()))
     here.put("taught", said)
     assert json.loads(json.dumps(here.reducer.learned())) == said
@@ -327,18 +327,18 @@
     desk = Desk("AB", **{"peers-total": 2, "position": 1})
     desk.put("beside", {"A": (12.0, 6.0), "nobody": (1.0, 1.0)})
     balancer, a = desk.reducer.balancer, desk.reducer.workers["A"]
-    balancer.look(a)
-    assert (a.busy_own, a.left_own, desk.reducer.in_flight()) == (12.0, 6.0, {})
+    balancer.estimate(a)
+    assert (a.own_busy, a.own_left, desk.reducer.in_flight()) == (12.0, 6.0, {})
     desk.take("x")
     assert desk.lines[-1].split(": ")[1].startswith("send x 0 B")
     sent = {name: slots for name, (slots, _) in desk.reducer.in_flight().items()}
     desk.now += 1.0
-    told = [effect.octets for effect in desk.put("woken") if hasattr(effect, "octets")]
-    word = unpacked(told[0], desk.reducer.shorts)
+    told = [effect.payload for effect in desk.put("woken") if hasattr(effect, "payload")]
+    word = unpacked(told[0], desk.reducer.by_short_id)
     assert sent == {"B": 1.0}
     assert {(chr(w.id), slots) for w, slots, _ in word[1][2]} == {("A", 12.0), ("B", 1.0)}
     desk.put("beside", {})
-    assert (a.busy_beside, a.left_beside) == (0.0, 0.0)
+    assert (a.sibling_busy, a.sibling_left) == (0.0, 0.0)
 
 
 def test_odd_pairs_are_left_out() -> None:
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -77,7 +77,7 @@
     assert operated.say(b"nonsense\r\n\r\n")[:3] == "400"
     assert operated.call("GET /ready", "X: " + "y" * 40000)[:3] == "431"
     # none of these has changed anything
-    assert (operated.scheduler.reducer.out(), operated.call("GET /ready")) == ([], "200 yes")
+    assert (operated.scheduler.reducer.disabled_names(), operated.call("GET /ready")) == ([], "200 yes")
     right = [
         "GET /ready?x=1",
         "PUT /workers/disable?who=%61",
@@ -156,7 +156,7 @@
 
 
 def test_the_text_of_the_figures() -> None:
-    odd = Category(1.0, Effect.RERUNNABLE, Group.ALL, 1.0, 0.0, 1.0, 0.0, 1.0)
+    odd = Category(1.0, Effect.IDEMPOTENT, Group.ALL, 1.0, 0.0, 1.0, 0.0, 1.0)
     counts = Counts([odd])
     for status in (200, 200, 429, 503, 400, 504):
         counts.final(odd, status)
@@ -213,11 +213,11 @@
     bench = Bench("AB")
     bench.take("a")
     send = bench.pull()[0]
-    other = bench.workers["B" if send.ho.worker is bench.workers["A"] else "A"]
-    bench.balancer.banned(other, True)
+    other = bench.workers["B" if send.attempt.worker is bench.workers["A"] else "A"]
+    bench.balancer.set_disabled(other, True)
     bench.wait(1.0)  # no start note: it would move
-    assert bench.items["a"].hand_offs == [send.ho]
-    bench.balancer.banned(send.ho.worker, True)
+    assert bench.items["a"].attempts == [send.attempt]
+    bench.balancer.set_disabled(send.attempt.worker, True)
     bench.end("a")
     assert bench.items["a"].answered
 
@@ -225,22 +225,27 @@
 def test_a_worker_put_back_is_not_held_down_and_gets_the_first_light_item() -> None:
     """It is cold, so never about as good as the best: without this it got nothing for as long as others were
     free; and what it did before it was taken out says nothing of its new process."""
-    bench = Bench("ABCD", kinds=[category(), category(Effect.EXCLUSIVE)])
+    bench = Bench("ABCD", kinds=[category(), category(Effect.AT_MOST_ONCE)])
     worker = bench.workers["A"]
-    worker.shun_until, worker.doubt, worker.turned, worker.rest_until = bench.now + 60, 5, 9, bench.now + 60
-    worker.ran, worker.asked, worker.ran_at, worker.limit = 90.0, 1.0, bench.now, 1.0
-    bench.balancer.banned(worker, True)
+    worker.ejected_until, worker.ejections, worker.rejections, worker.backoff_until = (
+        bench.now + 60,
+        5,
+        9,
+        bench.now + 60,
+    )
+    worker.run_sum, worker.work_sum, worker.ran_at, worker.limit = 90.0, 1.0, bench.now, 1.0
+    bench.balancer.set_disabled(worker, True)
     bench.wait(1.0)
     bench.list(ListForm.CHANGES, ready={"A": bench.now - 2.0}, A=Phase.READY)
-    bench.balancer.banned(worker, False)
+    bench.balancer.set_disabled(worker, False)
     for name in "abcd":  # what the mean item weighs
         bench.take(name, work=0.2)
     bench.take("e", category=1, work=0.02)  # not rerunnable: no trial
     bench.pull()
-    assert not worker.flights
+    assert not worker.in_flight
     bench.take("f", work=0.02)
     bench.pull()
-    assert [ho.wi for ho in worker.flights] == [bench.items["f"]] and not worker.owed
+    assert [ho.item for ho in worker.in_flight] == [bench.items["f"]] and not worker.reenabled
 
 
 @pytest.mark.parametrize(
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -11,7 +11,7 @@
 from helper import SETTINGS, START, Bench, Desk, Stand, limits, logged, post, settings
 from test_scheduler import DONE, Served, configuration, first
 
-from opalwick.interface import ListForm, Outcome, Phase, Report, Reports
+from opalwick.interface import ListForm, LoadMetric, Outcome, Phase, ReportSource
 from opalwick.processor.exchange import Exchange
 from opalwick.program.configuration import BadConfiguration
 from opalwick.program.core import Core
@@ -20,7 +20,7 @@
 from opalwick.routing.reducer import Probe
 from opalwick.transport.pool import Pool
 
-ASKED = {"reports": Reports.PROBES, "may_probe": True, "price_probe": 0.006}
+ASKED = {"report_source": ReportSource.PROBES, "may_probe": True, "price_probe": 0.006}
 PULL = {
     "load-report": {"how": "pull", "names": ["x0", "active"]},
     "ceilings": SETTINGS["ceilings"] | {"may-probe": True},
@@ -83,10 +83,10 @@
     bench.balancer.clock(START)
     bench.take("x")
     bench.pull("taken")
-    bench.balancer.probed(bench.workers["A"], (0.0,))
+    bench.balancer.probe_answered(bench.workers["A"], (0.0,))
     bench.pull("A is full")
-    bench.balancer.probed(bench.workers["B"], (0.0,))
-    bench.balancer.probed(bench.workers["C"], (4.0,))
+    bench.balancer.probe_answered(bench.workers["B"], (0.0,))
+    bench.balancer.probe_answered(bench.workers["C"], (4.0,))
     bench.pull("so is B, C is empty")
     bench.take("y")
     bench.pull("y, while all is fresh")
@@ -98,16 +98,16 @@
     bench.take("x")
     bench.pull("taken")
     bench.wait(0.2, "no answer came")
-    sent = len(bench.items["x"].hand_offs)
+    sent = len(bench.items["x"].attempts)
     for w in bench.workers.values():
-        bench.balancer.probed(w, ())  # failed, and that is all
+        bench.balancer.probe_answered(w, ())  # failed, and that is all
     bench.pull("both failed")
     bench.end("x", sent - 1)
     bench.list(ListForm.CHANGES, A=Phase.GONE)
     for figures in ((float("nan"),), (-3.0,), (float("inf"),), (1.0, 2.0, 3.0), ()):
-        bench.balancer.probed(bench.workers["A"], figures)
+        bench.balancer.probe_answered(bench.workers["A"], figures)
     bench.pull("odd answers, of one that is gone, nobody asked")
-    bench.lines.append(f"others at A {bench.workers['A'].others:.1f}, doubt {bench.workers['A'].doubt}")
+    bench.lines.append(f"others at A {bench.workers['A'].others:.1f}, doubt {bench.workers['A'].ejections}")
     bench.matches("probes_none")
 
 
@@ -115,8 +115,8 @@
     for changes in (
         {},
         {"may_probe": True},
-        {"reports": Reports.NONE, "may_probe": True, "report": ()},
-        {"reports": Reports.PROBES, "report": (Report.FREE_SLOTS,)},
+        {"report_source": ReportSource.NONE, "may_probe": True, "load_metrics": ()},
+        {"report_source": ReportSource.PROBES, "load_metrics": (LoadMetric.FREE_SLOTS,)},
     ):
         bench = unheard("AB", **changes)
         bench.take("x")
@@ -208,17 +208,17 @@
     """etkezde-bp, quiet: items far heavier than hinted came late at slow workers while fast ones idled."""
     for changes in ({}, ASKED):
         bench = Bench("AB", **changes)
-        bench.workers["A"].size_pace, bench.workers["B"].size_pace = 0.8, 1.2
+        bench.workers["A"].listed_pace, bench.workers["B"].listed_pace = 0.8, 1.2
         sent = {"A": 0, "B": 0}
         for _ in range(200):
             for w in bench.workers.values():
-                w.others_at = w.seen_at = bench.now  # heard of just now, so that no probe is sent
-                bench.balancer.seen_others(w, 0.0)
+                w.others_at = w.as_of = bench.now  # heard of just now, so that no probe is sent
+                bench.balancer.set_others(w, 0.0)
             bench.take("x", work=0.05)
             list(bench.balancer.decisions())
-            ho = bench.items["x"].hand_offs[0]
+            ho = bench.items["x"].attempts[0]
             sent[chr(ho.worker.id)] += 1
-            bench.balancer.left(bench.items["x"])
+            bench.balancer.close(bench.items["x"])
             bench.end("x", 0, Outcome.CANCELLED)
             bench.now += 0.2
             bench.balancer.clock(bench.now)
--- a/tests/test_processor.py
+++ b/tests/test_processor.py
@@ -19,7 +19,7 @@
         self.terms = read_terms(settings(**changes))
         self.terms.may_cancel = False
         if not proxy.retries:
-            self.terms.hand_offs = 1
+            self.terms.max_attempts = 1
         self.clock, self.lines, self.calls = START, [], {}
         self.reducer = Reducer(self.terms, 7, START)
         self.exchange = Exchange(self, proxy, most)
@@ -70,7 +70,7 @@
 
     def idle(self) -> bool:
         """Nothing is left of any call, here or at the module."""
-        held = [w for w in self.reducer.workers.values() if w.flights]
+        held = [w for w in self.reducer.workers.values() if w.in_flight]
         return not (self.exchange.items or self.exchange.calls or held)
 
 
@@ -145,7 +145,7 @@
     p.end("a", "reset")
     p.list(ListForm.FULL, A=Phase.READY)
     p.wait(0.3)
-    assert p.lines == [] and not p.reducer.workers["A"].flights
+    assert p.lines == [] and not p.reducer.workers["A"].in_flight
     p.wait(1.0)
     assert p.idle()
 
@@ -155,7 +155,7 @@
     p.call("a", category=1, told=False)  # ticketed: had it been told, its mark would bind it to the window
     p.end("a", "reset")
     wi = p.reducer.items["x"]
-    assert [ho.outcome.name for ho in wi.hand_offs] == ["NOT_SENT"] and not wi.hand_offs[0].worker.flights
+    assert [ho.outcome.name for ho in wi.attempts] == ["NOT_SENT"] and not wi.attempts[0].worker.in_flight
     p.call("b", category=1)
     assert p.lines[1:] == ["b: send to A within 0.20"]
 
@@ -202,9 +202,9 @@
     p.call("a")
     p.respond("a", 503, unprocessed=True)
     p.end("a", "orderly")
-    assert sum(len(w.flights) for w in p.reducer.workers.values()) == 1
+    assert sum(len(w.in_flight) for w in p.reducer.workers.values()) == 1
     p.wait(0.25)
-    assert p.exchange.unused == 1 and not any(w.flights for w in p.reducer.workers.values())
+    assert p.exchange.unused == 1 and not any(w.in_flight for w in p.reducer.workers.values())
     p.wait(1.0)
     assert p.idle()
 
@@ -234,13 +234,13 @@
 
 def test_a_proxy_that_dies_with_thousands_of_calls_leaves_nothing() -> None:
     p = Proxies("ABCD", most=3000)
-    p.reducer.balancer.terms.hand_offs = 3
+    p.reducer.balancer.config.max_attempts = 3
     for i in range(2000):
         p.call(f"c{i}", id=f"c{i}", told=i % 2 == 0)
     sent = [call for call in p.calls.values() if call.state == "out"]
     assert len(sent) > 10
     p.exchange.died(list(p.calls.values()))
-    outcomes = {(call.told, p.reducer.items[call.item.id].hand_offs[0].outcome.name) for call in sent}
+    outcomes = {(call.told, p.reducer.items[call.item.id].attempts[0].outcome.name) for call in sent}
     assert outcomes == {(True, "BROKEN"), (False, "NOT_SENT")}
     p.wait(6.0)
     assert p.idle() and not p.exchange.ended and not p.exchange.due
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -81,11 +81,11 @@
     other.take("a")
     other.now += 1.2
     for effect in other.put("woken"):
-        if hasattr(effect, "octets"):
+        if hasattr(effect, "payload"):
             desk.now = other.now
-            for answer in desk.put("heard", 1, effect.octets, note="heard"):
-                if hasattr(answer, "octets"):
-                    other.put("heard", 0, answer.octets, note="heard")
+            for answer in desk.put("heard", 1, effect.payload, note="heard"):
+                if hasattr(answer, "payload"):
+                    other.put("heard", 0, answer.payload, note="heard")
     for odd in (b"", b"\x00", b"\x01\xff\xff\xff\xff\xff\x00\x00", b"\x07" * 40, b"\x00" * 7):
         desk.put("heard", 1, odd, note=f"{len(odd)} odd bytes")
     desk.matches("reducer_words")
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,7 +8,7 @@
 
 
 def test_every_item_is_answered_before_its_expiry() -> None:
-    bench = Bench("A", [category(tardy_credit=0.5), category(Effect.EXCLUSIVE, tardy_credit=0.5)])
+    bench = Bench("A", [category(late_credit=0.5), category(Effect.AT_MOST_ONCE, late_credit=0.5)])
     bench.take("x", expiry=2.0)
     bench.take("y", category=1, expiry=2.0)
     bench.pull("two taken")
@@ -22,9 +22,9 @@
     """Each outcome of the first hand-off, for each kind of category."""
     kinds = [
         category(),
-        category(Effect.TICKETED),
-        category(Effect.TICKETED, Group.ZONE),
-        category(Effect.EXCLUSIVE),
+        category(Effect.KEYED),
+        category(Effect.KEYED, Group.ZONE),
+        category(Effect.AT_MOST_ONCE),
     ]
     lines = []
     for i, kind in enumerate(("rerunnable", "ticketed, all", "ticketed, zone", "exclusive")):
@@ -34,7 +34,7 @@
             bench = Bench("AB", kinds)
             bench.list(ListForm.FULL, zones="01", A=Phase.READY, B=Phase.READY)
             bench.workers["B"].limit = 1.0
-            bench.workers["B"].doubt, bench.workers["B"].shun_until = 1, START + 0.04
+            bench.workers["B"].ejections, bench.workers["B"].ejected_until = 1, START + 0.04
             bench.take("x", category=i, work=0.4)
             list(bench.balancer.decisions())
             bench.wait(0.05)
@@ -49,7 +49,7 @@
 
 def test_the_window_of_a_ticketed_item() -> None:
     for seconds in (1.45, 1.55):
-        bench = Bench("AB", [category(Effect.TICKETED, due=5.0, expiry=9.0)])
+        bench = Bench("AB", [category(Effect.KEYED, due=5.0, expiry=9.0)])
         bench.take("x")
         bench.pull()
         bench.wait(seconds)
@@ -60,10 +60,10 @@
 
 
 def test_a_worker_restarted_since_may_not_know_the_ticket() -> None:
-    bench = Bench("AB", [category(Effect.TICKETED, Group.CELL, due=5.0)], ramp=0.1)
+    bench = Bench("AB", [category(Effect.KEYED, Group.CELL, due=5.0)], ramp=0.1)
     bench.take("x")
     bench.pull()
-    used = chr(bench.items["x"].hand_offs[0].worker.id)
+    used = chr(bench.items["x"].attempts[0].worker.id)
     other = "B" if used == "A" else "A"
     bench.wait(0.5)
     bench.list(ListForm.CHANGES, ready={other: bench.now - 0.2}, **{other: Phase.READY})
@@ -101,7 +101,7 @@
 
 
 def test_asking_for_the_list() -> None:
-    bench = Bench("A", must_ask=True)
+    bench = Bench("A", must_subscribe=True)
     bench.pull("start")
     for _ in range(5):
         bench.list(ListForm.FAILED)
@@ -113,15 +113,15 @@
 
 def test_nonsense_is_passed_over() -> None:
     bench = Bench("A")
-    before = [(k.size, k.reports) for k in bench.balancer.kinds.values()]
+    before = [(k.slots, k.reports) for k in bench.balancer.kinds.values()]
     for figure in (float("nan"), float("inf"), -3.0, 1e30):
-        bench.balancer.reported(bench.workers["A"], (figure, figure, figure))
-    bench.balancer.told(9, 5, 3, [])
+        bench.balancer.load_reported(bench.workers["A"], (figure, figure, figure))
+    bench.balancer.report_received(9, 5, 3, [])
     bench.take("x")
-    bench.pull(f"sizes unchanged {before == [(k.size, k.reports) for k in bench.balancer.kinds.values()]}")
-    bench.balancer.progressed(bench.items["x"].hand_offs[0], float("nan"))
+    bench.pull(f"sizes unchanged {before == [(k.slots, k.reports) for k in bench.balancer.kinds.values()]}")
+    bench.balancer.attempt_progressed(bench.items["x"].attempts[0], float("nan"))
     bench.end("x")
-    bench.balancer.left(bench.items["x"])
+    bench.balancer.close(bench.items["x"])
     bench.pull("the client left with the answer")
     bench.matches("nonsense")
 
@@ -133,14 +133,14 @@
     bench.list(ListForm.FULL, ready=dict.fromkeys(names, START - 3.0), **dict.fromkeys(names, Phase.READY))
     bench.take("x", work=0.3)
     list(bench.balancer.decisions())
-    bench.lines.append(f"x is out at a worker three seconds old: {len(bench.items['x'].hand_offs) == 1}")
+    bench.lines.append(f"x is out at a worker three seconds old: {len(bench.items['x'].attempts) == 1}")
     bench.matches("new_fleet")
 
 
 def test_a_ticketed_item_without_a_note_moves_late_and_within_its_group() -> None:
     """A connection that fell silent held it until its expiry, though its group discards a repeat."""
     for zones in ("0001", "0111"):
-        bench = Bench("ABCD", [category(Effect.TICKETED, Group.ZONE)])
+        bench = Bench("ABCD", [category(Effect.KEYED, Group.ZONE)])
         bench.list(ListForm.FULL, zones, A=Phase.READY, B=Phase.DRAINING, C=Phase.DRAINING, D=Phase.DRAINING)
         bench.take("x")
         bench.pull()
@@ -165,11 +165,13 @@
     """mill-orders-nam: workers of the wrong kind turned it away as full, and all work held them for full."""
     bench = Bench("ABCD", [category(kind=1), category()])
     for name, kind in zip("ABCD", (0, 1, 0, 1)):
-        bench.balancer.listed(ListForm.CHANGES, [(bench.workers[name], 0, kind, 0, Phase.READY, 0.0, 1.0)])
+        bench.balancer.update_workers(
+            ListForm.CHANGES, [(bench.workers[name], 0, kind, 0, Phase.READY, 0.0, 1.0)]
+        )
     for i in range(24):
         bench.take("x", category=i % 2)
         bench.pull()
-        w = bench.items["x"].hand_offs[0].worker
+        w = bench.items["x"].attempts[0].worker
         assert i % 2 or w.kind == 1
         bench.begin("x")
         bench.end("x")
--- a/tests/test_sight.py
+++ b/tests/test_sight.py
@@ -4,7 +4,7 @@
 
 from helper import START, Bench, category
 
-from opalwick.interface import Customer, Effect, Group, ListForm, Outcome, Phase, Reports
+from opalwick.interface import Customer, Effect, Group, ListForm, Outcome, Phase, ReportSource
 
 
 def test_no_start_note_moves_an_item() -> None:
@@ -13,7 +13,7 @@
     bench.take("x")
     bench.pull()
     bench.wait(0.5, "no note came")
-    full = bench.items["x"].hand_offs[0].worker
+    full = bench.items["x"].attempts[0].worker
     bench.lines.append(f"others seen there: {full.others:g}")
     bench.matches("no_note")
 
@@ -34,7 +34,7 @@
     bench.pull()
     bench.begin("x")
     bench.wait(1.5)
-    bench.balancer.reported(bench.workers["A"], (3.0,))
+    bench.balancer.load_reported(bench.workers["A"], (3.0,))
     bench.lines.append(f"others: {bench.workers['A'].others:g}")
     bench.matches("own_report")
 
@@ -88,8 +88,8 @@
     bench = Bench("A")
     for name, pause in zip("uvwxyz", (0.05, 0.06, 0.19, 0.05, 0.06, 0.0)):
         bench.take(name)
-        bench.pull(f"rests until {max(0.0, bench.workers['A'].rest_until - START):g}")
-        if bench.items[name].hand_offs:
+        bench.pull(f"rests until {max(0.0, bench.workers['A'].backoff_until - START):g}")
+        if bench.items[name].attempts:
             bench.wait(0.01)
             bench.end(name, 0, Outcome.FINISHED if name == "x" else Outcome.FULL)
             bench.pull()
@@ -98,7 +98,7 @@
 
 
 def test_a_silent_worker_is_left_alone_and_tried_again() -> None:
-    bench = Bench("AB", tells_start=False)
+    bench = Bench("AB", reports_start=False)
     hung = bench.workers["A"]
     names = "abcdefghijklmnopqrstuvwxyz"
     for name in names:
@@ -106,13 +106,13 @@
         list(bench.balancer.decisions())
         bench.wait(0.2)
         for item in bench.items.values():
-            for ho in item.hand_offs:
+            for ho in item.attempts:
                 if not ho.ended and ho.cancelled:
                     bench.end(chr(item.id), ho.number, Outcome.CANCELLED)
                 elif not ho.ended and ho.worker is not hung:
                     bench.end(chr(item.id), ho.number)
         list(bench.balancer.decisions())
-    sent = sum(ho.worker is hung for item in bench.items.values() for ho in item.hand_offs)
+    sent = sum(ho.worker is hung for item in bench.items.values() for ho in item.attempts)
     bench.lines = [f"items sent to the hung worker: {sent} of {len(names)}"]
     bench.matches("hung")
 
@@ -131,11 +131,11 @@
     """Locks' rough-2: a few long items condemned a kind of worker, which was then never used."""
     bench = Bench("AB", [category(due=0.4)])
     w = bench.workers["A"]
-    w.ran, w.asked, w.ran_at = 20.0, 2.0, bench.now
+    w.run_sum, w.work_sum, w.ran_at = 20.0, 2.0, bench.now
     for seconds in (0, 10, 30):
         bench.now += seconds
         bench.balancer.clock(bench.now)
-        bench.balancer.look(w)
+        bench.balancer.estimate(w)
         bench.lines.append(f"pace {w.pace:.1f}")
     bench.matches("pace")
 
@@ -151,7 +151,7 @@
         customers[name] = "modest" if i % 8 == 7 else "greedy"
         list(bench.balancer.decisions())
     for who in ("greedy", "modest"):
-        sent = [bool(bench.items[name].hand_offs) for name in customers if customers[name] == who]
+        sent = [bool(bench.items[name].attempts) for name in customers if customers[name] == who]
         bench.lines.append(f"{who}: {sum(sent)} of {len(sent)} sent")
     bench.matches("shares")
 
@@ -159,22 +159,22 @@
 def test_an_hour_of_refusals_in_a_row_is_borne() -> None:
     """The lab's baselines found it: past 1,023 in a row the doubled pause was beyond all floats. The input
     failed half-way and the work item was lost; of the list, nobody waited any more before asking again."""
-    bench = Bench("A", kinds=[category(expiry=60.0)], must_ask=True)
-    bench.workers["A"].turned = bench.balancer.refused = 1100
+    bench = Bench("A", kinds=[category(expiry=60.0)], must_subscribe=True)
+    bench.workers["A"].rejections = bench.balancer.refusals = 1100
     bench.take("x")
     bench.pull()
     bench.end("x", 0, Outcome.FULL)
     assert "defer x for 1 s" in str(bench.pull() and bench.lines[-1])
-    bench.workers["A"].doubt, bench.workers["A"].shun_until = 1100, 0.0
-    bench.balancer.doubted(bench.workers["A"])
-    assert bench.workers["A"].shun_until == bench.now + 8.0
-    bench.balancer.asked = True
+    bench.workers["A"].ejections, bench.workers["A"].ejected_until = 1100, 0.0
+    bench.balancer.eject(bench.workers["A"])
+    assert bench.workers["A"].ejected_until == bench.now + 8.0
+    bench.balancer.subscribing = True
     bench.list(ListForm.FAILED)
-    assert bench.balancer.ask_at > bench.now + 1.0
+    assert bench.balancer.subscribe_at > bench.now + 1.0
 
 
 def blind(workers: str = "ABCD", **changes) -> Bench:
-    bench = Bench("", reports=Reports.NONE, report=(), **changes)
+    bench = Bench("", report_source=ReportSource.NONE, load_metrics=(), **changes)
     bench.list(ListForm.FULL, **dict.fromkeys(workers, Phase.READY))
     return bench
 
@@ -187,7 +187,7 @@
         for _ in range(40):
             bench.take("x", work=0.2)
             list(bench.balancer.decisions())
-            if not bench.items["x"].hand_offs:
+            if not bench.items["x"].attempts:
                 deferred += 1
                 bench.now += 0.3
                 bench.balancer.clock(bench.now)
@@ -201,9 +201,10 @@
             bench.balancer.clock(bench.now)
         b = bench.balancer
         bench.lines = [
-            f"notes after {note:g} s: none at once {b.full:.2f}, ahead {b.queue:.1f}, others {b.others:.1f}"
+            f"notes after {note:g} s: none at once {b.queued_share:.2f}, ahead {b.mean_queue:.1f}, "
+            f"others {b.mean_others:.1f}"
         ]
-        b.look(w := next(iter(bench.workers.values())))
+        b.estimate(w := next(iter(bench.workers.values())))
         bench.lines.append(f"a worker is taken to hold {w.busy:.1f}; of 40 deferred {deferred}")
         bench.matches(f"blind_{note:g}")
 
@@ -229,18 +230,20 @@
 def test_a_ticketed_item_looks_at_its_whole_cell() -> None:
     """bxl-channel-sync: of sixteen workers drawn at random one or two were in a pod of four."""
     fleet = [chr(0x100 + i) for i in range(60)]
-    bench = blind(workers="", kinds=[category(Effect.TICKETED, Group.CELL, window=7.0, due=0.1, stretch=1.0)])
+    bench = blind(
+        workers="", kinds=[category(Effect.KEYED, Group.CELL, dedup_window=7.0, due=0.1, due_stretch=1.0)]
+    )
     bench.list(ListForm.FULL, **dict.fromkeys(fleet, Phase.READY))
     for i, w in enumerate(bench.workers.values()):
         w.cell = i // 4
     bench.take("x")
     bench.pull()
-    home = bench.items["x"].hand_offs[0].worker.cell
-    assert {w.cell for w in bench.balancer.bound(bench.items["x"])} == {home}
-    assert len(bench.balancer.bound(bench.items["x"])) == 4
+    home = bench.items["x"].attempts[0].worker.cell
+    assert {w.cell for w in bench.balancer.bound_cell(bench.items["x"])} == {home}
+    assert len(bench.balancer.bound_cell(bench.items["x"])) == 4
     bench.wait(0.15)
-    assert len(bench.items["x"].hand_offs) > 1
-    assert {ho.worker.cell for ho in bench.items["x"].hand_offs} == {home}
+    assert len(bench.items["x"].attempts) > 1
+    assert {ho.worker.cell for ho in bench.items["x"].attempts} == {home}
 
 
 def test_a_worker_that_fails_fast_is_drawn_less_and_a_bad_item_or_hour_shuns_none() -> None:
@@ -251,10 +254,10 @@
     def fail(name: str, among: str) -> None:
         bench.take(name, work=0.05)
         list(bench.balancer.decisions())
-        ho = bench.items[name].hand_offs[-1]
+        ho = bench.items[name].attempts[-1]
         bad = (ho.worker is bench.workers["A"] and "A" in among) or (ho.worker is not a and "B" in among)
         bench.end(name, ho.number, Outcome.ERROR if bad else Outcome.FINISHED)
-        bench.balancer.left(bench.items[name])
+        bench.balancer.close(bench.items[name])
         list(bench.balancer.decisions())
         bench.now += 0.2
         bench.balancer.clock(bench.now)
@@ -266,9 +269,9 @@
         for _ in range(20):
             bench.take("y", work=0.05)
             list(bench.balancer.decisions())
-            ho = bench.items["y"].hand_offs[-1]
+            ho = bench.items["y"].attempts[-1]
             sent[chr(ho.worker.id)] += 1
-            bench.balancer.left(bench.items["y"])
+            bench.balancer.close(bench.items["y"])
             bench.end("y", ho.number, Outcome.CANCELLED)
             list(bench.balancer.decisions())
         bench.lines.append(f"{times} tried, failing {among}; of 20 sent {sent['A']} to A, {sent['B']} to B")
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -112,8 +112,8 @@
     elsewhere(0.2, lambda: worker.sendall(DONE))
     stand_still(1.5)
     assert first(sock) == "HTTP/1.1 200 OK | 7"
-    [w] = served.scheduler.reducer.balancer.listed_all
-    assert (w.doubt, w.limit >= 4.0 * w.slots) == (0, True)
+    [w] = served.scheduler.reducer.balancer.all_workers
+    assert (w.ejections, w.limit >= 4.0 * w.slots) == (0, True)
     worker.close()
     served.stop()
 
@@ -153,9 +153,9 @@
 def test_nothing_is_decided_while_it_takes_in_what_lay_there() -> None:
     desk = Desk()
     desk.take("one")
-    [ho] = desk.reducer.items["one"].hand_offs
+    [ho] = desk.reducer.items["one"].attempts
     desk.now += 4.9  # long past its note, and shortly before its expiry
-    desk.reducer.note(desk.now, "ended", "one", ho.number, Outcome.FINISHED, False, (), "late")
+    desk.reducer.apply(desk.now, "ended", "one", ho.number, Outcome.FINISHED, False, (), "late")
     desk.put("woken")
     assert desk.lines[-1] == " 4.90  woken: finished one late"
 
--- a/tests/test_subjects.py
+++ b/tests/test_subjects.py
@@ -27,7 +27,7 @@
         bench.take("x", subject=subject)
         bench.pull()
         bench.begin("x")
-        found[chr(bench.items["x"].hand_offs[0].worker.id)] += 1
+        found[chr(bench.items["x"].attempts[0].worker.id)] += 1
         bench.end("x")
         bench.pull()
     return found
@@ -62,32 +62,32 @@
     """
     bench = scheduler(0, kinds=[category(), category(credit=8.0)])
     preferred = next(iter(places(bench, 5, 1)))
-    bench.balancer.reported(bench.workers[preferred], (0.0,))
+    bench.balancer.load_reported(bench.workers[preferred], (0.0,))
     w = bench.workers[preferred]
-    w.others, w.others_at, w.seen_at = 14.0, bench.now, -1.0
+    w.others, w.others_at, w.as_of = 14.0, bench.now, -1.0
     bench.take("y", "z", category=1, subject=5)
     bench.take("b", subject=5, work=0.05)
     bench.pull()
     for name in "yz":
-        assert chr(bench.items[name].hand_offs[0].worker.id) != preferred
-        assert bench.items[name].hand_offs[0].away
-    assert all(chr(ho.worker.id) == preferred for ho in bench.items["b"].hand_offs)
+        assert chr(bench.items[name].attempts[0].worker.id) != preferred
+        assert bench.items[name].attempts[0].cache_miss
+    assert all(chr(ho.worker.id) == preferred for ho in bench.items["b"].attempts)
 
 
 def test_items_without_a_subject_go_to_any_worker() -> None:
     bench = scheduler(0)
-    assert len(places(bench, 0, 60)) > 12 and not bench.balancer.ranks
+    assert len(places(bench, 0, 60)) > 12 and not bench.balancer.rankings
 
 
 def test_a_first_try_with_little_time_left_counts_from_now_where_repeats_are_marked() -> None:
     """Counted from a usual first try their due time had passed, so that all of them were given up."""
     for marked in (False, True):
-        bench = Bench("A", marks_repeats=marked)
+        bench = Bench("A", marks_retries=marked)
         bench.take("a")
         bench.pull()
         bench.take("b", expiry=0.5, work=0.1)
         bench.pull()
-        assert bool(bench.items["b"].hand_offs) is marked
+        assert bool(bench.items["b"].attempts) is marked
 
 
 def test_start_delays_are_estimated_per_zone() -> None:
@@ -97,10 +97,10 @@
     for _ in range(40):
         bench.take("x")
         bench.pull()
-        w = bench.items["x"].hand_offs[0].worker
+        w = bench.items["x"].attempts[0].worker
         bench.wait(0.01 if w.zone == 0 else 0.06)
-        bench.begin("x", len(bench.items["x"].hand_offs) - 1)
-        bench.end("x", len(bench.items["x"].hand_offs) - 1)
+        bench.begin("x", len(bench.items["x"].attempts) - 1)
+        bench.end("x", len(bench.items["x"].attempts) - 1)
         bench.pull()
-    near, far = (bench.balancer.zones[i].trip for i in (0, 1))
+    near, far = (bench.balancer.zones[i].start_delay for i in (0, 1))
     assert near < 0.02 < 0.04 < far
