--- a/opalwick/routing/reducer.py
+++ b/opalwick/routing/reducer.py
@@ -99,8 +99,8 @@
 class Reducer:
     """A scheduler without its I/O."""
 
-    def __init__(self, terms: SchedulerConfig, seed: int, now: float) -> None:
-        self.config, self.balancer = terms, Balancer(terms, seed, now)
+    def __init__(self, config: SchedulerConfig, seed: int, now: float) -> None:
+        self.config, self.balancer = config, Balancer(config, seed, now)
         self.items: dict[Hashable, WorkItem] = {}
         self.workers: dict[Hashable, Worker] = {}
         self.names: dict[Worker, Hashable] = {}
@@ -181,7 +181,7 @@
             key, category, customer, taken_at, expiry_at, hint, slots, subject, repeat, permits=permits
         )
         self.balancer.accept(item)
-        self._leave(item)
+        self._expire_before_exit(item)
 
     def asked(self, key: Hashable, permits: int = 1) -> None:
         """The host allows one more attempt for this item now; 0: no more at all."""
@@ -251,11 +251,11 @@
         """Schedulers that are known to be down, where membership is enabled: they aggregate no load."""
         self.balancer.absent = numbers
 
-    def closing(self, leave_at: float) -> None:
+    def closing(self, exit_at: float) -> None:
         """The process will be killed at that time: no item expires later, as it would get no answer."""
-        self.exit_at = leave_at
+        self.exit_at = exit_at
         for item in self.items.values():
-            self._leave(item)
+            self._expire_before_exit(item)
 
     def woken(self) -> None:
         """Only the time has changed."""
@@ -344,7 +344,7 @@
         item = self.items.get(key)
         return item.attempts[number] if item is not None and number < len(item.attempts) else None
 
-    def _leave(self, item: WorkItem) -> None:
+    def _expire_before_exit(self, item: WorkItem) -> None:
         # after the balancer has it: with less time left it would count as a client's retry, and as late
         if self.exit_at < item.expiry_at:
             item.expiry_at = self.exit_at
