--- a/opalwick/routing/reducer.py
+++ b/opalwick/routing/reducer.py
@@ -105,7 +105,7 @@
         self.workers: dict[Hashable, Worker] = {}
         self.names: dict[Worker, Hashable] = {}
         self.places: dict[Worker, Any] = {}
-        self.by_short_id: dict[int, Worker | None] = {}  # by short id; None: two workers share it
+        self.by_short_id: dict[int, Worker | None] = {}  # None: two workers share it
         self.finished: list[Answer] = []
         self.exit_at = math.inf  # by then every item must be answered
 
@@ -168,17 +168,26 @@
         key: Hashable,
         category: Category,
         customer: Customer | None,
-        taken_at: float,
+        accepted_at: float,
         expiry_at: float,
-        hint: float,
+        work_hint: float,
         slots: float,
         subject: int = 0,
-        repeat: bool = False,
+        is_retry: bool = False,
         permits: float = math.inf,
     ) -> None:
         """A new work item. `permits`: attempts that the host allows at once; `asked` allows more."""
         item = self.items[key] = WorkItem(
-            key, category, customer, taken_at, expiry_at, hint, slots, subject, repeat, permits=permits
+            key,
+            category,
+            customer,
+            accepted_at,
+            expiry_at,
+            work_hint,
+            slots,
+            subject,
+            is_retry,
+            permits=permits,
         )
         self.balancer.accept(item)
         self._expire_before_exit(item)
