--- a/opalwick/post/counter/delivery.py
+++ b/opalwick/post/counter/delivery.py
@@ -1,4 +1,4 @@
-"""One delivery: the request as the client sent it, and what the worker's answer proves."""
+"""One delivery: sends the request as the client sent it, and derives the outcome from the worker's response."""
 
 from __future__ import annotations
 
@@ -18,44 +18,48 @@
 from opalwick.transport.limits import Limits
 from opalwick.transport.pool import Pool
 
-MOST = 1 << 20  # octets of an answer's body, which nobody reads
-LATE = 0.05  # s that the answer to what ran to the very end of its time is on its way
-_KEEP = re.compile(rb"timeout=([0-9]{1,6})")
-_OF = {
+MOST = 1 << 20  # limit in bytes of a response body, whose content is not used
+LATE = 0.05  # s that a response may take to arrive after a run that used its whole time limit
+_KEEP_ALIVE_TIMEOUT = re.compile(rb"timeout=([0-9]{1,6})")
+_BY_OUTCOME = {
     verdict.outcome: verdict
     for verdict in (Verdict.NOT_SENT, Verdict.ABSENT, Verdict.SILENT, Verdict.BROKEN, Verdict.CANCELLED)
 }
 End = tuple[Verdict, str, Load | None]
 
 
-def request(letter: Letter, within: float, worker: str) -> bytes:
-    """`within`: seconds that the worker has. `worker`: the one that is meant, if any is."""
-    lines = [letter.method + b" " + letter.target + b" HTTP/1.1", b"Host: " + letter.host]
-    lines += [field.name + b": " + field.value for field in letter.fields]
+def request(message: Letter, within: float, worker: str) -> bytes:
+    """Serializes the HTTP request. `within`: the worker's time limit in seconds. `worker`: id of the intended
+    worker, empty for any.
+    """
+    lines = [message.method + b" " + message.target + b" HTTP/1.1", b"Host: " + message.host]
+    lines += [field.name + b": " + field.value for field in message.fields]
     lines += [
-        b"X-Request-Id: " + letter.rid.encode("latin-1"),
+        b"X-Request-Id: " + message.rid.encode("latin-1"),
         b"X-Deadline-Ms: %d" % max(1, int(within * 1000)),
-        b"Content-Length: %d" % len(letter.body),
+        b"Content-Length: %d" % len(message.body),
     ]
     if worker:
         lines.append(b"X-Want-Worker: " + worker.encode("latin-1"))
-    return b"\r\n".join(lines) + b"\r\n\r\n" + letter.body
+    return b"\r\n".join(lines) + b"\r\n\r\n" + message.body
 
 
 class Meeting(NamedTuple):
-    """Who is to answer on a connection before a message goes out on it."""
+    """How the worker on a connection is identified before a message is sent on it."""
 
-    probe: str  # the path that its service is asked on
-    met: Callable[[str], bool]  # whether it is who is meant, by the name that it says
+    probe: str  # path of the service's identification request
+    met: Callable[[str], bool]  # whether the worker with this name is the intended one
 
 
 class Delivery(Errand):
+    """Sends one message to one worker and reports the outcome once."""
+
     __slots__ = ("alone", "letter", "meeting", "rid", "tell", "whole", "worker")
 
     def __init__(
         self,
         place: tuple[str, int, str],
-        letter: Letter,
+        message: Letter,
         within: float,
         wanted: Callable[[], bool],
         pool: Pool,
@@ -63,30 +67,34 @@
         tell: Callable[[End, bool], None],
         meeting: Meeting | None = None,
     ) -> None:
-        """`meeting`: of a message with a home."""
-        self.worker, self.meeting, self.letter = place[2], meeting, letter if meeting is not None else None
+        """`tell`: receives the outcome, and whether a reused connection broke without a response. `meeting`:
+        set for a message subject to data residency.
+        """
+        self.worker, self.meeting, self.letter = place[2], meeting, message if meeting is not None else None
         host, port, worker = place
         super().__init__(
             (host, port),
-            request(letter, within, worker),
+            request(message, within, worker),
             time.monotonic() + within + LATE,
             wanted,
             pool,
             limits,
             Answer(limits, MOST),
         )
-        self.rid, self.tell = letter.rid.encode("latin-1"), tell
-        self.whole = True  # its last byte was written
-        self.alone = False  # nothing else was ever asked on the connection
+        self.rid, self.tell = message.rid.encode("latin-1"), tell
+        self.whole = True  # the last byte of the request was written
+        self.alone = False  # it is the only request that was ever sent on the connection
 
     def greet(self, connection: Connection) -> None:
-        """An address may be another's by now, and the octets must not go there to find out."""
+        """Identifies the worker where that is required: the address may meanwhile belong to another one, which
+        must not receive the message. Raises OSError if the message must not be sent.
+        """
         self.alone = connection.used == 1 and self.meeting is None
         if self.alone and connection.readable():
-            raise ConnectionAbortedError  # who speaks before being asked is no worker
+            raise ConnectionAbortedError  # a worker sends nothing before it has received a request
         if self.meeting is None or connection.known == self.worker.encode("latin-1"):
             return
-        # the question waits for a slot as the message would: it may have half of the time
+        # the identification request waits for a slot as the message would, so it may use half of the time
         until = time.monotonic() + 0.5 * (self.until - time.monotonic())
         connection.write(
             b"GET %s HTTP/1.1\r\nHost: %s\r\n\r\n" % (self.meeting.probe.encode(), self.address[0].encode()),
@@ -110,7 +118,9 @@
         self.data = request(self.letter, self.until - LATE - time.monotonic(), self.worker)
 
     def write(self, connection: Connection) -> None:
-        """Of a long request the last byte goes out only if no answer has come: without it nothing runs."""
+        """Withholds the last byte of a long request if a response has arrived early: without that byte the
+        worker doesn't run the request.
+        """
         if len(self.data) <= EARLY:
             super().write(connection)
             return
@@ -123,7 +133,7 @@
     def listen(self, connection: Connection) -> End:
         end = self.answered(connection)
         if not self.whole:
-            connection.close()  # the other side waits for the rest, or takes it for a request
+            connection.close()  # the worker waits for the rest, and would read the next request as that
             if end[0].ran is not False:
                 return self.bare(Outcome.NOT_SENT)
         return end
@@ -141,26 +151,26 @@
         except (OSError, Malformed) as problem:
             return self.bare(self.failed(connection, problem))
 
-    def heard(self, connection: Connection, last: Message) -> End:
-        fields = last.headers
-        found = verdict(last, self.rid, self.alone, self.whole)
-        if not belongs(last, self.rid, self.alone):
-            connection.close()  # of another request, come late
-            return found, "", None
-        if (kept := _KEEP.search(fields.get(b"keep-alive", b""))) is not None:
-            # a request must not cross the other side's close
-            self.pool.rests(self.address, max(0.1, 0.7 * float(kept[1]) - 0.1))
-        seal = fields.get(b"x-seal", b"").decode("latin-1")
-        if found is Verdict.ABSENT:
+    def heard(self, connection: Connection, response: Message) -> End:
+        fields = response.headers
+        outcome = verdict(response, self.rid, self.alone, self.whole)
+        if not belongs(response, self.rid, self.alone):
+            connection.close()  # a late response to another request
+            return outcome, "", None
+        if (idle := _KEEP_ALIVE_TIMEOUT.search(fields.get(b"keep-alive", b""))) is not None:
+            # a request must not be sent while the worker closes the idle connection
+            self.pool.rests(self.address, max(0.1, 0.7 * float(idle[1]) - 0.1))
+        token = fields.get(b"x-seal", b"").decode("latin-1")
+        if outcome is Verdict.ABSENT:
             connection.close()
-        return found, seal, load(fields.get(b"x-load", b""))
+        return outcome, token, load(fields.get(b"x-load", b""))
 
     def bare(self, outcome: Outcome) -> End:
-        return _OF[outcome], "", None
+        return _BY_OUTCOME[outcome], "", None
 
     def broke(self, end: End) -> bool:
         return end[0] is Verdict.BROKEN
 
     def told(self, end: Any, kept: bool) -> None:
         self.tell(end, kept)
-        del self.tell  # which knows this one
+        del self.tell  # breaks the reference cycle
--- a/opalwick/post/counter/item.py
+++ b/opalwick/post/counter/item.py
@@ -1,4 +1,4 @@
-"""A message that a counter delivers, and the orders to start or stop a delivery of it."""
+"""A message that a gateway delivers, and the commands to start or stop a delivery of it."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Item:
-    """A message that this counter delivers. Times are its own clock's."""
+    """A message that this gateway delivers. Times are in seconds of the gateway's own clock."""
 
     __slots__ = (
         "aim_at",
@@ -39,50 +39,56 @@
         "use_by",
     )
 
-    def __init__(self, letter: Letter, touched: tuple[str, ...], now: float) -> None:
-        self.letter, self.mid, self.touched = letter, letter.mid, touched
-        self.due, self.until = now + letter.due, now + letter.until
-        self.aim_at = self.due  # when it was due first
-        self.fails, self.lost, self.claim = letter.fails, letter.lost, letter.claim
+    def __init__(self, message: Letter, replicas: tuple[str, ...], now: float) -> None:
+        """`replicas`: stores that hold a replica of the message."""
+        self.letter, self.mid, self.touched = message, message.mid, replicas
+        self.due, self.until = now + message.due, now + message.until
+        self.aim_at = self.due  # when it was first due
+        # `lost` counts deliveries with an unknown outcome
+        self.fails, self.lost, self.claim = message.fails, message.lost, message.claim
         self.attempt, self.turned = 0, 0
-        self.out: dict[int, float] = {}  # deliveries on their way: when each was sent
+        self.out: dict[int, float] = {}  # deliveries in flight: when each was sent
         self.over = self.given_up = self.queued = False
-        self.use_by = math.inf  # when its permit is over, where it needs one
-        self.foreign = False  # another delivers it by now: no further attempt here
-        self.awaited = set[str]()  # depots that keep it and have not agreed that it is delivered here
-        self.since = now  # when it came here
-        self.dated = False  # it has its turn in `due`
+        self.use_by = math.inf  # when its permit expires, where it needs one
+        self.foreign = False  # reassigned to another gateway: no further attempt here
+        self.awaited = set[str]()  # replicas that have not confirmed that this gateway delivers it
+        self.since = now  # when this gateway received it
+        self.dated = False  # it has an entry in the schedule
         self.route: Route | None = None
-        self.svc = ""  # the desk's name
-        self.partner = ""  # whose it is, where it has a home
-        self.sent: dict[int, str] = {}  # deliveries: the country, where it has a home
-        self.ran = ""  # that where its success ran
+        self.svc = ""  # name of its dispatcher
+        self.partner = ""  # its customer, if it is subject to data residency
+        self.sent: dict[int, str] = {}  # country of each delivery, if it is subject to data residency
+        self.ran = ""  # country of the successful delivery
 
 
 class Start(NamedTuple):
+    """Starts a delivery."""
+
     item: Item
     key: Any
     number: int
-    place: Any  # host, port, id
+    place: Any  # host, port, id of the worker
     within: float  # s that the worker has
-    away: bool  # in another zone
+    away: bool  # the worker is in another zone
 
 
 class Stop(NamedTuple):
+    """Cancels a delivery."""
+
     key: Any
     number: int
 
 
 class UntoldEnd(NamedTuple):
-    """An end that is not on the disks of all depots that keep the message."""
+    """A final outcome that some replicas have not yet confirmed to have on disk."""
 
     word: End
-    missing: set[str]  # depots that have not said that they have it
-    since: float  # s, this counter's clock
+    missing: set[str]  # stores that have not confirmed it
+    since: float  # s, this gateway's clock
 
 
 class RememberedEnd(NamedTuple):
-    """How a message has ended, for as long as an assignment of it may still be on its way."""
+    """The final outcome of a message, kept for as long as an assignment of it may still arrive."""
 
-    at: float  # s, this counter's clock: when it was known here
+    at: float  # s, this gateway's clock: when this gateway recorded it
     word: End
--- a/opalwick/post/verdict.py
+++ b/opalwick/post/verdict.py
@@ -1,4 +1,4 @@
-"""What an attempt came to: above all, whether the request may have run."""
+"""Outcomes of a delivery, and whether the request may have run."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 
 
 class Verdict(Enum):
-    """`ran`: True, False, or None where nobody knows."""
+    """Outcome of one delivery. `ran`: whether the request ran; None if that is unknown."""
 
     DONE = ("done", True, Outcome.FINISHED)
     FAILED = ("failed", True, Outcome.ERROR)  # this attempt; a later one may succeed
-    REFUSED = ("refused for good", True, Outcome.ERROR)
-    FULL = ("turned away", False, Outcome.FULL)
-    ABSENT = ("another worker, or none, is there", False, Outcome.NO_CONNECTION)
-    RUNNING = ("its first run is still on", False, Outcome.NOT_SENT)
+    REFUSED = ("permanently rejected", True, Outcome.ERROR)
+    FULL = ("rejected, at capacity", False, Outcome.FULL)
+    ABSENT = ("another worker, or none, at the address", False, Outcome.NO_CONNECTION)
+    RUNNING = ("an earlier delivery is still running", False, Outcome.NOT_SENT)
     NOT_SENT = ("not sent", False, Outcome.NOT_SENT)
-    SILENT = ("no answer in time", None, Outcome.TIMED_OUT)
-    BROKEN = ("the connection broke", None, Outcome.BROKEN)
-    CANCELLED = ("taken back", None, Outcome.CANCELLED)
+    SILENT = ("timed out", None, Outcome.TIMED_OUT)
+    BROKEN = ("connection broken", None, Outcome.BROKEN)
+    CANCELLED = ("cancelled", None, Outcome.CANCELLED)
 
     def __init__(self, text: str, ran: bool | None, outcome: Outcome) -> None:
         self.text, self.ran, self.outcome = text, ran, outcome
 
 
 def of_status(status: int, not_run: bool, sealed: bool) -> Verdict:
-    """Of a worker's whole answer."""
+    """Outcome of a complete response. `not_run`: it has X-Not-Run; `sealed`: it has a completion token."""
     if 200 <= status < 300 and sealed:
         return Verdict.DONE
     if status == 421:
