--- a/opalwick/post/counter/delivery.py
+++ b/opalwick/post/counter/delivery.py
@@ -1,4 +1,4 @@
-"""One delivery: sends the request as the client sent it, and derives the outcome from the worker's response."""
+"""One delivery: sends the request to a worker and derives the outcome from the response."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     verdict.outcome: verdict
     for verdict in (Verdict.NOT_SENT, Verdict.ABSENT, Verdict.SILENT, Verdict.BROKEN, Verdict.CANCELLED)
 }
-End = tuple[Verdict, str, Load | None]
+Result = tuple[Verdict, str, Load | None]  # outcome, completion token, the worker's load
 
 
 def request(message: Letter, within: float, worker: str) -> bytes:
@@ -64,7 +64,7 @@
         wanted: Callable[[], bool],
         pool: Pool,
         limits: Limits,
-        tell: Callable[[End, bool], None],
+        tell: Callable[[Result, bool], None],
         meeting: Meeting | None = None,
     ) -> None:
         """`tell`: receives the outcome, and whether a reused connection broke without a response. `meeting`:
@@ -86,8 +86,8 @@
         self.alone = False  # it is the only request that was ever sent on the connection
 
     def greet(self, connection: Connection) -> None:
-        """Identifies the worker where that is required: the address may meanwhile belong to another one, which
-        must not receive the message. Raises OSError if the message must not be sent.
+        """Identifies the worker where that is required: the address may meanwhile belong to another process,
+        which must not receive the message. Raises OSError if the message must not be sent.
         """
         self.alone = connection.used == 1 and self.meeting is None
         if self.alone and connection.readable():
@@ -130,15 +130,15 @@
         else:
             connection.write(self.data[-TAIL:], self.until - time.monotonic())
 
-    def listen(self, connection: Connection) -> End:
-        end = self.answered(connection)
+    def listen(self, connection: Connection) -> Result:
+        result = self.answered(connection)
         if not self.whole:
             connection.close()  # the worker waits for the rest, and would read the next request as that
-            if end[0].ran is not False:
+            if result[0].ran is not False:
                 return self.bare(Outcome.NOT_SENT)
-        return end
+        return result
 
-    def answered(self, connection: Connection) -> End:
+    def answered(self, connection: Connection) -> Result:
         answer = self.answer
         try:
             while answer.last is None:
@@ -151,7 +151,7 @@
         except (OSError, Malformed) as problem:
             return self.bare(self.failed(connection, problem))
 
-    def heard(self, connection: Connection, response: Message) -> End:
+    def heard(self, connection: Connection, response: Message) -> Result:
         fields = response.headers
         outcome = verdict(response, self.rid, self.alone, self.whole)
         if not belongs(response, self.rid, self.alone):
@@ -165,10 +165,10 @@
             connection.close()
         return outcome, token, load(fields.get(b"x-load", b""))
 
-    def bare(self, outcome: Outcome) -> End:
+    def bare(self, outcome: Outcome) -> Result:
         return _BY_OUTCOME[outcome], "", None
 
-    def broke(self, end: End) -> bool:
+    def broke(self, end: Result) -> bool:
         return end[0] is Verdict.BROKEN
 
     def told(self, end: Any, kept: bool) -> None:
--- a/opalwick/post/counter/rounds.py
+++ b/opalwick/post/counter/rounds.py
@@ -1,7 +1,8 @@
-"""The rounds of a counter: which of its messages is tried when, and what an attempt's end means for it.
+"""Delivery scheduling of a gateway: when each message is attempted, and what follows from each outcome.
 
-No socket and no clock. Inputs leave `sends` (to depots) and `orders` (start or stop a delivery) behind, which
-the agent takes with `effects()`. The worker is picked by the service's desk.
+Pure state machine without sockets or a clock. Inputs add to `outbox` (messages to stores) and `commands`
+(start or stop a delivery), which the caller collects with `effects()`. The service's dispatcher picks the
+worker.
 """
 
 from __future__ import annotations
@@ -26,22 +27,25 @@
 from opalwick.post.wire_pb2 import Conf, End, Letter, Mine, Park, Refuse, Tried, Worker
 from opalwick.routing.reducer import Answer, Close, Final, Send
 
-PARK = 2.0  # s: what is due later waits at its depots, not here
-AGAIN = 0.02  # s until the first further attempt: what fails at once mostly fails for the message's own sake
-LONGEST = 2.0  # s between attempts at most; then doubled no more
-REMEMBER = 30.0  # s that an end is remembered here: an assignment said again is still on its way no longer
+PARK = 2.0  # s: messages due later than this wait at their stores
+# s before the first retry: an attempt that fails at once mostly fails because of the message itself
+AGAIN = 0.02
+LONGEST = 2.0  # s: upper bound of the exponential backoff between attempts
+REMEMBER = 30.0  # s that a final outcome is remembered: a repeated assignment arrives within this time
 
 
 def desk_name(svc: str, home: str) -> str:
-    """No service's name has that letter in it."""
+    """Name of the dispatcher of a service for one country. The separator can't occur in service names."""
     return f"{svc}\x1f{home}" if home else svc
 
 
 class Rounds:
+    """Schedules the deliveries of all messages that this gateway owns. Times are in seconds of its clock."""
+
     def __init__(
         self, node: str, settings: Settings, seed: int, now: float, may_send: Callable[[Item], bool]
     ) -> None:
-        """`may_send`: whether the depots that keep a message have heard this counter of late."""
+        """`may_send`: whether the replicas of a message have recently received messages from this gateway."""
         self.node, self.settings, self.now, self.seed = node, settings, now, seed
         self.chance = Chance(seed)
         self.may_send = may_send
@@ -51,23 +55,23 @@
         self.serial = 0
         self.routes: Routes | None = None
         self.desks: dict[str, Desk] = {}
-        self.wake_at = math.inf  # when the first of them wants to be woken
-        self.thirsty: dict[str, None] = {}  # services for whose permits something waits, or did
+        self.wake_at = math.inf  # earliest timer of a dispatcher
+        self.thirsty: dict[str, None] = {}  # services whose messages wait, or have waited, for permits
         self.zones: dict[str, int] = {}
         self.workers: dict[str, Worker] = {}
-        self.resting = Resting()  # whose rack is drained or away
-        self.schedulers = 1
-        self.each: dict[tuple[str, int], int] = {}  # connections to an address at most
-        self.near = 1  # counters in this one's country
-        self.named: dict[str, list[str]] = {}  # by service: desks of homes
+        self.resting = Resting()  # workers whose rack is drained or unavailable
+        self.schedulers = 1  # gateways that share the workers
+        self.each: dict[tuple[str, int], int] = {}  # limit of connections by address
+        self.near = 1  # gateways in this gateway's country
+        self.named: dict[str, list[str]] = {}  # by service: names of its data residency dispatchers
         self.ending: dict[str, UntoldEnd] = {}  # by message
         self.ended: dict[str, RememberedEnd] = {}  # by message
-        self.numbers: dict[str, int] = {}  # of what each depot was told to be delivered here, as a whole
-        self.by_service: dict[str, int] = {}  # ends told, since the start
+        self.numbers: dict[str, int] = {}  # by store: number of the last full list of deliveries sent to it
+        self.by_service: dict[str, int] = {}  # final outcomes sent since the start
         self.leaving = False
-        self.policy: Policy | None = None  # where messages with a home may run
-        self.here = ""  # the country that this counter is in
-        self.shelves: dict[str, Shelf] = {}  # by desk: those that wait for a worker at home
+        self.policy: Policy | None = None  # where messages subject to data residency may run
+        self.here = ""  # country of this gateway
+        self.shelves: dict[str, Shelf] = {}  # by dispatcher: messages waiting for a worker in their country
         self.sends: list[tuple[str, str, Any]] = []
         self.orders: list[Start | Stop] = []
         counted = ("delivered", "failed", "dead", "unknown", "parked", "turned_away")
@@ -77,30 +81,35 @@
         self.now = now
 
     def effects(self) -> tuple[list[tuple[str, str, Any]], list[Start | Stop]]:
+        """Returns the messages to stores and the commands since the last call, and clears both."""
         found = self.sends, self.orders
         self.sends, self.orders = [], []
         return found
 
     def held(self) -> int:
+        """Number of messages that this gateway owns."""
         return len(self.items)
 
-    # ---- what is known
+    # ---- configuration, workers and gateways
 
     def configured(self, conf: Conf) -> None:
+        """Applies a configuration."""
         self.routes = Routes(conf)
         services = {service.name: service for service in conf.services}
-        for name, desk in list(self.desks.items()):
-            known, new = desk.service, services.get(desk.service.name)
+        for name, dispatcher in list(self.desks.items()):
+            known, new = dispatcher.service, services.get(dispatcher.service.name)
             if new is None or (known.rate, known.dedup, known.static) != (new.rate, new.dedup, new.static):
-                del self.desks[name]  # its deliveries end as they may; what it had not sent begins anew
-                desk.queue.clear()
+                del self.desks[
+                    name
+                ]  # deliveries in flight go on; messages that were not sent are rescheduled
+                dispatcher.queue.clear()
                 self.shelves.pop(name, None)
                 for item in list(self.items.values()):
                     if item.svc == name and not item.out:
                         item.queued = False
                         self.at(self.now, item)
             else:
-                desk.service = new
+                dispatcher.service = new
                 if known.max_conns != new.max_conns:
                     self.relist(new.name)
         for name, service in services.items():
@@ -113,7 +122,7 @@
         self.reroute()
 
     def reroute(self) -> None:
-        """What waits where its route does not lead any more goes to the service that has it now."""
+        """Reschedules waiting messages whose route now leads to another service, or is gone."""
 
         def moved(item: Item) -> bool:
             return (
@@ -122,104 +131,106 @@
                 or (desk_name(item.route.svc, item.letter.home) != item.svc)
             )
 
-        waiting = [item for desk in self.desks.values() for item in desk.queue.sift(moved)]
-        waiting += [item for shelf in self.shelves.values() for item in shelf.sift(moved)]
+        waiting = [item for dispatcher in self.desks.values() for item in dispatcher.queue.sift(moved)]
+        waiting += [item for queue in self.shelves.values() for item in queue.sift(moved)]
         for item in waiting:
             item.queued = False
             self.at(self.now, item)
 
     def listed(self, workers: dict[str, Worker], changed: Iterable[str]) -> None:
-        """All workers, and the services whose list has changed."""
+        """`workers`: all workers. `changed`: services whose list of workers has changed."""
         self.workers = workers
         for svc in changed:
             self.relist(svc)
 
     def desks_of(self, svc: str) -> list[Desk]:
-        """A service's own, and one more for each home that messages of it have."""
+        """The service's own dispatcher, and one for each country to which messages of it are restricted."""
         names = (svc, *self.named.get(svc, ()))
-        return [desk for name in names if (desk := self.desks.get(name)) is not None]
+        return [dispatcher for name in names if (dispatcher := self.desks.get(name)) is not None]
 
     def relist(self, svc: str) -> None:
-        desks = self.desks_of(svc)
-        for desk in desks:
-            for place in desk.used:
+        """Recomputes which workers the service's dispatchers use, and by how many connections."""
+        dispatchers = self.desks_of(svc)
+        for dispatcher in dispatchers:
+            for place in dispatcher.used:
                 self.each.pop(place, None)
-        for desk in desks:
-            self.list_at(desk)
+        for dispatcher in dispatchers:
+            self.list_at(dispatcher)
 
-    def list_at(self, desk: Desk) -> None:
-        most = desk.service.max_conns
-        if desk.service.static:
-            host, _, port = desk.service.static.rpartition(":")
+    def list_at(self, dispatcher: Desk) -> None:
+        most = dispatcher.service.max_conns
+        if dispatcher.service.static:
+            host, _, port = dispatcher.service.static.rpartition(":")
             self.each[host, int(port)] = budget(most, 1, self.schedulers)[1]
             return
         there = [
             row
-            for row in rows(self.workers, desk.service.name, self.resting)
-            if not desk.home or self.at_home(desk, row)
+            for row in rows(self.workers, dispatcher.service.name, self.resting)
+            if not dispatcher.home or self.at_home(dispatcher, row)
         ]
-        # a worker at home has other callers' messages too: its connections are shared among all counters
+        # a worker also runs messages without data residency: all gateways share its connections
         count, each = budget(most, sum(not row.draining for row in there), self.schedulers)
         mine = chosen(there, self.node, self.settings.zone, count)
-        desk.used = {(row.host, row.port) for row in mine}
-        self.each.update(dict.fromkeys(desk.used, each))
-        self.carry_out(desk, desk.listed(self.now, mine))
+        dispatcher.used = {(row.host, row.port) for row in mine}
+        self.each.update(dict.fromkeys(dispatcher.used, each))
+        self.carry_out(dispatcher, dispatcher.listed(self.now, mine))
 
     def rest(self, rules: list[str]) -> None:
-        """Workers whose rack is drained or away get nothing, as if they drained themselves."""
+        """Workers whose rack is drained or unavailable get no deliveries, as if they were draining."""
         if list(self.resting.rules) != rules:
             self.resting = Resting(rules)
-            for svc in dict.fromkeys(desk.service.name for desk in self.desks.values()):
+            for svc in dict.fromkeys(dispatcher.service.name for dispatcher in self.desks.values()):
                 self.relist(svc)
 
     def out_at_rest(self) -> int:
-        """Deliveries that are out at workers that rest."""
+        """Deliveries in flight at resting workers."""
         if not self.resting:
             return 0
-        return sum(desk.held_by(self.resting, self.workers) for desk in self.desks.values())
+        return sum(dispatcher.held_by(self.resting, self.workers) for dispatcher in self.desks.values())
 
     def due_now(self) -> dict[str, int]:
-        """Messages that are due and have not ended, by service."""
+        """Number of messages that are due and have no final outcome, by service."""
         found: dict[str, int] = {}
         for item in self.items.values():
             if item.route is not None and not item.over and item.aim_at <= self.now:
                 found[item.route.svc] = found.get(item.route.svc, 0) + 1
         return found
 
-    def at_home(self, desk: Desk, row: Row) -> bool:
+    def at_home(self, dispatcher: Desk, row: Row) -> bool:
+        """Whether the worker is in the dispatcher's country."""
         return (
             self.policy is not None
             and not self.workers[row.id].disputed
-            and self.policy.country(row.zone) == desk.home
+            and self.policy.country(row.zone) == dispatcher.home
         )
 
     def governed(self, policy: Policy | None, here: str) -> None:
-        """Another policy, or another country that this counter is in: who is at home may have changed.
-        Messages keep the home that they have; those that are not at home here go back.
+        """Applies a data residency policy and this gateway's country: the workers in each country may have
+        changed. Messages keep their country; those of other countries return to their stores.
         """
         self.policy, self.here = policy, here
-        for name, desk in list(self.desks.items()):
-            if desk.home and desk.service.static:
-                del self.desks[name]  # whether its endpoint is at home is asked anew
+        for name, dispatcher in list(self.desks.items()):
+            if dispatcher.home and dispatcher.service.static:
+                del self.desks[name]  # made again, with a new check of the endpoint's country
                 for item in list(self.items.values()):
                     if item.svc == name and not item.out:
                         item.queued = False
                         self.at(self.now, item)
                 self.shelves.pop(name, None)
-            elif desk.home:
-                self.relist(desk.service.name)
+            elif dispatcher.home:
+                self.relist(dispatcher.service.name)
         self.give_back(lambda item: item.letter.home not in ("", here))
 
     def desk_of(self, item: Item) -> Desk | None:
-        """Its service's, with those workers that it may run at."""
+        """The dispatcher of its service that has the workers at which it may run; None if there is none."""
         assert item.route is not None
         svc, home = item.route.svc, item.letter.home
-        desk = self.desks.get(name := desk_name(svc, home))
+        dispatcher = self.desks.get(name := desk_name(svc, home))
         base = self.desks.get(svc)
-        if desk is None and home and base is not None:
+        if dispatcher is None and home and base is not None:
             static, policy = base.service.static, self.policy
             near = not static or (policy is not None and policy.endpoints.get(static) == home)
-            desk = self.desks[name] = Desk(
+            dispatcher = self.desks[name] = Desk(
                 base.service,
                 self.settings,
                 self.zones,
@@ -229,65 +240,68 @@
                 home,
                 near,
             )
-            self.wake_at = min(self.wake_at, desk.wake_at)
+            self.wake_at = min(self.wake_at, dispatcher.wake_at)
             if name not in (names := self.named.setdefault(svc, [])):
                 names.append(name)
             self.relist(svc)
-        return desk
+        return dispatcher
 
     def counters(self, count: int, near: int = 0) -> None:
-        """`near`: of them those in this one's country, which share its workers where a message has a home."""
+        """Number of gateways. `near`: those in this gateway's country, which share the workers there for
+        messages with data residency.
+        """
         if (count, max(1, near)) == (self.schedulers, self.near):
             return
         self.schedulers, self.near = max(1, count), max(1, near)
-        for desk in list(self.desks.values()):
-            desk.terms.schedulers = self.near if desk.home else self.schedulers
-            if not desk.home:
-                self.relist(desk.service.name)
+        for dispatcher in list(self.desks.values()):
+            dispatcher.terms.schedulers = self.near if dispatcher.home else self.schedulers
+            if not dispatcher.home:
+                self.relist(dispatcher.service.name)
 
     # ---- messages in
 
-    def accepted(self, letter: Letter, touched: tuple[str, ...]) -> None:
-        """It is kept, and this counter's from the start, unless another has ended it by now."""
-        if letter.mid not in self.ended:
-            self.take(Item(letter, touched, self.now))
+    def accepted(self, message: Letter, replicas: tuple[str, ...]) -> None:
+        """The message is stored, and owned by this gateway unless a final outcome was reported meanwhile."""
+        if message.mid not in self.ended:
+            self.take(Item(message, replicas, self.now))
 
-    def assigned(self, node: str, letter: Letter) -> None:
-        """A depot has it delivered here."""
-        mid = letter.mid
-        holders = dict.fromkeys((node, *letter.holders))
-        others = set(holders) - {node}
+    def assigned(self, node: str, message: Letter) -> None:
+        """A store assigned the message to this gateway."""
+        mid = message.mid
+        replicas = dict.fromkeys((node, *message.holders))
+        others = set(replicas) - {node}
         if (known := self.items.get(mid)) is not None:
-            known.claim = max(known.claim, letter.claim)
-            # who keeps it may have changed; its end is for all that ever did
-            known.touched = tuple(dict.fromkeys((*known.touched, *holders)))
-            if known.foreign:  # it comes back while a delivery of it is on its way
+            known.claim = max(known.claim, message.claim)
+            # the replicas may have changed; the final outcome goes to all stores that ever had one
+            known.touched = tuple(dict.fromkeys((*known.touched, *replicas)))
+            if known.foreign:  # assigned again while a delivery of it is in flight
                 known.foreign = False
                 self.agreement.await_from(known, others, self.now)
-        elif (found := self.ended.get(mid)) is not None:
-            self.send(node, "end", found.word)  # which that depot has missed
+        elif (remembered := self.ended.get(mid)) is not None:
+            self.send(node, "end", remembered.word)  # that store has missed the final outcome
             return
         elif self.leaving or self.routes is None:
-            self.send(node, "refuse", Refuse(mid=mid, claim=letter.claim))
+            self.send(node, "refuse", Refuse(mid=mid, claim=message.claim))
             return
         else:
-            known = Item(letter, tuple(holders), self.now)
+            known = Item(message, tuple(replicas), self.now)
             self.agreement.await_from(known, others, self.now)
             self.take(known)
-        self.agreement.tell(known, letter.claim, holders)
+        self.agreement.tell(known, message.claim, replicas)
 
     def take(self, item: Item) -> None:
         self.items[item.mid] = item
         self.at(item.due, item)
 
-    def send(self, node: str, kind: str, word: Any) -> None:
-        self.sends.append((node, kind, word))
+    def send(self, node: str, kind: str, content: Any) -> None:
+        self.sends.append((node, kind, content))
 
     def take_turn(self, item: Item) -> None:
-        """It is tried at the next tick."""
+        """Schedules it for the next tick."""
         self.at(self.now, item)
 
     def at(self, when: float, item: Item) -> None:
+        """Schedules it, unless it is scheduled already or no longer handled here."""
         if item.foreign:
             self.drop(item)
             return
@@ -300,6 +314,7 @@
     # ---- time
 
     def next_at(self) -> float:
+        """When `tick` must be called next."""
         return min(self.wake_at, self.due[0][0] if self.due else math.inf)
 
     def tick(self) -> None:
@@ -314,38 +329,38 @@
         self.serve()
         if self.wake_at <= self.now:
             self.wake_at = math.inf
-            for desk in list(self.desks.values()):
-                if desk.wake_at <= self.now:
-                    self.carry_out(desk, desk.put(self.now, "woken"))
-                self.wake_at = min(self.wake_at, desk.wake_at)
+            for dispatcher in list(self.desks.values()):
+                if dispatcher.wake_at <= self.now:
+                    self.carry_out(dispatcher, dispatcher.put(self.now, "woken"))
+                self.wake_at = min(self.wake_at, dispatcher.wake_at)
 
     def forget(self) -> None:
-        """Now and then: what need not be remembered any more."""
+        """Discards expired state; called periodically."""
         for mid, ended in list(self.ended.items()):
             if self.now - ended.at > REMEMBER and mid not in self.ending:
                 del self.ended[mid]
-        for mid, untold in list(self.ending.items()):
-            if self.now - untold.since > 4.0 * REMEMBER:  # its other holders have it, and tell
+        for mid, unconfirmed in list(self.ending.items()):
+            if self.now - unconfirmed.since > 4.0 * REMEMBER:  # the other replicas have it, and propagate it
                 del self.ending[mid]
-        for shelf in self.shelves.values():  # those that may wait no longer
-            for item in shelf.sift(lambda item: item.over or item.foreign or item.until <= self.now):
+        for queue in self.shelves.values():
+            for item in queue.sift(lambda item: item.over or item.foreign or item.until <= self.now):
                 item.queued = False
                 self.at(self.now, item)
 
     def serve(self) -> None:
-        """Those that wait for a worker at home, as far as there is room by now."""
-        for name, shelf in self.shelves.items():
-            desk = self.desks.get(name)
-            room = desk.bears(self.now) if desk is not None and len(shelf) else 0
-            while room > 0 and len(shelf):
-                item = shelf.take(self.now)
+        """Dispatches messages that wait for a worker in their country, as far as workers have free slots."""
+        for name, queue in self.shelves.items():
+            dispatcher = self.desks.get(name)
+            room = dispatcher.bears(self.now) if dispatcher is not None and len(queue) else 0
+            while room > 0 and len(queue):
+                item = queue.take(self.now)
                 item.queued = False
                 if (
                     item.over
                     or item.foreign
                     or item.until <= self.now
                     or not self.routed(item)
-                    or (self.desk_of(item) is not desk)
+                    or (self.desk_of(item) is not dispatcher)
                     or not self.may_send(item)
                 ):
                     self.at(self.now + 0.1, item)
@@ -354,65 +369,67 @@
                 self.offer(self.desks[name], item)
 
     def begin(self, item: Item) -> None:
-        """An attempt, or its turn for one."""
-        letter = item.letter
+        """Starts an attempt, or puts the message in the queue for one."""
+        message = item.letter
         if item.until <= self.now:
             self.end(item, False, "")
             return
-        if letter.home not in ("", self.here):
+        if message.home not in ("", self.here):
             self.park(item)
             return
         if self.agreement.holds_back(item):
             return
-        if self.routes is None or self.routes.gen < letter.gen or not self.may_send(item):
+        if self.routes is None or self.routes.gen < message.gen or not self.may_send(item):
             self.at(self.now + 0.1, item)
             return
-        if not self.routed(item):  # a configuration dropped its route
+        if not self.routed(item):  # the configuration has no route for it any more
             self.end(item, False, "")
             return
         assert item.route is not None
-        desk = self.desk_of(item)
-        if desk is None:
+        dispatcher = self.desk_of(item)
+        if dispatcher is None:
             self.at(self.now + 0.2, item)
             return
-        item.svc = desk_name(item.route.svc, letter.home)
-        if desk.service.rate > 0:
+        item.svc = desk_name(item.route.svc, message.home)
+        if dispatcher.service.rate > 0:
             item.queued = True
-            desk.queue.put(item.aim_at + item.route.start, item)
-            self.thirsty[desk.service.name] = None
-        elif letter.home and (len(self.shelves.get(item.svc, ())) or desk.bears(self.now) <= 0):
+            dispatcher.queue.put(item.aim_at + item.route.start, item)
+            self.thirsty[dispatcher.service.name] = None
+        elif message.home and (len(self.shelves.get(item.svc, ())) or dispatcher.bears(self.now) <= 0):
             item.queued = True
-            shelf = self.shelves.setdefault(item.svc, Shelf())
-            shelf.put(item.route.prio, self.whose(item), item.aim_at + item.route.start, item)
+            queue = self.shelves.setdefault(item.svc, Shelf())
+            queue.put(item.route.prio, self.whose(item), item.aim_at + item.route.start, item)
         else:
-            self.offer(desk, item)
+            self.offer(dispatcher, item)
 
     def whose(self, item: Item) -> str:
-        """Its partner, as the policy in force when it came here has it."""
+        """Its customer according to the policy in force when this was first determined; empty without data
+        residency.
+        """
         if not item.partner and item.letter.home:
             partner = self.policy.partner(item.letter) if self.policy is not None else None
             item.partner = named(partner) if partner is not None else item.letter.home
         return item.partner
 
     def routed(self, item: Item) -> bool:
-        """Its route as it is now."""
-        letter = item.letter
+        """Updates its route to the configuration in force. Returns whether there is one."""
+        message = item.letter
         if self.routes is not None:
-            item.route = self.routes.find(letter.host.decode("latin-1"), letter.target.decode("latin-1"))
+            item.route = self.routes.find(message.host.decode("latin-1"), message.target.decode("latin-1"))
         return item.route is not None
 
     def permitted(self, svc: str, count: int) -> None:
-        """So many may go to a service with a ceiling, now."""
+        """`count` messages may be sent now to a service with a rate limit."""
         while count > 0:
-            # one desk a service, and one more for each home: the longest queue first
-            desk = max(
-                (desk for desk in self.desks_of(svc) if desk.queue),
-                key=lambda desk: len(desk.queue),
+            # of the service's dispatchers the one with the longest queue first
+            dispatcher = max(
+                (dispatcher for dispatcher in self.desks_of(svc) if dispatcher.queue),
+                key=lambda dispatcher: len(dispatcher.queue),
                 default=None,
             )
-            if desk is None:
+            if dispatcher is None:
                 break
-            item = desk.queue.take(self.now)
+            item = dispatcher.queue.take(self.now)
             item.queued = False
             if item.over or item.foreign:
                 continue
@@ -424,27 +441,37 @@
                 continue
             count -= 1
             item.use_by = self.now + USE
-            self.offer(desk, item)
+            self.offer(dispatcher, item)
 
-    def offer(self, desk: Desk, item: Item) -> None:
+    def offer(self, dispatcher: Desk, item: Item) -> None:
         assert item.route is not None
+        """Hands the message to the dispatcher for an attempt."""
         item.attempt += 1
         item.given_up = False
-        if desk.service.rate <= 0.0:  # a permit that it had elsewhere binds no more
+        if dispatcher.service.rate <= 0.0:  # the expiry of a permit for an earlier service doesn't apply
             item.use_by = math.inf
         key = item.mid, item.attempt
         self.carry_out(
-            desk,
-            desk.put(
-                self.now, "taken", key, desk.category(item.route), None, self.now, self.now + SPAN, 0.0, 1.0
+            dispatcher,
+            dispatcher.put(
+                self.now,
+                "taken",
+                key,
+                dispatcher.category(item.route),
+                None,
+                self.now,
+                self.now + SPAN,
+                0.0,
+                1.0,
             ),
         )
 
-    # ---- what the desk decides
+    # ---- decisions of the dispatcher
 
-    def carry_out(self, desk: Desk, decided: Iterable[Any], judged: Any = None) -> None:
-        """`judged`: the key whose delivery's end is being looked at: what follows for it is decided there.
-        Others may be given up by the same end, as of a worker that is gone; for them it is decided here.
+    def carry_out(self, dispatcher: Desk, decided: Iterable[Any], judged: Any = None) -> None:
+        """Applies the dispatcher's decisions. `judged`: key of the attempt whose delivery outcome is being
+        processed: the caller schedules its retry. The same outcome, as that of the last worker, may give up
+        other attempts; their retries are scheduled here.
         """
         for effect in decided:
             match effect:
@@ -452,16 +479,17 @@
                     item = self.items.get(key[0])
                     if item is None or item.attempt != key[1] or item.route is None or item.foreign:
                         self.carry_out(
-                            desk, desk.put(self.now, "ended", key, number, Verdict.NOT_SENT.outcome)
+                            dispatcher,
+                            dispatcher.put(self.now, "ended", key, number, Verdict.NOT_SENT.outcome),
                         )
                         continue
                     item.out[number] = self.now
-                    away = desk.away(worker)
+                    away = dispatcher.away(worker)
                     self.orders.append(Start(item, key, number, place, item.route.limit, away))
                 case Close(key, number):
-                    if desk.service.dedup:  # no other may be cut off: it may have run
+                    if dispatcher.service.dedup:  # without deduplication a cancelled delivery may have run
                         self.orders.append(Stop(key, number))
-                        desk.cancels += 1
+                        dispatcher.cancels += 1
                 case Answer(key, final):
                     item = self.items.get(key[0])
                     if final is not Final.FINISHED and item is not None and item.attempt == key[1]:
@@ -469,37 +497,54 @@
                         if not item.out and key != judged:
                             self.turned_away(item)
                 case _:
-                    pass  # it neither watches nor tells
-        self.wake_at = min(self.wake_at, desk.wake_at)
+                    pass  # workers are neither probed nor notified
+        self.wake_at = min(self.wake_at, dispatcher.wake_at)
 
     def turned_away(self, item: Item) -> None:
-        """The attempt came to nothing: a further one later."""
+        """No worker ran the attempt: schedules a further one with backoff."""
         item.turned += 1
-        if (desk := self.desks.get(item.svc)) is not None:
-            desk.doubt()
+        if (dispatcher := self.desks.get(item.svc)) is not None:
+            dispatcher.doubt()
         self.figures["turned_away"] += 1
         pause = min(AGAIN * 2.0 ** min(item.turned - 1, 10), LONGEST) * (0.5 + self.chance.draw())
         self.at(self.now + pause, item)
 
     def result(
-        self, item: Item, key: Any, number: int, verdict: Verdict, seal: str, load: Load | None, kept: bool
+        self,
+        item: Item,
+        key: Any,
+        number: int,
+        outcome: Verdict,
+        token: str,
+        load: Load | None,
+        stale_connection: bool,
     ) -> None:
-        """How a delivery ended."""
+        """Processes the outcome of a delivery. `token`: the completion token. `stale_connection`: a reused
+        connection broke without a response.
+        """
         item.out.pop(number, None)
-        desk = self.desks.get(item.svc)
+        dispatcher = self.desks.get(item.svc)
         if not item.over:
-            self.judge(item, verdict, seal)
-        elif verdict is Verdict.DONE and self.succeeded_before(item.mid, seal):
+            self.judge(item, outcome, token)
+        elif outcome is Verdict.DONE and self.succeeded_before(item.mid, token):
             self.figures["second_successes"] += 1
-        if desk is not None and key in desk.reducer.items:
-            # while its first run is on, none of the others would take it: it is not offered to each in turn
-            answered = verdict is not Verdict.DONE and (
-                item.over or (verdict is Verdict.RUNNING and not item.out)
+        if dispatcher is not None and key in dispatcher.reducer.items:
+            # while an earlier delivery of it runs, every worker would reject it: none other is tried
+            answered = outcome is not Verdict.DONE and (
+                item.over or (outcome is Verdict.RUNNING and not item.out)
             )
             self.carry_out(
-                desk,
-                desk.put(
-                    self.now, "ended", key, number, verdict.outcome, answered, desk.told(load), None, kept
+                dispatcher,
+                dispatcher.put(
+                    self.now,
+                    "ended",
+                    key,
+                    number,
+                    outcome.outcome,
+                    answered,
+                    dispatcher.told(load),
+                    None,
+                    stale_connection,
                 ),
                 key,
             )
@@ -507,62 +552,63 @@
             not item.over
             and not item.out
             and item.attempt == key[1]
-            and (item.given_up or desk is None or key not in desk.reducer.items)
+            and (item.given_up or dispatcher is None or key not in dispatcher.reducer.items)
         ):
-            if verdict.ran is False:
+            if outcome.ran is False:
                 self.turned_away(item)
             else:
                 self.again(item)
 
-    def succeeded_before(self, mid: str, seal: str) -> bool:
-        """Whether another run of it than the one with that seal has succeeded."""
+    def succeeded_before(self, mid: str, token: str) -> bool:
+        """Whether a run with another completion token has succeeded."""
         found = self.ended.get(mid)
-        return found is not None and found.word.complete and found.word.seal != seal
+        return found is not None and found.word.complete and found.word.seal != token
 
-    def judge(self, item: Item, verdict: Verdict, seal: str) -> None:
-        """What it means for the message."""
-        if verdict is Verdict.DONE:
+    def judge(self, item: Item, outcome: Verdict, token: str) -> None:
+        """Applies the outcome of a delivery to the message."""
+        if outcome is Verdict.DONE:
             self.figures["delivered"] += 1
-            self.end(item, True, seal)
-        elif verdict is Verdict.REFUSED:
+            self.end(item, True, token)
+        elif outcome is Verdict.REFUSED:
             self.end(item, False, "")
-        elif verdict is Verdict.FAILED:
+        elif outcome is Verdict.FAILED:
             item.fails += 1
             self.figures["failed"] += 1
             if item.route is not None and item.fails >= item.route.tries:
                 self.end(item, False, "")
             else:
                 self.tell(item, "tried", Tried(mid=item.mid, fails=item.fails, lost=item.lost))
-        elif verdict.ran is None and verdict is not Verdict.CANCELLED:
+        elif outcome.ran is None and outcome is not Verdict.CANCELLED:
             item.lost += 1
             self.figures["unknown"] += 1
 
     def again(self, item: Item) -> None:
-        """An attempt has ended, the message has not."""
+        """Schedules the next attempt with backoff after one that may have run."""
         times, item.turned = item.fails + item.lost, 0
         pause = min(AGAIN * 2.0 ** max(0, min(times, 10) - 1), LONGEST) * (0.5 + self.chance.draw())
         item.given_up = False
         self.at(self.now + pause, item)
 
-    # ---- messages out
+    # ---- messages to stores
 
-    def tell(self, item: Item, kind: str, word: Any) -> None:
+    def tell(self, item: Item, kind: str, content: Any) -> None:
         for node in item.touched:
-            self.send(node, kind, word)
+            self.send(node, kind, content)
 
-    def end(self, item: Item, complete: bool, seal: str) -> None:
+    def end(self, item: Item, complete: bool, token: str) -> None:
+        """Records the final outcome of a message and sends it to its replicas."""
         self.drop(item)
         if not complete:
             self.figures["dead"] += 1
-        word = End(mid=item.mid, complete=complete, seal=seal, country=item.ran if complete else "")
-        self.ending[item.mid] = UntoldEnd(word, set(item.touched), self.now)
-        self.ended[item.mid] = RememberedEnd(self.now, word)
+        end = End(mid=item.mid, complete=complete, seal=token, country=item.ran if complete else "")
+        self.ending[item.mid] = UntoldEnd(end, set(item.touched), self.now)
+        self.ended[item.mid] = RememberedEnd(self.now, end)
         svc = item.route.svc if item.route is not None else item.svc
         self.by_service[svc] = self.by_service.get(svc, 0) + 1
-        self.tell(item, "end", word)
+        self.tell(item, "end", end)
 
     def has_end(self, node: str, mid: str) -> None:
-        """A depot has it on its disk."""
+        """A store confirmed that it has the final outcome on disk."""
         if mid in self.ending:
             missing = self.ending[mid].missing
             missing.discard(node)
@@ -570,47 +616,48 @@
                 del self.ending[mid]
 
     def taken_away(self, node: str, mids: list[str]) -> None:
-        """These have another deliverer, says a depot. What is on its way goes on; a success of it counts.
-        A depot that takes this counter for the deliverer, and knows of no other, must not wait for it.
+        """A store reports that these messages have another owner. Deliveries in flight go on, and their
+        success counts. The other replicas, which may still record this gateway as the owner, get a refusal, so
+        that they don't wait for it.
         """
         for mid in mids:
             if (item := self.items.get(mid)) is not None and not item.foreign:
                 item.foreign = True
-                for holder in item.touched:
-                    if holder != node:
-                        self.send(holder, "refuse", Refuse(mid=mid, claim=item.claim))
+                for replica in item.touched:
+                    if replica != node:
+                        self.send(replica, "refuse", Refuse(mid=mid, claim=item.claim))
                 if not item.out:
                     self.withdraw(item)
                     self.drop(item)
 
-    def moved(self, mid: str, holders: tuple[str, ...]) -> None:
-        """Others keep it from now on: its end is for them."""
+    def moved(self, mid: str, replicas: tuple[str, ...]) -> None:
+        """The replicas have changed: the final outcome goes to the new ones."""
         if (item := self.items.get(mid)) is not None:
-            item.touched = holders
-        elif (found := self.ended.get(mid)) is not None:
-            self.ending[mid] = UntoldEnd(found.word, set(holders), self.now)
-            for node in holders:
-                self.send(node, "end", found.word)
+            item.touched = replicas
+        elif (remembered := self.ended.get(mid)) is not None:
+            self.ending[mid] = UntoldEnd(remembered.word, set(replicas), self.now)
+            for node in replicas:
+                self.send(node, "end", remembered.word)
 
     def drop(self, item: Item) -> None:
-        """It may have been taken away and assigned here again since: that is another item, and stays."""
+        """Removes the item. If the message was reassigned and assigned here again, the newer item stays."""
         item.over = True
         if self.items.get(item.mid) is item:
             del self.items[item.mid]
 
     def withdraw(self, item: Item) -> None:
-        """Its attempt waits at its desk no more: a later item of the message has the same key there."""
-        if (desk := self.desks.get(item.svc)) is not None:
-            self.carry_out(desk, desk.put(self.now, "left", (item.mid, item.attempt)))
-
-    def ended_elsewhere(self, word: End) -> None:
-        """A depot knows that it has ended. It may be one that is not accepted here yet."""
-        self.ended.setdefault(word.mid, RememberedEnd(self.now, word))
-        if (item := self.items.get(word.mid)) is not None:
+        """Removes its attempt from the dispatcher: a later item of the message may have the same key."""
+        if (dispatcher := self.desks.get(item.svc)) is not None:
+            self.carry_out(dispatcher, dispatcher.put(self.now, "left", (item.mid, item.attempt)))
+
+    def ended_elsewhere(self, end: End) -> None:
+        """A store reports the final outcome of a message, possibly before it was accepted here."""
+        self.ended.setdefault(end.mid, RememberedEnd(self.now, end))
+        if (item := self.items.get(end.mid)) is not None:
             self.drop(item)
 
     def park(self, item: Item) -> None:
-        """Back to its depots, which have it delivered once it is due."""
+        """Returns it to its stores, which assign it again once it is due."""
         self.drop(item)
         self.figures["parked"] += 1
         self.tell(
@@ -626,28 +673,28 @@
         )
 
     def park_all(self) -> None:
-        """It is to end: all that is not on its way goes back."""
+        """Returns all messages that aren't in flight, before the process ends."""
         self.give_back(lambda item: True)
 
     def give_back(self, which: Callable[[Item], bool]) -> None:
-        """Those of them go back to their depots that are not on their way."""
+        """Returns the selected messages that aren't in flight to their stores."""
         for item in list(self.items.values()):
             if not item.out and which(item):
                 self.withdraw(item)
                 self.park(item)
 
     def depot_up(self, node: str) -> None:
-        """A depot is there again: it is told the ends that it has not confirmed, and asked anew what it has
-        not answered.
+        """A store is reachable again: sends it the final outcomes that it has not confirmed, and repeats the
+        requests that it has not answered.
         """
-        for untold in self.ending.values():
-            if node in untold.missing:
-                self.send(node, "end", untold.word)
+        for unconfirmed in self.ending.values():
+            if node in unconfirmed.missing:
+                self.send(node, "end", unconfirmed.word)
         self.agreement.ask_again(node)
 
     def deliveries_of(self, node: str, under_way: Iterable[str] = ()) -> Mine:
-        """All that is delivered here of what that depot keeps, to be said at once. `under_way`: messages that
-        will be as soon as they are accepted.
+        """Full list of the messages that this gateway owns and that store has a replica of; it must be sent at
+        once. `under_way`: messages that are being accepted.
         """
         mine = [
             (item.mid, item.claim)
