--- a/opalwick/post/counter/desks.py
+++ b/opalwick/post/counter/desks.py
@@ -1,8 +1,8 @@
-"""A desk a service: the present program's reducer, with its decision module, picks the worker, forms blocks,
-sends copies and cancels them. A desk feeds it; what it decides goes back to `rounds.py`.
+"""Dispatchers, one per service. A dispatcher passes inputs to the routing reducer, whose balancer picks
+workers, groups jobs, hedges and cancels; its decisions go back to `rounds.py`.
 
-Services whose workers discard repeats (`dedup`) have repeat-safe jobs: blocks and copies. All others' jobs go
-alone, and are never taken back once sent.
+Services whose workers discard repeats (`dedup`) have repeat-safe jobs: these are sent in groups and hedged.
+The jobs of all other services are sent one at a time and never cancelled once sent.
 """
 
 from __future__ import annotations
@@ -19,34 +19,36 @@
 from opalwick.routing.reducer import Effect as Decided
 from opalwick.routing.reducer import Reducer, Timer
 
-SPAN = 600.0  # s: a message's own time is bounded by the rounds, not by the module
-# what a hand-off into another zone costs, in mean jobs: a near worker is taken as long as it promises nearly
-# as much. At 0.15 every second job crossed on a calm day, by the noise of what others hold; 0.4 is less than
-# the worth of a run that begins late
+# s: not a limit in practice, as the delivery scheduling bounds the time of a message
+SPAN = 600.0
+# price of a delivery to another zone, in mean jobs: a worker of the own zone is preferred as long as it
+# offers nearly as much. At 0.15 every second job crossed zones under light load, because of noise in the
+# estimated load from other gateways. 0.4 is less than the value of a run that starts late
 CROSS = 0.4
-# s at most until one found silent is tried again: a trial on a new connection costs 0.3 s of one message, and
-# a service may have no other worker; at 8 s an endpoint that was dark for 7 s was out for 18
+# s: upper bound of the time until an unresponsive worker is tried again. A trial on a new connection costs
+# one message 0.3 s, and the service may have no other worker; with 8 s, an endpoint that was down for 7 s got
+# nothing for 18 s
 SHUN = 1.0
-CHILL = 3.0  # s: what a worker that says how long it stays cold says at its start, at most
-TARDY = 0.3  # worth of a run that begins late, of one in time: between what deployments tell
+CHILL = 3.0  # s: upper bound of the warm-up time that a worker reports at its start
+TARDY = 0.3  # value of a run that starts late, relative to one in time; deployments differ
 RESTLESS = Resting()
-RUN = 0.03  # s that a job is taken to run until some have: the module learns it within ten
+RUN = 0.03  # s: assumed run time of a job until about ten have run, from which the balancer learns it
 
 
 class Row(NamedTuple):
-    """A worker as it is listed."""
+    """A worker in the directory."""
 
     id: str
     host: str
     port: int
     zone: str
-    capacity: int  # 0: not known
+    capacity: int  # jobs at once; 0: not known
     draining: bool
-    chill: float  # s
+    chill: float  # s: warm-up time
 
 
 class Load(NamedTuple):
-    """What a worker says with an answer: jobs, and how many it works on at once."""
+    """The load that a worker reports with a response: numbers of jobs, and of jobs it runs at once."""
 
     running: int
     waiting: int
@@ -54,8 +56,8 @@
 
 
 class Waiting:
-    """Items that wait for their turn. Who can still begin within the aim goes first, the earliest aim first;
-    of those that are late the newest, as what is oldest is worth the least.
+    """Queue of items. Those that can still start in time come first, by their target time; of the late ones
+    the newest comes first, as the oldest has the least value.
     """
 
     def __init__(self) -> None:
@@ -66,31 +68,35 @@
     def __len__(self) -> int:
         return len(self.timely) + len(self.late)
 
-    def put(self, aim_at: float, item: Any) -> None:
+    def put(self, start_by: float, item: Any) -> None:
         self.serial += 1
-        heapq.heappush(self.timely, (aim_at, self.serial, item))
+        heapq.heappush(self.timely, (start_by, self.serial, item))
 
     def take(self, now: float) -> Any:
+        """Removes and returns the next item; the queue must not be empty."""
         while self.timely and self.timely[0][0] <= now:
             self.late.append(heapq.heappop(self.timely)[2])
         return heapq.heappop(self.timely)[2] if self.timely else self.late.pop()
 
     def clear(self) -> list[Any]:
+        """Removes and returns all items."""
         return self.sift(lambda item: True)
 
-    def sift(self, out: Callable[[Any], bool]) -> list[Any]:
-        """Takes out those that need not wait here any more; asks once of each."""
-        found = [entry for entry in self.timely if out(entry[2])]
-        late = [item for item in self.late if out(item)]
+    def sift(self, remove: Callable[[Any], bool]) -> list[Any]:
+        """Removes and returns the items for which `out` is true; calls it once for each."""
+        found = [entry for entry in self.timely if remove(entry[2])]
+        late = [item for item in self.late if remove(item)]
         if found or late:
-            gone = {id(item) for item in [*[entry[2] for entry in found], *late]}
-            self.timely = [entry for entry in self.timely if id(entry[2]) not in gone]
-            self.late = [item for item in self.late if id(item) not in gone]
+            removed = {id(item) for item in [*[entry[2] for entry in found], *late]}
+            self.timely = [entry for entry in self.timely if id(entry[2]) not in removed]
+            self.late = [item for item in self.late if id(item) not in removed]
             heapq.heapify(self.timely)
         return [entry[2] for entry in found] + late
 
 
 class Desk:
+    """Assigns the jobs of one service to its workers."""
+
     def __init__(
         self,
         service: Service,
@@ -102,11 +108,13 @@
         home: str = "",
         static: bool = True,
     ) -> None:
-        """`home`: the country whose workers alone it has. `static`: whether the service's endpoint is one."""
+        """`home`: country to which its workers are restricted, if any. `static`: whether it may use the
+        service's static endpoint.
+        """
         self.service, self.zones, self.home = service, zones, home
         self.wake_at = math.inf
-        self.queue = Waiting()  # items that wait for a ceiling's permits
-        # under a ceiling each send needs its own permit
+        self.queue = Waiting()  # items that wait for permits
+        # with a rate limit each delivery needs its own permit
         self.terms = Terms(
             categories=[],
             customers=[],
@@ -146,13 +154,13 @@
         self.categories: dict[str, Category] = {}
         self.known: dict[str, tuple[Any, ...]] = {}
         self.numbers = self.cancels = 0
-        self.used = set[tuple[str, int]]()  # where its workers are
+        self.used = set[tuple[str, int]]()  # addresses of its workers
         if service.static and static:
             host, _, port = service.static.rpartition(":")
             list(self.listed(now, [Row("", host, int(port), settings.zone, 0, False, 0.0)]))
 
     def category(self, route: Route) -> Category:
-        """Of that route as it is now; what its jobs have shown so far stays."""
+        """The category of a route's jobs, updated to the route; what was learned about its jobs stays."""
         found = self.categories.get(route.name)
         if found is None:
             effect = Effect.RERUNNABLE if self.service.dedup else Effect.EXCLUSIVE
@@ -173,8 +181,8 @@
         return found
 
     def listed(self, now: float, rows: list[Row]) -> Iterator[Decided]:
-        """All there are."""
-        told, sizes = [], set()
+        """Sets the workers. `rows`: all that the dispatcher may use."""
+        reports, sizes = [], set()
         for id, host, port, zone, capacity, draining, chill in rows:
             number, ready_at = self.known.get(id, (None, 0.0))
             if number is None:
@@ -182,7 +190,7 @@
                 number, ready_at = self.numbers, now - CHILL + min(CHILL, chill)
                 self.known[id] = number, ready_at
             sizes.add(capacity)
-            told.append(
+            reports.append(
                 (
                     id,
                     number,
@@ -195,13 +203,13 @@
                     0.0,
                 )
             )
-        yield from self.put(now, "listed", ListForm.FULL, told)
+        yield from self.put(now, "listed", ListForm.FULL, reports)
         for size in sizes - {0}:
             self.sized(size, size)
         self.prune({row.id for row in rows})
 
     def prune(self, listed: set[str]) -> None:
-        """Each start of a worker is a new one: those that are gone and hold nothing are forgotten."""
+        """Removes workers that are not listed and have no job: a worker that restarts has a new id."""
         reducer = self.reducer
         for id in [id for id in self.known if id not in listed]:
             worker = reducer.workers.get(id)
@@ -213,14 +221,14 @@
                     reducer.balancer.active.pop(worker, None)
 
     def sized(self, kind: int, slots: int) -> None:
-        """Workers tell how many they work on at once: the module need not learn it from their load."""
+        """Sets the slots that workers report, so that the balancer needn't infer them from their load."""
         balancer = self.reducer.balancer
         if (known := balancer.kinds.get(kind)) is not None and (known.size != slots or known.reports < 50):
             known.size, known.reports = float(slots), 50
             balancer.resize()
 
     def told(self, load: Load | None) -> tuple[float, ...]:
-        """A worker's load in the module's figures."""
+        """A worker's load as the reducer expects it: jobs held, jobs waiting. Empty if it reported none."""
         if load is None:
             return ()
         if self.service.static:
@@ -228,13 +236,13 @@
         return (float(load.running + load.waiting), float(load.waiting))
 
     def away(self, id: str) -> bool:
-        """Whether that worker stands in another zone."""
+        """Whether that worker is in another zone."""
         worker = self.reducer.workers.get(id)
         return worker is not None and worker.zone != self.terms.zone and not self.service.static
 
     def held_by(self, resting: Resting, workers: dict[str, Worker]) -> int:
-        """Jobs that are out at workers that rest. One that was given up may run on for as long as its route
-        allows, which whoever drains waits for; the module's memory of it may last for longer.
+        """Jobs in flight at resting workers. A job that was given up may run on for as long as its route
+        allows, and whoever drains the workers waits for that; the balancer may count it for longer.
         """
         count = 0
         for id, worker in self.reducer.workers.items():
@@ -244,27 +252,27 @@
         return count
 
     def bears(self, now: float) -> int:
-        """Jobs that its workers may have now beside what they have: no permit is asked for more."""
-        balancer, count = self.reducer.balancer, 0
-        balancer.clock(now)  # nothing may have been put in since one was found silent
-        for w in balancer.workers:
-            if not balancer.avoids(w):
-                limit = 1 if w.doubt else int(w.limit or 4 * w.slots)
-                count += max(0, limit - w.held)
-        return count
+        """Jobs that its workers can take now beside those in flight; no permits are requested for more."""
+        balancer, free = self.reducer.balancer, 0
+        balancer.clock(now)  # there may have been no input since a worker was found unresponsive
+        for worker in balancer.workers:
+            if not balancer.avoids(worker):
+                limit = 1 if worker.doubt else int(worker.limit or 4 * worker.slots)
+                free += max(0, limit - worker.held)
+        return free
 
     def doubt(self) -> None:
-        """Turned a job away. While nothing of its own is out it hears nothing of the others' load, and would
-        believe for ever what it heard last: half of it is let go each time.
+        """Called when a job was rejected. Without jobs in flight the dispatcher gets no reports about the
+        load from other gateways, and would use the last report forever: each rejection halves that estimate.
         """
         balancer = self.reducer.balancer
-        if not any(w.flights for w in balancer.workers):
+        if not any(worker.flights for worker in balancer.workers):
             balancer.others *= 0.5
-            for w in balancer.workers:
-                w.others, w.seen_at = w.others * 0.5, -1.0
+            for worker in balancer.workers:
+                worker.others, worker.seen_at = worker.others * 0.5, -1.0
 
     def put(self, now: float, kind: str, *fields: Any) -> Iterator[Decided]:
-        """An input to the reducer; its decisions but for the timer, which is kept here."""
+        """Passes an input to the reducer. Yields its decisions, except for timers, which set `wake_at`."""
         if self.wake_at <= now:
             self.wake_at = math.inf
         for decided in list(self.reducer.reduce(now, kind, *fields)):
@@ -274,12 +282,12 @@
                 yield decided
 
     def figures(self) -> dict[str, int]:
-        b = self.reducer.balancer
-        return {"firsts": b.firsts, "copies": b.copies}
+        balancer = self.reducer.balancer
+        return {"firsts": balancer.firsts, "copies": balancer.copies}
 
 
 def load(text: bytes) -> Load | None:
-    """`X-Load`; nothing where it is odd."""
+    """Parses the header X-Load (`running,waiting,slots`). Returns None if it is malformed."""
     try:
         running, waiting, slots = (int(part) for part in text.split(b","))
     except ValueError:
@@ -288,6 +296,7 @@
 
 
 def rows(workers: dict[str, Worker], svc: str, resting: Resting = RESTLESS) -> list[Row]:
+    """The responsive workers of a service; resting ones count as draining."""
     return [
         Row(
             w.id,
--- a/opalwick/post/counter/rounds.py
+++ b/opalwick/post/counter/rounds.py
@@ -617,8 +617,8 @@
 
     def taken_away(self, node: str, mids: list[str]) -> None:
         """A store reports that these messages have another owner. Deliveries in flight go on, and their
-        success counts. The other replicas, which may still record this gateway as the owner, get a refusal, so
-        that they don't wait for it.
+        success counts. The other replicas, which may still record this gateway as the owner, get a refusal,
+        so that they don't wait for it.
         """
         for mid in mids:
             if (item := self.items.get(mid)) is not None and not item.foreign:
@@ -693,8 +693,8 @@
         self.agreement.ask_again(node)
 
     def deliveries_of(self, node: str, under_way: Iterable[str] = ()) -> Mine:
-        """Full list of the messages that this gateway owns and that store has a replica of; it must be sent at
-        once. `under_way`: messages that are being accepted.
+        """Full list of the messages that this gateway owns and that store has a replica of; it must be sent
+        at once. `under_way`: messages that are being accepted.
         """
         mine = [
             (item.mid, item.claim)
