--- a/opalwick/post/counter/ceilings.py
+++ b/opalwick/post/counter/ceilings.py
@@ -1,8 +1,8 @@
-"""Services that bear only so many messages a second: one counter has the ceiling and hands out permits.
+"""Rate limits of services: one gateway at a time holds the lease of a service's limit and grants permits.
 
-The holder's lease on the duty is granted by a majority of offices and counted from before it asked; it stops
-`MARGIN` before its end, and begins with nothing saved up. A permit is used within `USE` of being asked for or
-not at all. So the most that arrives in a window w is rate * (w + USE) + SAVED. No I/O.
+A majority of controllers grants the lease, whose span counts from before the request was sent. The holder
+stops granting `MARGIN` before its end, and starts without saved permits. A permit is used within `USE` of its
+request or not at all. So at most rate * (w + USE) + SAVED messages arrive in a window w. No I/O.
 """
 
 from __future__ import annotations
@@ -12,25 +12,29 @@
 
 from opalwick.post.wire_pb2 import Lease, Leased, Permit, Permitted
 
-SPAN = 1.4  # s of a lease: three renewals, and under what a voter grants at most
-RENEW = 0.4  # s between words to the offices of one that has a duty, or wants what nobody has
-IDLE = 2.0  # s between words of one that only wants to know who has it
-MARGIN = 0.3  # s: a hand's breadth for clocks that run apart and a process that stands still
-REPLY = 0.3  # s for a majority to grant: ten trips; then what was granted is given back
-USE = 0.25  # s: under a twentieth of the shortest window that is judged
-SAVED = 3.0  # permits: with USE, a ceiling of 20 a second stays under a tenth more in five seconds
-TURN = 0.1  # s that each next counter waits longer until it asks for a duty that nobody has: some trips
-HOMES = 4  # counters that have duties while they are there: all others are linked to these alone
-BATCH = 8  # permits asked for at once: what a few tens of milliseconds need
+SPAN = 1.4  # s: span of a lease: three renewals, and below the longest span that a controller grants
+RENEW = 0.4  # s between lease requests of a holder, or of a gateway that needs a lease nobody holds
+IDLE = 2.0  # s between lease requests that only ask who the holder is
+MARGIN = 0.3  # s: allows for clock drift and for a stalled process
+REPLY = 0.3  # s for a majority to grant: ten network round trips; after that, partial grants are released
+USE = 0.25  # s: less than a twentieth of the shortest window over which the rate is checked
+SAVED = 3.0  # permits: with USE, a limit of 20/s is exceeded by less than a tenth in 5 s
+# s that each gateway, by rank, waits longer before it requests a lease that nobody holds: a few round trips
+TURN = 0.1
+HOMES = 4  # gateways that hold the leases while they are available: all others are linked to these alone
+BATCH = 8  # permits per request: enough for a few tens of milliseconds
 
 
 class Held:
+    """A lease of a service's rate limit, with a token bucket of its permits."""
+
     __slots__ = ("at", "rate", "tokens", "until")
 
     def __init__(self, rate: float, now: float, until: float) -> None:
         self.rate, self.tokens, self.at, self.until = rate, 0.0, now, until
 
     def take(self, now: float, count: int) -> int:
+        """Takes up to `count` permits; returns how many."""
         self.tokens = min(SAVED, self.tokens + (now - self.at) * self.rate)
         self.at = now
         given = min(count, int(self.tokens))
@@ -39,46 +43,55 @@
 
 
 class Ceilings:
+    """Leases and permits of all rate limits in one gateway process. Times are in seconds of its clock."""
+
     def __init__(self, node: str, life: int) -> None:
+        """`life`: number of the process incarnation."""
         self.node, self.me = node, f"{node}/{life}"
         self.now = 0.0
         self.rates: dict[str, float] = {}
         self.counters: list[str] = []
-        self.ranks: dict[str, int] = {}  # this counter's place among all, by duty
-        self.offices = 1  # voters
-        self.voters: dict[str, int] = {}  # as each office has told; who votes may be changing
+        self.ranks: dict[str, int] = {}  # by service: this gateway's rank among all
+        self.offices = 1  # number of voters
+        self.voters: dict[str, int] = {}  # number of voters that each controller reported; it may be changing
         self.held: dict[str, Held] = {}
-        self.holders: dict[str, str] = {}  # by what a majority of offices said
-        self.heard: dict[str, dict[str, str]] = {}  # office: duty: process
+        self.holders: dict[str, str] = {}  # by service: the process that a majority of controllers reported
+        self.heard: dict[str, dict[str, str]] = {}  # by controller and service: the process that it reported
         self.none_since: dict[str, float] = {}
-        self.back_at: dict[str, float] = {}  # when it was given back last
-        self.tried: dict[str, float] = {}  # asked for, and not yet had
-        self.asked: dict[int, tuple[float, set[str], dict[str, int]]] = {}  # lease calls: at, offices, grants
+        self.back_at: dict[str, float] = {}  # when a lease was last released
+        self.tried: dict[str, float] = {}  # when a lease was requested that isn't granted yet
+        # lease requests by number: when sent, which controllers replied, grants by service
+        self.asked: dict[int, tuple[float, set[str], dict[str, int]]] = {}
         self.calls = 0
         self.leaving = False
         self.lease_at = 0.0
-        self.wants: dict[str, int] = {}  # how many wait
-        self.permits: dict[int, tuple[str, float]] = {}  # calls under way: service, when asked
+        self.wants: dict[str, int] = {}  # by service: messages that wait for permits
+        self.permits: dict[int, tuple[str, float]] = {}  # open permit requests: service, when sent
         self.again_at: dict[str, float] = {}
-        self.sends: list[tuple[str, str, Any]] = []  # to nodes; "offices": to all
-        self.permitted: list[tuple[str, int]] = []
+        self.sends: list[tuple[str, str, Any]] = []  # node, kind, content; "offices": all controllers
+        self.permitted: list[tuple[str, int]] = []  # service, number of permits
         self.figures = {"granted": 0, "used_here": 0, "late": 0}
 
     def effects(self) -> tuple[list[tuple[str, str, Any]], list[tuple[str, int]]]:
+        """Returns the messages to send and the permits to use since the last call, and clears both."""
         found = self.sends, self.permitted
         self.sends, self.permitted = [], []
         return found
 
-    def configured(self, rates: dict[str, float], counters: list[str], offices: int) -> None:
-        """`offices`: as far as is known; each of their answers tells whose majority grants."""
-        if self.counters != counters or self.rates.keys() != rates.keys():
+    def configured(self, rates: dict[str, float], gateways: list[str], controllers: int) -> None:
+        """`rates`: messages per second by service. `counters`: all gateways. `offices`: number of controllers
+        in the directory, used until the first one reports the number of voters.
+        """
+        if self.counters != gateways or self.rates.keys() != rates.keys():
             self.ranks = {}
-        self.rates, self.counters = rates, counters
-        self.offices = self.offices if self.heard else max(1, offices)
+        self.rates, self.counters = rates, gateways
+        self.offices = self.offices if self.heard else max(1, controllers)
         self.held = {svc: held for svc, held in self.held.items() if rates.get(svc) == held.rate}
 
     def rank(self, svc: str) -> int:
-        """This counter's place among all for that duty, by a hash that all share; the homes come first."""
+        """This gateway's rank among all for that lease: 0 requests it first. All gateways compute it by the
+        same hash; the `HOMES` gateways come first.
+        """
         if svc not in self.ranks:
             homes = sorted(self.counters, key=lambda node: (zlib.crc32(node.encode()), node))[:HOMES]
             order = sorted(
@@ -88,6 +101,7 @@
         return self.ranks[svc]
 
     def holds(self, svc: str) -> Held | None:
+        """The lease, if this process holds it now."""
         held = self.held.get(svc)
         return held if held is not None and self.now < held.until else None
 
@@ -102,66 +116,71 @@
                 self.ask(svc, count)
 
     def lease(self) -> None:
-        """To all offices: its duties again, those that nobody has in its turn, and what it must give back."""
-        asks, back = [], []
+        """Sends lease requests to all controllers: renewals, requests for leases that nobody holds once it is
+        this gateway's turn, and releases.
+        """
+        requested, released = [], []
         next_at = self.now + (RENEW if self.held or any(self.wants.values()) else IDLE)
         for svc in sorted(self.rates):
             holder = self.holders.get(svc, "")
             if self.holds(svc) is not None:
-                asks.append(svc)
+                requested.append(svc)
             elif self.leaving:
                 continue
             elif svc in self.tried:
                 if self.now - self.tried[svc] < REPLY:
                     next_at = min(next_at, self.tried[svc] + REPLY)
                     continue
-                # some granted it and not enough: kept, none could ever have it
+                # only a minority granted it: unless it is released, no gateway could ever get a majority
                 del self.tried[svc]
                 self.back_at[svc] = self.none_since[svc] = self.now
-                back.append(svc)
+                released.append(svc)
                 next_at = min(next_at, self.now + TURN * (1 + self.rank(svc)))
             elif holder and holder != self.me:
                 self.none_since.pop(svc, None)
             else:
-                turn = self.none_since.setdefault(svc, self.now) + TURN * self.rank(svc)
-                if self.now >= turn:
+                turn_at = self.none_since.setdefault(svc, self.now) + TURN * self.rank(svc)
+                if self.now >= turn_at:
                     self.tried[svc] = self.now
-                    asks.append(svc)
+                    requested.append(svc)
                     next_at = min(next_at, self.now + REPLY)
                 else:
-                    next_at = min(next_at, turn)
-        if back:
-            self.sends.append(("offices", "lease", Lease(duties=back, span=0.0)))
+                    next_at = min(next_at, turn_at)
+        if released:
+            self.sends.append(("offices", "lease", Lease(duties=released, span=0.0)))
         self.calls += 1
         self.asked = {call: asked for call, asked in self.asked.items() if self.now - asked[0] < 1.0}
         self.asked[self.calls] = self.now, set(), {}
-        self.sends.append(("offices", "lease", Lease(call=self.calls, duties=asks, span=SPAN)))
+        self.sends.append(("offices", "lease", Lease(call=self.calls, duties=requested, span=SPAN)))
         self.lease_at = max(next_at, self.now + 0.02)
 
-    def leased(self, office: str, word: Leased) -> None:
-        if word.voters:
-            self.voters[office] = word.voters
+    def leased(self, controller: str, reply: Leased) -> None:
+        """Processes a controller's reply to a lease request."""
+        if reply.voters:
+            self.voters[controller] = reply.voters
             self.offices = max(self.voters.values())
-        if not word.same:
-            self.heard[office] = dict(word.held)
-        asked = self.asked.get(word.call)
-        if asked is not None and office not in asked[1]:
-            at, told, grants = asked
-            told.add(office)
-            for svc in word.granted:
+        if not reply.same:
+            self.heard[controller] = dict(reply.held)
+        asked = self.asked.get(reply.call)
+        if asked is not None and controller not in asked[1]:
+            at, replied, grants = asked
+            replied.add(controller)
+            for svc in reply.granted:
                 if at <= self.back_at.get(svc, -1e9):
-                    continue  # given back since: another may have it by now
+                    continue  # released since then: another gateway may hold it by now
                 grants[svc] = grants.get(svc, 0) + 1
                 if grants[svc] >= self.offices // 2 + 1 and svc in self.rates:
                     self.has(svc, at + SPAN - MARGIN)
-        count: dict[tuple[str, str], int] = {}
+        vote_counts: dict[tuple[str, str], int] = {}
         for held in self.heard.values():
-            for svc, who in held.items():
-                count[svc, who] = count.get((svc, who), 0) + 1
-        self.holders = {svc: who for (svc, who), votes in count.items() if votes >= self.offices // 2 + 1}
+            for svc, process in held.items():
+                vote_counts[svc, process] = vote_counts.get((svc, process), 0) + 1
+        self.holders = {
+            svc: process for (svc, process), votes in vote_counts.items() if votes >= self.offices // 2 + 1
+        }
 
     def has(self, svc: str, until: float) -> None:
-        """A majority granted it until then."""
+        """A majority granted the lease until that time."""
         self.tried.pop(svc, None)
         held = self.holds(svc)
         if held is None:
@@ -170,21 +189,24 @@
             held.until = max(held.until, until)
 
     def leave(self) -> None:
-        """It is to end: another may have its duties at once, and what it still grants is used by then."""
-        back = sorted({*self.held, *self.tried})
+        """The process is to end: releases all leases, so that another gateway can get them at once. The permits
+        that it has granted are used by then.
+        """
+        released = sorted({*self.held, *self.tried})
         self.back_at = {svc: self.now for svc in self.rates}
         self.tried = {}
         self.held, self.leaving = {}, True
-        if back:
-            self.sends.append(("offices", "lease", Lease(duties=back, span=0.0)))
+        if released:
+            self.sends.append(("offices", "lease", Lease(duties=released, span=0.0)))
 
-    def office_down(self, office: str) -> None:
-        self.heard.pop(office, None)
-        self.voters.pop(office, None)
+    def office_down(self, controller: str) -> None:
+        self.heard.pop(controller, None)
+        self.voters.pop(controller, None)
 
     # ---- permits
 
     def want(self, svc: str, count: int) -> None:
+        """Sets how many messages wait for permits of a service, and requests them."""
         if count > 0:
             self.wants[svc] = count
             self.ask(svc, count)
@@ -205,7 +227,7 @@
                 self.again_at[svc] = self.now + max(0.005, (1.0 - held.tokens) / held.rate)
             return
         holder = self.holders.get(svc, "").rpartition("/")[0]
-        self.again_at[svc] = self.now + USE  # a lost word costs no more
+        self.again_at[svc] = self.now + USE  # bounds the delay if a message is lost
         if not holder:
             self.lease_at = min(self.lease_at, self.now + RENEW)
         elif holder != self.node:
@@ -213,39 +235,42 @@
             self.permits[self.calls] = svc, self.now
             self.sends.append((holder, "permit", Permit(call=self.calls, svc=svc, count=min(count, BATCH))))
 
-    def permit(self, node: str, word: Permit) -> Permitted:
-        """Another counter asks."""
-        held = self.holds(word.svc)
+    def permit(self, node: str, request: Permit) -> Permitted:
+        """Answers another gateway's permit request."""
+        held = self.holds(request.svc)
         if held is None:
-            return Permitted(call=word.call, svc=word.svc, holder=False, wait=USE)
-        given = held.take(self.now, word.count)
+            return Permitted(call=request.call, svc=request.svc, holder=False, wait=USE)
+        given = held.take(self.now, request.count)
         self.figures["granted"] += given
-        wait = 0.0 if given == word.count else max(0.005, (1.0 - held.tokens) / held.rate)
-        return Permitted(call=word.call, svc=word.svc, count=given, wait=wait, holder=True)
+        wait = 0.0 if given == request.count else max(0.005, (1.0 - held.tokens) / held.rate)
+        return Permitted(call=request.call, svc=request.svc, count=given, wait=wait, holder=True)
 
-    def answered(self, word: Permitted) -> None:
-        asked = self.permits.pop(word.call, None)
+    def answered(self, reply: Permitted) -> None:
+        """Processes the reply to a permit request."""
+        asked = self.permits.pop(reply.call, None)
         if asked is None:
             return
         svc, at = asked
-        self.again_at[svc] = self.now + word.wait
-        if not word.holder:  # who has it now?
+        self.again_at[svc] = self.now + reply.wait
+        if not reply.holder:  # find the current holder
             self.holders.pop(svc, None)
             self.lease_at = min(self.lease_at, self.now + 0.05)
-        if word.count and self.now - at < USE:
-            self.wants[svc] = max(0, self.wants.get(svc, 0) - word.count)
-            self.permitted.append((svc, word.count))
-        elif word.count:
-            self.figures["late"] += word.count
-        if self.wants.get(svc, 0) > 0 and not word.wait:
+        if reply.count and self.now - at < USE:
+            self.wants[svc] = max(0, self.wants.get(svc, 0) - reply.count)
+            self.permitted.append((svc, reply.count))
+        elif reply.count:
+            self.figures["late"] += reply.count
+        if self.wants.get(svc, 0) > 0 and not reply.wait:
             self.ask(svc, self.wants[svc])
 
     def next_at(self) -> float:
+        """When `tick` must be called next."""
         waits = [self.again_at.get(svc, 0.0) for svc, count in self.wants.items() if count > 0]
         return min([self.lease_at if self.rates else float("inf"), *waits])
 
     def forget(self) -> None:
-        unheard = [call for call, asked in self.permits.items() if self.now - asked[1] > 2.0 * USE]
-        for call in unheard:  # the holder may be gone: who has it now?
+        """Discards permit requests without a reply; called periodically."""
+        unanswered = [call for call, asked in self.permits.items() if self.now - asked[1] > 2.0 * USE]
+        for call in unanswered:  # the holder may be gone: find the current one
             del self.permits[call]
             self.lease_at = min(self.lease_at, self.now)
