--- a/opalwick/post/counter/ceilings.py
+++ b/opalwick/post/counter/ceilings.py
@@ -189,8 +189,8 @@
             held.until = max(held.until, until)
 
     def leave(self) -> None:
-        """The process is to end: releases all leases, so that another gateway can get them at once. The permits
-        that it has granted are used by then.
+        """The process is to end: releases all leases, so that another gateway can get them at once. The
+        permits that it has granted are used by then.
         """
         released = sorted({*self.held, *self.tried})
         self.back_at = {svc: self.now for svc in self.rates}
--- a/opalwick/post/counter/holding.py
+++ b/opalwick/post/counter/holding.py
@@ -1,6 +1,6 @@
-"""A counter's shares of what is left of its services while a maintenance window is in force. No I/O.
+"""Customers' shares of the remaining capacity of services during a maintenance window. No I/O.
 
-Without a declaration of shares nothing of it is made: `on` is False.
+Without a declaration of shares it is inactive: `active` is False, and the code for shares is not imported.
 """
 
 from __future__ import annotations
@@ -14,10 +14,13 @@
     from opalwick.post.counter.rounds import Rounds
     from opalwick.post.maintenance.shares import Share
 
-LOOK = 0.1  # s between looks at what is due: a tenth of what a message may wait for its begin
+# s between counts of due messages: a tenth of the time that a message may wait for its start
+CHECK_INTERVAL = 0.1
 
 
 class Holding:
+    """Admits messages of services that have declared shares. Times are in seconds of the gateway's clock."""
+
     def __init__(self, rounds: Rounds) -> None:
         self.rounds = rounds
         self.body = b""
@@ -30,6 +33,7 @@
         return bool(self.of)
 
     def configured(self, now: float, body: bytes) -> None:
+        """Applies a declaration of shares; an empty one turns them off."""
         if body == self.body:
             return
         self.body, self.of = body, {}
@@ -40,7 +44,7 @@
             self.tick(now)
 
     def places(self, svc: str, depth: float, resting: Resting) -> float:
-        """This counter's part of what the service's workers that may be sent to have."""
+        """This gateway's part of the slots of the service's available workers, times `depth`."""
         slots = sum(
             w.capacity
             for w in self.rounds.workers.values()
@@ -51,25 +55,28 @@
         return depth * slots / self.rounds.schedulers
 
     def tick(self, now: float) -> None:
+        """Counts the due messages of each customer; called periodically."""
         if not self.of or now < self.look_at:
             return
         from opalwick.post.maintenance.shares import DEPTH
 
-        self.look_at = now + LOOK
-        held: dict[str, dict[str, int]] = {svc: {} for svc in self.of}
+        self.look_at = now + CHECK_INTERVAL
+        due_by_service: dict[str, dict[str, int]] = {svc: {} for svc in self.of}
         for item in self.rounds.items.values():
             if item.over or item.aim_at > now or item.route is None or item.route.svc not in self.of:
                 continue
             svc = item.route.svc
             partner = self.of[svc].partner(item.route.name)
-            held[svc][partner] = held[svc].get(partner, 0) + 1
+            due_by_service[svc][partner] = due_by_service[svc].get(partner, 0) + 1
         for svc, share in self.of.items():
             ended = self.rounds.by_service.get(svc, 0)
-            share.observe(now, self.places(svc, DEPTH, self.rounds.resting), held[svc], ended - share.ends)
+            share.observe(
+                now, self.places(svc, DEPTH, self.rounds.resting), due_by_service[svc], ended - share.ends
+            )
             share.ends = ended
 
     def ask(self, route: Route) -> float:
-        """Nought, or the seconds after which to come again."""
+        """Returns 0 if a message of this route is admitted, else the seconds after which to retry."""
         share = self.of.get(route.svc)
         return share.ask(route.name, route.prio) if share is not None else 0.0
 
--- a/opalwick/post/counter/known.py
+++ b/opalwick/post/counter/known.py
@@ -1,6 +1,7 @@
-"""Which depots a counter knows and watches: few, named by rendezvous hashing, however many there are.
+"""Which stores a gateway keeps links to: few, by rendezvous hashing, however many there are.
 
-Messages are kept at these alone. Others are called on when a message that they keep is assigned or asked for.
+A gateway stores messages at these alone. It links to another store for a while if a message that is stored
+there is assigned to it or looked up.
 """
 
 from __future__ import annotations
@@ -9,21 +10,24 @@
 
 from opalwick.post.wire_pb2 import Node
 
-# depots of the own zone to each copy, and so many in all at least: enough are left with what may be lost
+# stores of the own zone per replica, and minimum in total per replica: enough remain after the failures that
+# messages must survive
 NEAR = 3
-FAR = 1  # of each other zone; to each copy where copies stand in different zones
+FAR = 1  # stores of each other zone; per replica if replicas are spread over zones
 
 
-def known(depots: list[Node], node: str, zone: str, copies: int, spread: bool) -> list[Node]:
-    """Of all that are there, those that a counter in that zone is linked to."""
-    ranked = sorted(depots, key=lambda depot: (zlib.crc32(f"{node}/{depot.node}".encode()), depot.node))
-    taken: dict[str, int] = {}
-    found = []
-    for depot in ranked:
-        most = NEAR * copies if depot.zone == zone else FAR * copies if spread else FAR
-        if taken.get(depot.zone, 0) < most:
-            taken[depot.zone] = taken.get(depot.zone, 0) + 1
-            found.append(depot)
-    names = {depot.node for depot in found}  # where the zone has few, and others many
-    rest = [depot for depot in ranked if depot.node not in names]
-    return found + rest[: max(0, NEAR * copies - len(found))]
+def known(stores: list[Node], node: str, zone: str, replicas: int, spread: bool) -> list[Node]:
+    """The stores to which a gateway in that zone keeps links. `replicas`: of a message. `spread`: whether
+    replicas are in different zones.
+    """
+    ranked = sorted(stores, key=lambda store: (zlib.crc32(f"{node}/{store.node}".encode()), store.node))
+    chosen: dict[str, int] = {}
+    linked = []
+    for store in ranked:
+        limit = NEAR * replicas if store.zone == zone else FAR * replicas if spread else FAR
+        if chosen.get(store.zone, 0) < limit:
+            chosen[store.zone] = chosen.get(store.zone, 0) + 1
+            linked.append(store)
+    names = {store.node for store in linked}  # if the zone has few stores, others fill up
+    rest = [store for store in ranked if store.node not in names]
+    return linked + rest[: max(0, NEAR * replicas - len(linked))]
--- a/opalwick/post/counter/shares.py
+++ b/opalwick/post/counter/shares.py
@@ -1,7 +1,7 @@
-"""Which workers a counter uses of a service, and by how many connections: a worker takes only so many.
+"""Which workers of a service a gateway uses, and by how many connections: a worker limits its connections.
 
-Rendezvous hashing names them: each counter ranks all workers by itself, near ones first, and the first are
-its own. All counters together then stay under what the workers take, without a word between them.
+Each gateway ranks all workers by rendezvous hashing, those of its own zone first, and uses the first ones. So
+all gateways together stay below the workers' limits without coordination.
 """
 
 from __future__ import annotations
@@ -10,21 +10,24 @@
 
 from opalwick.post.counter.desks import Row
 
-ROOM = 0.9  # of a worker's connections that are planned for: counters learn of each other late
-TWO = 2  # workers at least, where there are two: one alone may be the sick one
+# share of a worker's connections that is allotted: gateways learn of each other with a delay
+ALLOTTED_SHARE = 0.9
+MIN_WORKERS = 2  # workers that a gateway uses if there are as many: a single one may be faulty
 
 
-def budget(most: int, workers: int, counters: int) -> tuple[int, int]:
-    """Workers that a counter uses, and connections to each. `most`: that a worker takes, 0: not known."""
-    if not most or not workers:
+def budget(limit: int, workers: int, gateways: int) -> tuple[int, int]:
+    """Returns how many workers a gateway uses, and how many connections to each (0: no limit). `limit`:
+    number of connections that a worker accepts, 0 if not known.
+    """
+    if not limit or not workers:
         return workers, 0
-    mine = ROOM * most * workers / max(1, counters)
-    each = int(mine / workers) or (2 if mine >= 2 * TWO else 1)
-    return min(workers, max(TWO, int(mine / each))), each
+    allotted = ALLOTTED_SHARE * limit * workers / max(1, gateways)
+    each = int(allotted / workers) or (2 if allotted >= 2 * MIN_WORKERS else 1)
+    return min(workers, max(MIN_WORKERS, int(allotted / each))), each
 
 
 def chosen(rows: list[Row], node: str, zone: str, count: int) -> list[Row]:
-    """Those that a counter in that zone uses; one that is to end is in use until it has."""
+    """The workers that a gateway in that zone uses. A draining worker stays in use until it has ended."""
     ranked = sorted(
         (row for row in rows if not row.draining),
         key=lambda row: (row.zone != zone, zlib.crc32(f"{node}/{row.id}".encode())),
