--- a/opalwick/post/counter/role.py
+++ b/opalwick/post/counter/role.py
@@ -36,9 +36,8 @@
 # s from SIGTERM until connections are closed: the platform checks readiness each second and needs two
 # failures
 AFTER = 2.3
-CLOSE = (
-    0.2  # s after that until held messages return to their stores: requests just received are stored by then
-)
+# s after that until held messages return to their stores: requests just received are stored by then
+CLOSE = 0.2
 SWEEP = 1.0  # s between removals of expired state
 COUNTED = 0.25  # s that a count of waiting messages stays valid: far less than any limit of waiting time
 CALLED = 30.0  # s that a temporary link to a store is kept after its last use
