--- a/opalwick/post/counter/item.py
+++ b/opalwick/post/counter/item.py
@@ -62,7 +62,7 @@
 
 
 class Start(NamedTuple):
-    """Starts a delivery."""
+    """Starts a delivery. A replayed trace shows it under the names of its fields."""
 
     item: Item
     key: Any
@@ -73,7 +73,7 @@
 
 
 class Stop(NamedTuple):
-    """Cancels a delivery."""
+    """Cancels a delivery; see `Start`."""
 
     key: Any
     number: int
