--- a/opalwick/lab/post/roles.py
+++ b/opalwick/lab/post/roles.py
@@ -12,16 +12,16 @@
 from opalwick.lab.post import disks
 from opalwick.lab.post.process import DISKS, PROCESSES, Machine, Proc, quiet
 from opalwick.post.counter.agent import ACCEPTS, LAST
-from opalwick.post.counter.desks import load as read_load
+from opalwick.post.counter.desks import parse_load as read_load
 from opalwick.post.counter.front import decode, fault, question
 from opalwick.post.counter.item import Start
-from opalwick.post.counter.role import Counter
+from opalwick.post.counter.role import Gateway
 from opalwick.post.depot.agent import GATHER, load, on_disk
 from opalwick.post.depot.role import Depot
 from opalwick.post.office.agent import LOOK, REMEMBER
 from opalwick.post.office.role import Office
 from opalwick.post.settings import Settings
-from opalwick.post.verdict import Verdict, of_status
+from opalwick.post.verdict import DeliveryOutcome, outcome_of_status
 from opalwick.protocol.conversation import Call
 from opalwick.protocol.http import Malformed, Message
 
@@ -89,12 +89,12 @@
         self.timer: Entry | None = None
 
     def unwanted(self) -> bool:
-        return self.given_up or self.proc.now() >= self.until or not self.proc.role.still(self.order)
+        return self.given_up or self.proc.now() >= self.until or not self.proc.role.may_start(self.order)
 
     def begin(self) -> None:
         proc = self.proc
         if self.unwanted():
-            self.end(Verdict.NOT_SENT)
+            self.end(DeliveryOutcome.NOT_SENT)
             return
         place = self.order.place[:2]
         idle = proc.idle.get(place)
@@ -104,7 +104,7 @@
                 worker.there
                 and proc.agenda.now - since < 0.7 * IDLE - 0.1
                 # whoever is there has said who it is as the connection came up
-                and (worker.id == self.order.place[2] or not proc.role.must_meet(self.order))
+                and (worker.id == self.order.place[2] or not proc.role.must_identify(self.order))
             ):
                 self.worker, self.kept = worker, True
                 self.send()
@@ -123,19 +123,19 @@
         proc.agenda.after(trip, proc.event, self.up, found)
 
     def no_connection(self) -> None:
-        self.end(Verdict.NOT_SENT if self.unwanted() else Verdict.ABSENT)
+        self.end(DeliveryOutcome.NOT_SENT if self.unwanted() else DeliveryOutcome.ABSENT)
 
     def up(self, worker: Worker | None) -> None:
         if self.over:
             return
         if worker is None or not worker.there or worker.dark:
-            self.end(Verdict.ABSENT)  # nobody listens there
+            self.end(DeliveryOutcome.ABSENT)  # nobody listens there
             return
         # answered while it came up, or given up: nothing is sent any more
         if self.unwanted():
-            self.end(Verdict.NOT_SENT)
+            self.end(DeliveryOutcome.NOT_SENT)
             return
-        if self.proc.role.must_meet(self.order):
+        if self.proc.role.must_identify(self.order):
             trip = self.proc.world.net.delay(self.proc.node, worker.id)
             self.proc.agenda.after(2.0 * trip, self.proc.event, self.meets, worker)
             return
@@ -146,11 +146,11 @@
         """It has said who it is, before the message goes out."""
         if self.over:
             return
-        if not worker.there or worker.dark or not self.proc.role.met(self.order, worker.id):
-            self.end(Verdict.NOT_SENT if self.unwanted() else Verdict.ABSENT)
+        if not worker.there or worker.dark or not self.proc.role.is_intended(self.order, worker.id):
+            self.end(DeliveryOutcome.NOT_SENT if self.unwanted() else DeliveryOutcome.ABSENT)
             return
         if self.unwanted():
-            self.end(Verdict.NOT_SENT)
+            self.end(DeliveryOutcome.NOT_SENT)
             return
         self.worker = worker
         self.send()
@@ -162,7 +162,7 @@
         if self.timer is not None:
             self.timer.cancel()
         self.timer = proc.agenda.after(
-            max(0.0, self.until - proc.now()), proc.event, self.end, Verdict.SILENT
+            max(0.0, self.until - proc.now()), proc.event, self.end, DeliveryOutcome.SILENT
         )
         proc.world.deliver(self, worker)
 
@@ -172,23 +172,23 @@
             return
         self.run = None
         self.proc.world.note("read", run.number)
-        verdict = of_status(status, not_run, bool(seal))
+        verdict = outcome_of_status(status, not_run, bool(seal))
         assert self.worker is not None
-        if verdict is not Verdict.ABSENT:
+        if verdict is not DeliveryOutcome.ABSENT:
             self.proc.idle.setdefault(self.order.place[:2], []).append((self.worker, self.proc.agenda.now))
         self.end(verdict, seal, read_load(told) if told else None)
 
     def broken(self) -> None:
         """The connection was reset, or closed."""
         self.run = None
-        self.end(Verdict.CANCELLED if self.given_up else Verdict.BROKEN, kept=self.kept)
+        self.end(DeliveryOutcome.CANCELLED if self.given_up else DeliveryOutcome.BROKEN, kept=self.kept)
 
     def give_up(self) -> None:
         self.given_up = True
         if self.sent:
-            self.proc.after(0.0, self.end, Verdict.CANCELLED)
+            self.proc.after(0.0, self.end, DeliveryOutcome.CANCELLED)
 
-    def end(self, verdict: Verdict, seal: str = "", load: Any = None, kept: bool = False) -> None:
+    def end(self, verdict: DeliveryOutcome, seal: str = "", load: Any = None, kept: bool = False) -> None:
         if self.over:
             return
         self.over = True
@@ -198,14 +198,14 @@
             self.proc.world.hang_up(self)
         proc = self.proc
         proc.sendings.pop((self.order.key, self.order.number), None)
-        if verdict.ran is None and verdict is not Verdict.CANCELLED:
+        if verdict.ran is None and verdict is not DeliveryOutcome.CANCELLED:
             proc.idle.pop(self.order.place[:2], None)
-        proc.guarded(proc.role.ended, self.order, verdict, seal, load, kept)
+        proc.guarded(proc.role.delivery_ended, self.order, verdict, seal, load, kept)
         proc.settle()
 
 
 class CounterProc(Serving):
-    role: Counter
+    role: Gateway
 
     def __init__(self, world: Any, machine: Machine) -> None:
         self.sendings: dict[tuple[Any, int], Sending] = {}
@@ -214,14 +214,14 @@
 
     def make(self, settings: Settings, life: int, now: float) -> Any:
         octets = Random(f"{settings.node}/{life}").randbytes
-        return quiet(Counter)(settings, life, now, ACCEPTS, octets)  # type: ignore[call-arg]
+        return quiet(Gateway)(settings, life, now, ACCEPTS, octets)  # type: ignore[call-arg]
 
     def ready(self) -> bool:
         """As the platform finds out."""
         return self.alive and not self.still and self.role.ready()
 
     def perform(self) -> None:
-        orders, self.role.orders = self.role.orders, []
+        orders, self.role.commands = self.role.commands, []
         for order in orders:
             if isinstance(order, Start):
                 sending = self.sendings[order.key, order.number] = Sending(self, order)
--- a/opalwick/lab/post/workers.py
+++ b/opalwick/lab/post/workers.py
@@ -44,7 +44,7 @@
 
     def __init__(self, number: int, sending: Sending) -> None:
         self.number, self.sending = number, sending
-        letter = sending.order.item.letter
+        letter = sending.order.item.message
         self.rid, self.want, self.within = letter.rid, sending.order.place[2], sending.order.within
         self.began = self.closed = self.over = self.slot = False
         self.timer: Entry | None = None
@@ -97,7 +97,7 @@
         if not self.there:
             world.reset(run, self.id)
             return
-        letter = run.sending.order.item.letter
+        letter = run.sending.order.item.message
         world.note(
             "arrived",
             run.number,
--- a/opalwick/lab/verify/answers.py
+++ b/opalwick/lab/verify/answers.py
@@ -13,7 +13,7 @@
 from opalwick.lab.verify.explorer import Broken, Step
 from opalwick.lab.verify.replayed import Replayed
 from opalwick.post.counter.delivery import Delivery
-from opalwick.post.verdict import Verdict
+from opalwick.post.verdict import DeliveryOutcome
 from opalwick.post.wire_pb2 import Letter
 from opalwick.transport.connection import Connection
 from opalwick.transport.limits import within
@@ -218,16 +218,22 @@
             raise Broken("no end", f"request {self.number} has {len(told)} ends")
         verdict, seal, _ = told[0]
         ran = self.ran.get(self.number, False)
-        if verdict is Verdict.DONE and not (ran and seal == f"s{self.number}"):
+        if verdict is DeliveryOutcome.DONE and not (ran and seal == f"s{self.number}"):
             raise Broken("another's answer", f"request {self.number} is done by seal {seal!r}")
         if verdict.ran is True and not ran:
             raise Broken("another's answer", f"request {self.number} never ran and is {verdict.text}")
         if verdict.ran is False and ran:
             raise Broken("said not run", f"request {self.number} ran and is {verdict.text}")
-        if verdict is Verdict.FULL and self.does.says != 503:
+        if verdict is DeliveryOutcome.FULL and self.does.says != 503:
             raise Broken("another's answer", f"request {self.number} was taken and is {verdict.text}")
         did = self.does
-        broken = not did.framed or did.ends or did.late or (did.early and long) or verdict is Verdict.BROKEN
+        broken = (
+            not did.framed
+            or did.ends
+            or did.late
+            or (did.early and long)
+            or verdict is DeliveryOutcome.BROKEN
+        )
         if broken and self.last in self.pool.kept.get(PLACE[:2], []):
             raise Broken("beyond a break", f"the connection of request {self.number} is used again")
 
--- a/opalwick/lab/verify/depots.py
+++ b/opalwick/lab/verify/depots.py
@@ -18,16 +18,16 @@
 from opalwick.lab.verify.explorer import Broken, Step
 from opalwick.lab.verify.rows import Rows
 from opalwick.lab.verify.words import Said, packed, unpacked
-from opalwick.post.counter.desks import Desk, Waiting
+from opalwick.post.counter.desks import Dispatcher, WaitQueue
 from opalwick.post.counter.item import Start
-from opalwick.post.counter.role import Counter
+from opalwick.post.counter.role import Gateway
 from opalwick.post.counter.routes import Routes
 from opalwick.post.depot.agent import load, on_disk
 from opalwick.post.depot.records import Fetch, Write
 from opalwick.post.depot.role import Depot
 from opalwick.post.message_state import MessageState
 from opalwick.post.settings import Settings, parse
-from opalwick.post.verdict import Verdict
+from opalwick.post.verdict import DeliveryOutcome
 from opalwick.post.wire_pb2 import Conf, Hello, Letter, News, Route, Service
 from opalwick.routing.reducer import Send
 
@@ -90,31 +90,31 @@
         self.answers.append(status)
 
 
-class OneWorker(Desk):
+class OneWorker(Dispatcher):
     """A desk with one worker, which takes all."""
 
     def __init__(self, service: Service) -> None:
-        self.service, self.wake_at, self.queue, self.cancels = service, math.inf, Waiting(), 0
+        self.service, self.wake_at, self.permit_queue, self.cancels = service, math.inf, WaitQueue(), 0
         self.reducer = SimpleNamespace(items={})  # type: ignore[assignment]
-        self.numbers, self.home = 0, ""
+        self.last_number, self.country = 0, ""
 
     def category(self, route: Route) -> Any: ...
 
-    def put(self, now: float, kind: str, *fields: Any) -> Iterator[Any]:
+    def feed(self, now: float, kind: str, *fields: Any) -> Iterator[Any]:
         if kind == "taken":
-            self.numbers += 1
+            self.last_number += 1
             self.reducer.items[fields[0]] = fields[0]
-            yield Send(fields[0], self.numbers, "w", ("w", 1, "w"), 0.0)
+            yield Send(fields[0], self.last_number, "w", ("w", 1, "w"), 0.0)
         else:
             self.reducer.items.pop(fields[0], None)
 
-    def told(self, load: Any) -> tuple[float, ...]:
+    def load_figures(self, load: Any) -> tuple[float, ...]:
         return ()
 
-    def away(self, id: str) -> bool:
+    def in_other_zone(self, id: str) -> bool:
         return False
 
-    def doubt(self) -> None: ...
+    def decay_load_estimates(self) -> None: ...
 
 
 class StillChance:
@@ -122,14 +122,14 @@
         return 0.5
 
 
-class Taking(Counter):
+class Taking(Gateway):
     last_mid = ""  # of the message that was offered last
 
     def event(self, number: int, **fields: Any) -> None: ...
 
-    def offered(self, call: Any, message: Any, letter: Letter, delay: float) -> None:
-        super().offered(call, message, letter, delay)
-        self.last_mid = letter.mid
+    def offered(self, call: Any, request: Any, message: Letter, delay: float) -> None:
+        super().offered(call, request, message, delay)
+        self.last_mid = message.mid
 
 
 class Holding(Depot):
@@ -255,7 +255,7 @@
         ]
         if self.budget.sends:
             found += [
-                ("sends", me) for me in self.counters if self.runs(me) and self.machines[me].role.orders
+                ("sends", me) for me in self.counters if self.runs(me) and self.machines[me].role.commands
             ]
         return found
 
@@ -509,7 +509,7 @@
         role.intake.retiring = set(retiring)
         if role.rounds.routes is None:
             role.rounds.routes = Routes(conf)
-            role.rounds.desks = {"s": OneWorker(Service(name="s"))}
+            role.rounds.dispatchers = {"s": OneWorker(Service(name="s"))}
 
     def ends(self, me: str, how: str) -> None:
         machine = self.at(me)
@@ -552,15 +552,15 @@
         role.clock(self.now)
         if kind == "has a success":
             self.budget = self.budget.less("ends")
-            role.ended(machine.flights.pop(0), Verdict.DONE, "seal", None, False)
+            role.delivery_ended(machine.flights.pop(0), DeliveryOutcome.DONE, "seal", None, False)
             return
-        order = role.orders.pop(0)
+        order = role.commands.pop(0)
         if isinstance(order, Start):
-            if role.still(order):
+            if role.may_start(order):
                 self.budget = self.budget.less("sends")
                 machine.flights.append(order)
             else:
-                role.ended(order, Verdict.NOT_SENT, "", None, False)
+                role.delivery_ended(order, DeliveryOutcome.NOT_SENT, "", None, False)
 
     # ---- properties
 
@@ -625,7 +625,7 @@
         """Whether that counter, as it wakes if it stands still, would send it now."""
         role = self.machines[me].role
         item = role.rounds.items.get(mid) if role is not None else None
-        if item is None or item.foreign or item.over:
+        if item is None or item.reassigned or item.closed:
             return False
         was, role.now = role.now, self.now
         able = role.may_send(item)
--- a/opalwick/lab/verify/leases.py
+++ b/opalwick/lab/verify/leases.py
@@ -84,7 +84,7 @@
         core = Ceilings(node, self.lives[node])
         core.now = self.now
         core.configured({DUTY: 20.0}, list(self.nodes), len(OFFICES))
-        core.wants[DUTY] = 1  # something always waits for a permit
+        core.waiting[DUTY] = 1  # something always waits for a permit
         core.tick(self.now)
         return core
 
@@ -104,7 +104,11 @@
             (
                 node,
                 core is not None
-                and Seen(self.now, FAR, out=("heard", "voters", "asked", "sends", "permitted")).seen(core),
+                and Seen(
+                    self.now,
+                    FAR,
+                    out=("reported_holders", "reported_voters", "lease_requests", "outbox", "granted"),
+                ).seen(core),
             )
             for node, core in self.counters.items()
         ]
@@ -119,14 +123,14 @@
                     sorted(self.told.get((who, office), {"": ""}).items()),
                 ]
             for _, core in cores:
-                at.append(sorted(core.heard.get(office, {"": ""}).items()))
-                at.append(core.voters.get(office))
-                at.append([(call, office in asked[1]) for call, asked in core.asked.items()])
+                at.append(sorted(core.reported_holders.get(office, {"": ""}).items()))
+                at.append(core.reported_voters.get(office))
+                at.append([(call, office in asked[1]) for call, asked in core.lease_requests.items()])
             found.append(repr(at))
         asked = [
             [
                 (call, Seen(self.now, FAR).time(at), sorted(grants.items()))
-                for call, (at, _, grants) in core.asked.items()
+                for call, (at, _, grants) in core.lease_requests.items()
             ]
             for _, core in cores
         ]
@@ -303,10 +307,10 @@
             if core is None:
                 continue
             was, core.now = core.now, self.now  # whenever it wakes, it looks at the time first
-            held, core.now = core.holds(DUTY), was
+            held, core.now = core.current_lease(DUTY), was
             if held is not None:
                 holding.append(node)
-                self.covered(node, held.until)
+                self.covered(node, held.expires_at)
         if len(holding) > 1:
             raise Broken("two holders", f"{' and '.join(holding)} have the duty")
 
--- a/opalwick/lab/verify/mutants.py
+++ b/opalwick/lab/verify/mutants.py
@@ -41,7 +41,7 @@
 from opalwick.post.counter.ceilings import Ceilings
 from opalwick.post.counter.delivery import Delivery
 from opalwick.post.counter.intake import Intake
-from opalwick.post.counter.role import Counter
+from opalwick.post.counter.role import Gateway
 from opalwick.post.depot import keeping
 from opalwick.post.depot.keeping import Keeping
 from opalwick.post.depot.moving import Moving
@@ -310,7 +310,7 @@
 
 @mutant("fence", depot(Fence(time=6, turns=0), *CUT), "two deliverers")
 def a_lapsed_counter_goes_on(patch: Patch) -> None:
-    patch(Counter, "may_send", lambda self, item: True)
+    patch(Gateway, "may_send", lambda self, item: True)
 
 
 @mutant("fence", depot(Fence(time=6, freeze=1, turns=0), *KEPT), "two deliverers")
@@ -325,22 +325,22 @@
 
 @mutant("fence", depot(Fence(time=6, turns=0), *UNHEARD), "two deliverers")
 def a_pulse_proves_its_arrival(patch: Patch) -> None:
-    heard_by = Counter.heard_by
+    heard_by = Gateway.echoed
 
-    def now(self: Counter, node: str, at: float) -> None:
+    def now(self: Gateway, node: str, at: float) -> None:
         heard_by(self, node, self.now)
 
-    patch(Counter, "heard_by", now)
+    patch(Gateway, "echoed", now)
 
 
 @mutant("fence", depot(Fence(time=3, turns=0), *BACK), "two deliverers")
 def sure_without_an_answer(patch: Patch) -> None:
     """Back in touch, it goes on before its depots have said whose its messages are."""
 
-    def may_send(self: Counter, item: Any) -> bool:
-        return any(self.fresh(node) for node in item.touched)
+    def may_send(self: Gateway, item: Any) -> bool:
+        return any(self.fresh(node) for node in item.replicas)
 
-    patch(Counter, "may_send", may_send)
+    patch(Gateway, "may_send", may_send)
 
 
 @mutant("fence", depot(Fence(time=3, turns=0), *BACK), "two deliverers")
@@ -365,7 +365,7 @@
 
     patch(Keeping, "lapsed", alone)
     # a counter that asked the other depot first would be told by it whose the message is
-    patch(Counter, "awaits", lambda self, node, item: False)
+    patch(Gateway, "awaits", lambda self, node, item: False)
 
 
 @mutant("fence", depot(Fence(time=6, cut=1, turns=0), *KEPT), "two deliverers")
@@ -443,12 +443,12 @@
 
 @mutant("lease", lease(Lease(time=3, turns=3)), "two holders", "beyond its grant")
 def counted_from_the_answer(patch: Patch) -> None:
-    has = Ceilings.has
+    has = Ceilings.acquire
 
     def longer(self: Ceilings, svc: str, until: float) -> None:
-        has(self, svc, self.now + ceilings.SPAN - ceilings.MARGIN)
+        has(self, svc, self.now + ceilings.LEASE_SPAN - ceilings.MARGIN)
 
-    patch(Ceilings, "has", longer)
+    patch(Ceilings, "acquire", longer)
 
 
 @mutant("lease", lease(Lease(time=2, turns=2)), "two holders", "beyond its grant")
@@ -469,7 +469,7 @@
 
 @mutant("lease", lease(Lease(time=2, turns=0)), "beyond its grant")
 def longer_than_a_voter_grants(patch: Patch) -> None:
-    patch(ceilings, "SPAN", 2.5)
+    patch(ceilings, "LEASE_SPAN", 2.5)
 
 
 @mutant("lease", lease(Lease(time=4, leaves=1, turns=2)), "two holders", "beyond its grant")
@@ -477,7 +477,7 @@
     leased = Ceilings.leased
 
     def any_time(self: Ceilings, office: str, word: Any) -> None:
-        self.back_at = {}
+        self.released_at = {}
         leased(self, office, word)
 
     patch(Ceilings, "leased", any_time)
@@ -544,7 +544,7 @@
 @mutant("answer", asked(2), "said not run", "another's answer")
 def who_speaks_first_is_heard(patch: Patch) -> None:
     def greet(self: Delivery, connection: Any) -> None:
-        self.alone = connection.used == 1
+        self.only_request = connection.used == 1
 
     patch(Delivery, "greet", greet)
 
@@ -554,7 +554,7 @@
     listen = Delivery.listen
 
     def keeps(self: Delivery, connection: Any) -> Any:
-        self.whole = True
+        self.fully_written = True
         return listen(self, connection)
 
     patch(Delivery, "listen", keeps)
@@ -563,6 +563,6 @@
 @mutant("answer", asked(2), "said not run")
 def a_break_is_taken_for_not_run(patch: Patch) -> None:
     def bare(self: Delivery, outcome: Any) -> Any:
-        return delivery.Verdict.NOT_SENT, "", None
+        return delivery.DeliveryOutcome.NOT_SENT, "", None
 
     patch(Delivery, "bare", bare)
--- a/opalwick/post/counter/agent.py
+++ b/opalwick/post/counter/agent.py
@@ -9,13 +9,13 @@
 import gevent
 
 from opalwick.post import events
-from opalwick.post.counter.delivery import Delivery, Meeting
+from opalwick.post.counter.delivery import Delivery, Identification
 from opalwick.post.counter.front import Counting
 from opalwick.post.counter.item import Start
-from opalwick.post.counter.role import Counter
+from opalwick.post.counter.role import Gateway
 from opalwick.post.link import Process, Shell
 from opalwick.post.settings import Settings
-from opalwick.post.verdict import Verdict
+from opalwick.post.verdict import DeliveryOutcome
 from opalwick.post.wire_pb2 import Letter
 from opalwick.protocol.conversation import Call
 from opalwick.protocol.door import Door
@@ -32,17 +32,17 @@
 
 
 class CounterShell(Shell):
-    role: Counter
+    role: Gateway
 
     def __init__(self, settings: Settings, process: Process) -> None:
         now = time.monotonic()
-        super().__init__(Counter(settings, int(time.time() * 1000), now, ACCEPTS), process)
+        super().__init__(Gateway(settings, int(time.time() * 1000), now, ACCEPTS), process)
         self.settings = settings
         self.limits: Limits = replace(
             within(settings.nofile - 200, settings.mem_mb, 4096, 15.0, 0.3, 60.0, 3.0), body=BODY
         )
         self.pool = Pool(self.limits.workers, 60.0, self.limits.ring)
-        self.pool.each_to = self.role.rounds.each
+        self.pool.each_to = self.role.rounds.connection_limits
         self.deliveries: dict[tuple[Any, int], Delivery] = {}
         self.pulse = Standing(now)  # whether this process stood still
         self.door: Any = None
@@ -69,7 +69,7 @@
     # ---- deliveries
 
     def perform(self) -> None:
-        orders, self.role.orders = self.role.orders, []
+        orders, self.role.commands = self.role.commands, []
         for order in orders:
             if isinstance(order, Start):
                 self.start(order)
@@ -79,20 +79,20 @@
     def start(self, order: Start) -> None:
         def wanted() -> bool:
             self.role.clock(time.monotonic())
-            return self.role.still(order)
+            return self.role.may_start(order)
 
         def tell(end: Any, kept: bool) -> None:
             self.deliveries.pop((order.key, order.number), None)
-            if end[0].ran is None and end[0] is not Verdict.CANCELLED:
+            if end[0].ran is None and end[0] is not DeliveryOutcome.CANCELLED:
                 # the next one finds out by a new connection, in a tenth of the time, whether anybody is there
                 self.pool.drop(order.place[:2])
             self.role.clock(time.monotonic())
-            self.guarded(self.role.ended, order, *end, kept)
+            self.guarded(self.role.delivery_ended, order, *end, kept)
             self.settle()
 
         delivery = self.deliveries[order.key, order.number] = Delivery(
             order.place,
-            order.item.letter,
+            order.item.message,
             order.within,
             wanted,
             self.pool,
@@ -102,11 +102,11 @@
         )
         gevent.spawn(delivery.run)
 
-    def meeting(self, order: Start) -> Meeting | None:
-        if not self.role.must_meet(order):
+    def meeting(self, order: Start) -> Identification | None:
+        if not self.role.must_identify(order):
             return None
-        service = self.role.rounds.desks[order.item.svc].service
-        return Meeting(service.probe, lambda name: self.role.met(order, name))
+        service = self.role.rounds.dispatchers[order.item.dispatcher_name].service
+        return Identification(service.probe, lambda name: self.role.is_intended(order, name))
 
     # ---- running
 
@@ -155,6 +155,6 @@
         for greenlet in accepting:  # what was not accepted was not read: the client goes on
             greenlet.kill()
         self.finish(until)  # a request may have come in the moment before
-        events.say(104, held=self.role.rounds.held(), ends=len(self.role.rounds.ending))
+        events.say(104, held=self.role.rounds.held(), ends=len(self.role.rounds.unconfirmed_ends))
         gevent.sleep(0.05)
         self.ending = True
--- a/opalwick/post/counter/agreement.py
+++ b/opalwick/post/counter/agreement.py
@@ -31,7 +31,7 @@
 
     def await_from(self, item: Item, nodes: set[str], now: float) -> None:
         """It begins once these have agreed, or are out of touch."""
-        item.awaited, item.since = nodes, now
+        item.awaited, item.awaited_since = nodes, now
 
     def tell(self, item: Item, claim: int, holders: Iterable[str]) -> None:
         """All that keep the message hear that it is delivered here; those that it awaits are asked."""
@@ -41,7 +41,7 @@
 
     def ask_again(self, node: str) -> None:
         """That depot's answers may have been lost with a link."""
-        asked = [item for item in self.items.values() if node in item.awaited and not item.foreign]
+        asked = [item for item in self.items.values() if node in item.awaited and not item.reassigned]
         if asked:
             mids, claims = [item.mid for item in asked], [item.claim for item in asked]
             self.send(node, "mine", Mine(mids=mids, claims=claims, ask=True))
@@ -72,5 +72,5 @@
                 self.resume(item)
 
     def goes_on(self, item: Item, now: float) -> bool:
-        over = item.over or item.foreign or item.until <= now
+        over = item.closed or item.reassigned or item.expires_at <= now
         return over or self.may_send(item)
--- a/opalwick/post/counter/answers.py
+++ b/opalwick/post/counter/answers.py
@@ -10,7 +10,7 @@
 
 from __future__ import annotations
 
-from opalwick.post.verdict import Verdict, of_status
+from opalwick.post.verdict import DeliveryOutcome, outcome_of_status
 from opalwick.protocol.http import Message
 
 EARLY = 8192  # bytes of a request from which an answer may come before all of it is written
@@ -23,12 +23,12 @@
     return only_request if said is None else said == request_id
 
 
-def verdict(answer: Message, request_id: bytes, only_request: bool, whole_request: bool) -> Verdict:
+def verdict(answer: Message, request_id: bytes, only_request: bool, whole_request: bool) -> DeliveryOutcome:
     """What a whole answer proves. `whole_request`: the last byte of the request was written."""
     if not belongs(answer, request_id, only_request):
-        return Verdict.BROKEN if whole_request else Verdict.NOT_SENT
+        return DeliveryOutcome.BROKEN if whole_request else DeliveryOutcome.NOT_SENT
     sealed = bool(answer.headers.get(b"x-seal"))
-    found = of_status(answer.status, b"x-not-run" in answer.headers, sealed)
-    if whole_request or found in (Verdict.FULL, Verdict.ABSENT):
+    found = outcome_of_status(answer.status, b"x-not-run" in answer.headers, sealed)
+    if whole_request or found in (DeliveryOutcome.FULL, DeliveryOutcome.ABSENT):
         return found
-    return Verdict.NOT_SENT
+    return DeliveryOutcome.NOT_SENT
--- a/opalwick/post/counter/delivery.py
+++ b/opalwick/post/counter/delivery.py
@@ -9,8 +9,8 @@
 
 from opalwick.interface import Outcome
 from opalwick.post.counter.answers import EARLY, TAIL, belongs, verdict
-from opalwick.post.counter.desks import Load, load
-from opalwick.post.verdict import Verdict
+from opalwick.post.counter.desks import Load, parse_load
+from opalwick.post.verdict import DeliveryOutcome
 from opalwick.post.wire_pb2 import Letter
 from opalwick.protocol.errand import Answer, Errand
 from opalwick.protocol.http import Malformed, Message
@@ -18,17 +18,23 @@
 from opalwick.transport.limits import Limits
 from opalwick.transport.pool import Pool
 
-MOST = 1 << 20  # limit in bytes of a response body, whose content is not used
-LATE = 0.05  # s that a response may take to arrive after a run that used its whole time limit
+MAX_BODY = 1 << 20  # limit in bytes of a response body, whose content is not used
+RESPONSE_GRACE = 0.05  # s that a response may take to arrive after a run that used its whole time limit
 _KEEP_ALIVE_TIMEOUT = re.compile(rb"timeout=([0-9]{1,6})")
 _BY_OUTCOME = {
-    verdict.outcome: verdict
-    for verdict in (Verdict.NOT_SENT, Verdict.ABSENT, Verdict.SILENT, Verdict.BROKEN, Verdict.CANCELLED)
+    verdict.reducer_outcome: verdict
+    for verdict in (
+        DeliveryOutcome.NOT_SENT,
+        DeliveryOutcome.ABSENT,
+        DeliveryOutcome.SILENT,
+        DeliveryOutcome.BROKEN,
+        DeliveryOutcome.CANCELLED,
+    )
 }
-Result = tuple[Verdict, str, Load | None]  # outcome, completion token, the worker's load
+Result = tuple[DeliveryOutcome, str, Load | None]  # outcome, completion token, the worker's load
 
 
-def request(message: Letter, within: float, worker: str) -> bytes:
+def request_bytes(message: Letter, within: float, worker: str) -> bytes:
     """Serializes the HTTP request. `within`: the worker's time limit in seconds. `worker`: id of the intended
     worker, empty for any.
     """
@@ -44,17 +50,17 @@
     return b"\r\n".join(lines) + b"\r\n\r\n" + message.body
 
 
-class Meeting(NamedTuple):
+class Identification(NamedTuple):
     """How the worker on a connection is identified before a message is sent on it."""
 
-    probe: str  # path of the service's identification request
-    met: Callable[[str], bool]  # whether the worker with this name is the intended one
+    path: str  # path of the service's identification request
+    matches: Callable[[str], bool]  # whether the worker with this name is the intended one
 
 
 class Delivery(Errand):
     """Sends one message to one worker and reports the outcome once."""
 
-    __slots__ = ("alone", "letter", "meeting", "rid", "tell", "whole", "worker")
+    __slots__ = ("fully_written", "identification", "message", "only_request", "report", "rid", "worker")
 
     def __init__(
         self,
@@ -65,42 +71,47 @@
         pool: Pool,
         limits: Limits,
         tell: Callable[[Result, bool], None],
-        meeting: Meeting | None = None,
+        meeting: Identification | None = None,
     ) -> None:
         """`tell`: receives the outcome, and whether a reused connection broke without a response. `meeting`:
         set for a message subject to data residency.
         """
-        self.worker, self.meeting, self.letter = place[2], meeting, message if meeting is not None else None
+        self.worker, self.identification, self.message = (
+            place[2],
+            meeting,
+            message if meeting is not None else None,
+        )
         host, port, worker = place
         super().__init__(
             (host, port),
-            request(message, within, worker),
-            time.monotonic() + within + LATE,
+            request_bytes(message, within, worker),
+            time.monotonic() + within + RESPONSE_GRACE,
             wanted,
             pool,
             limits,
-            Answer(limits, MOST),
+            Answer(limits, MAX_BODY),
         )
-        self.rid, self.tell = message.rid.encode("latin-1"), tell
-        self.whole = True  # the last byte of the request was written
-        self.alone = False  # it is the only request that was ever sent on the connection
+        self.rid, self.report = message.rid.encode("latin-1"), tell
+        self.fully_written = True  # the last byte of the request was written
+        self.only_request = False  # it is the only request that was ever sent on the connection
 
     def greet(self, connection: Connection) -> None:
         """Identifies the worker where that is required: the address may meanwhile belong to another process,
         which must not receive the message. Raises OSError if the message must not be sent.
         """
-        self.alone = connection.used == 1 and self.meeting is None
-        if self.alone and connection.readable():
+        self.only_request = connection.used == 1 and self.identification is None
+        if self.only_request and connection.readable():
             raise ConnectionAbortedError  # a worker sends nothing before it has received a request
-        if self.meeting is None or connection.known == self.worker.encode("latin-1"):
+        if self.identification is None or connection.known == self.worker.encode("latin-1"):
             return
         # the identification request waits for a slot as the message would, so it may use half of the time
         until = time.monotonic() + 0.5 * (self.until - time.monotonic())
         connection.write(
-            b"GET %s HTTP/1.1\r\nHost: %s\r\n\r\n" % (self.meeting.probe.encode(), self.address[0].encode()),
+            b"GET %s HTTP/1.1\r\nHost: %s\r\n\r\n"
+            % (self.identification.path.encode(), self.address[0].encode()),
             until - time.monotonic(),
         )
-        answer = Answer(self.limits, MOST)
+        answer = Answer(self.limits, MAX_BODY)
         try:
             while answer.last is None:
                 if not (data := connection.read(until - time.monotonic())):
@@ -111,11 +122,11 @@
         last = answer.last
         answer.close()
         name = last.headers.get(b"x-worker", b"")
-        if not self.meeting.met(name.decode("latin-1")) or not last.keep_alive or self.over():
+        if not self.identification.matches(name.decode("latin-1")) or not last.keep_alive or self.over():
             raise ConnectionAbortedError
         connection.known = name
-        assert self.letter is not None
-        self.data = request(self.letter, self.until - LATE - time.monotonic(), self.worker)
+        assert self.message is not None
+        self.data = request_bytes(self.message, self.until - RESPONSE_GRACE - time.monotonic(), self.worker)
 
     def write(self, connection: Connection) -> None:
         """Withholds the last byte of a long request if a response has arrived early: without that byte the
@@ -126,19 +137,19 @@
             return
         connection.write(self.data[:-TAIL], self.until - time.monotonic())
         if connection.readable():
-            self.whole = False
+            self.fully_written = False
         else:
             connection.write(self.data[-TAIL:], self.until - time.monotonic())
 
     def listen(self, connection: Connection) -> Result:
-        result = self.answered(connection)
-        if not self.whole:
+        result = self.read_response(connection)
+        if not self.fully_written:
             connection.close()  # the worker waits for the rest, and would read the next request as that
             if result[0].ran is not False:
                 return self.bare(Outcome.NOT_SENT)
         return result
 
-    def answered(self, connection: Connection) -> Result:
+    def read_response(self, connection: Connection) -> Result:
         answer = self.answer
         try:
             while answer.last is None:
@@ -147,30 +158,30 @@
                     connection.close()
                     return self.bare(Outcome.BROKEN)
                 answer.feed(data)
-            return self.heard(connection, answer.last)
+            return self.interpret(connection, answer.last)
         except (OSError, Malformed) as problem:
             return self.bare(self.failed(connection, problem))
 
-    def heard(self, connection: Connection, response: Message) -> Result:
+    def interpret(self, connection: Connection, response: Message) -> Result:
         fields = response.headers
-        outcome = verdict(response, self.rid, self.alone, self.whole)
-        if not belongs(response, self.rid, self.alone):
+        outcome = verdict(response, self.rid, self.only_request, self.fully_written)
+        if not belongs(response, self.rid, self.only_request):
             connection.close()  # a late response to another request
             return outcome, "", None
         if (idle := _KEEP_ALIVE_TIMEOUT.search(fields.get(b"keep-alive", b""))) is not None:
             # a request must not be sent while the worker closes the idle connection
             self.pool.rests(self.address, max(0.1, 0.7 * float(idle[1]) - 0.1))
         token = fields.get(b"x-seal", b"").decode("latin-1")
-        if outcome is Verdict.ABSENT:
+        if outcome is DeliveryOutcome.ABSENT:
             connection.close()
-        return outcome, token, load(fields.get(b"x-load", b""))
+        return outcome, token, parse_load(fields.get(b"x-load", b""))
 
     def bare(self, outcome: Outcome) -> Result:
         return _BY_OUTCOME[outcome], "", None
 
     def broke(self, end: Result) -> bool:
-        return end[0] is Verdict.BROKEN
+        return end[0] is DeliveryOutcome.BROKEN
 
     def told(self, end: Any, kept: bool) -> None:
-        self.tell(end, kept)
-        del self.tell  # breaks the reference cycle
+        self.report(end, kept)
+        del self.report  # breaks the reference cycle
--- a/opalwick/post/counter/desks.py
+++ b/opalwick/post/counter/desks.py
@@ -20,22 +20,24 @@
 from opalwick.routing.reducer import Reducer, Timer
 
 # s: not a limit in practice, as the delivery scheduling bounds the time of a message
-SPAN = 600.0
+MESSAGE_EXPIRY = 600.0
 # price of a delivery to another zone, in mean jobs: a worker of the own zone is preferred as long as it
 # offers nearly as much. At 0.15 every second job crossed zones under light load, because of noise in the
 # estimated load from other gateways. 0.4 is less than the value of a run that starts late
-CROSS = 0.4
+CROSS_ZONE_PRICE = 0.4
 # s: upper bound of the time until an unresponsive worker is tried again. A trial on a new connection costs
 # one message 0.3 s, and the service may have no other worker; with 8 s, an endpoint that was down for 7 s got
 # nothing for 18 s
-SHUN = 1.0
-CHILL = 3.0  # s: upper bound of the warm-up time that a worker reports at its start
-TARDY = 0.3  # value of a run that starts late, relative to one in time; deployments differ
-RESTLESS = Resting()
-RUN = 0.03  # s: assumed run time of a job until about ten have run, from which the balancer learns it
+MAX_AVOIDANCE = 1.0
+MAX_WARM_UP = 3.0  # s: upper bound of the warm-up time that a worker reports at its start
+LATE_CREDIT = 0.3  # value of a run that starts late, relative to one in time; deployments differ
+NONE_RESTING = Resting()
+ASSUMED_RUN_TIME = (
+    0.03  # s: assumed run time of a job until about ten have run, from which the balancer learns it
+)
 
 
-class Row(NamedTuple):
+class WorkerRow(NamedTuple):
     """A worker in the directory."""
 
     id: str
@@ -44,7 +46,7 @@
     zone: str
     capacity: int  # jobs at once; 0: not known
     draining: bool
-    chill: float  # s: warm-up time
+    warm_up: float  # s: warm-up time
 
 
 class Load(NamedTuple):
@@ -55,7 +57,7 @@
     slots: int
 
 
-class Waiting:
+class WaitQueue:
     """Queue of items. Those that can still start in time come first, by their target time; of the late ones
     the newest comes first, as the oldest has the least value.
     """
@@ -80,9 +82,9 @@
 
     def clear(self) -> list[Any]:
         """Removes and returns all items."""
-        return self.sift(lambda item: True)
+        return self.remove_if(lambda item: True)
 
-    def sift(self, remove: Callable[[Any], bool]) -> list[Any]:
+    def remove_if(self, remove: Callable[[Any], bool]) -> list[Any]:
         """Removes and returns the items for which `out` is true; calls it once for each."""
         found = [entry for entry in self.timely if remove(entry[2])]
         late = [item for item in self.late if remove(item)]
@@ -94,7 +96,7 @@
         return [entry[2] for entry in found] + late
 
 
-class Desk:
+class Dispatcher:
     """Assigns the jobs of one service to its workers."""
 
     def __init__(
@@ -111,9 +113,9 @@
         """`home`: country to which its workers are restricted, if any. `static`: whether it may use the
         service's static endpoint.
         """
-        self.service, self.zones, self.home = service, zones, home
+        self.service, self.zones, self.country = service, zones, home
         self.wake_at = math.inf
-        self.queue = Waiting()  # items that wait for permits
+        self.permit_queue = WaitQueue()  # items that wait for permits
         # with a rate limit each delivery needs its own permit
         self.terms = Terms(
             categories=[],
@@ -127,7 +129,7 @@
             retry_after=0.0,
             by_work=False,
             excess_credit=1.0,
-            price_cross=CROSS,
+            price_cross=CROSS_ZONE_PRICE,
             price_tell=0.0,
             position=0,
             must_ask=False,
@@ -135,7 +137,7 @@
             fall_multiple=50.0,
             fall_span=1.0,
             cold_share=0.5,
-            ramp=CHILL,
+            ramp=MAX_WARM_UP,
             tells_start=False,
             progress_every=0.0,
             tick=0.005,
@@ -148,16 +150,16 @@
             drains_alone=False,
             sized=False,
             report=(Report.HELD, Report.WAITING),
-            shun=SHUN,
+            shun=MAX_AVOIDANCE,
         )
         self.reducer = Reducer(self.terms, seed, now)
         self.categories: dict[str, Category] = {}
-        self.known: dict[str, tuple[Any, ...]] = {}
-        self.numbers = self.cancels = 0
-        self.used = set[tuple[str, int]]()  # addresses of its workers
+        self.listed_workers: dict[str, tuple[Any, ...]] = {}
+        self.last_number = self.cancels = 0
+        self.addresses = set[tuple[str, int]]()  # addresses of its workers
         if service.static and static:
             host, _, port = service.static.rpartition(":")
-            list(self.listed(now, [Row("", host, int(port), settings.zone, 0, False, 0.0)]))
+            list(self.set_workers(now, [WorkerRow("", host, int(port), settings.zone, 0, False, 0.0)]))
 
     def category(self, route: Route) -> Category:
         """The category of a route's jobs, updated to the route; what was learned about its jobs stays."""
@@ -170,25 +172,25 @@
                 group=Group.ALL,
                 due=route.start,
                 stretch=1.0,
-                expiry=SPAN,
-                tardy_credit=TARDY,
-                window=SPAN,
-                run=RUN,
+                expiry=MESSAGE_EXPIRY,
+                tardy_credit=LATE_CREDIT,
+                window=MESSAGE_EXPIRY,
+                run=ASSUMED_RUN_TIME,
             )
             self.terms.categories.append(found)
             self.reducer.balancer.average()
         found.due = route.start
         return found
 
-    def listed(self, now: float, rows: list[Row]) -> Iterator[Decided]:
+    def set_workers(self, now: float, rows: list[WorkerRow]) -> Iterator[Decided]:
         """Sets the workers. `rows`: all that the dispatcher may use."""
         reports, sizes = [], set()
         for id, host, port, zone, capacity, draining, chill in rows:
-            number, ready_at = self.known.get(id, (None, 0.0))
+            number, ready_at = self.listed_workers.get(id, (None, 0.0))
             if number is None:
-                self.numbers += 1
-                number, ready_at = self.numbers, now - CHILL + min(CHILL, chill)
-                self.known[id] = number, ready_at
+                self.last_number += 1
+                number, ready_at = self.last_number, now - MAX_WARM_UP + min(MAX_WARM_UP, chill)
+                self.listed_workers[id] = number, ready_at
             sizes.add(capacity)
             reports.append(
                 (
@@ -203,44 +205,44 @@
                     0.0,
                 )
             )
-        yield from self.put(now, "listed", ListForm.FULL, reports)
+        yield from self.feed(now, "listed", ListForm.FULL, reports)
         for size in sizes - {0}:
-            self.sized(size, size)
+            self.set_slots(size, size)
         self.prune({row.id for row in rows})
 
     def prune(self, listed: set[str]) -> None:
         """Removes workers that are not listed and have no job: a worker that restarts has a new id."""
         reducer = self.reducer
-        for id in [id for id in self.known if id not in listed]:
+        for id in [id for id in self.listed_workers if id not in listed]:
             worker = reducer.workers.get(id)
             if worker is None or not worker.held:
-                del self.known[id]
+                del self.listed_workers[id]
                 if worker is not None:
                     del reducer.workers[id], reducer.names[worker], reducer.places[worker]
                     reducer.balancer.listed_all.pop(worker, None)
                     reducer.balancer.active.pop(worker, None)
 
-    def sized(self, kind: int, slots: int) -> None:
+    def set_slots(self, kind: int, slots: int) -> None:
         """Sets the slots that workers report, so that the balancer needn't infer them from their load."""
         balancer = self.reducer.balancer
         if (known := balancer.kinds.get(kind)) is not None and (known.size != slots or known.reports < 50):
             known.size, known.reports = float(slots), 50
             balancer.resize()
 
-    def told(self, load: Load | None) -> tuple[float, ...]:
+    def load_figures(self, load: Load | None) -> tuple[float, ...]:
         """A worker's load as the reducer expects it: jobs held, jobs waiting. Empty if it reported none."""
         if load is None:
             return ()
         if self.service.static:
-            self.sized(0, int(load.slots))
+            self.set_slots(0, int(load.slots))
         return (float(load.running + load.waiting), float(load.waiting))
 
-    def away(self, id: str) -> bool:
+    def in_other_zone(self, id: str) -> bool:
         """Whether that worker is in another zone."""
         worker = self.reducer.workers.get(id)
         return worker is not None and worker.zone != self.terms.zone and not self.service.static
 
-    def held_by(self, resting: Resting, workers: dict[str, Worker]) -> int:
+    def in_flight_at_resting(self, resting: Resting, workers: dict[str, Worker]) -> int:
         """Jobs in flight at resting workers. A job that was given up may run on for as long as its route
         allows, and whoever drains the workers waits for that; the balancer may count it for longer.
         """
@@ -251,7 +253,7 @@
                 count += len(worker.flights)
         return count
 
-    def bears(self, now: float) -> int:
+    def free_slots(self, now: float) -> int:
         """Jobs that its workers can take now beside those in flight; no permits are requested for more."""
         balancer, free = self.reducer.balancer, 0
         balancer.clock(now)  # there may have been no input since a worker was found unresponsive
@@ -261,7 +263,7 @@
                 free += max(0, limit - worker.held)
         return free
 
-    def doubt(self) -> None:
+    def decay_load_estimates(self) -> None:
         """Called when a job was rejected. Without jobs in flight the dispatcher gets no reports about the
         load from other gateways, and would use the last report forever: each rejection halves that estimate.
         """
@@ -271,7 +273,7 @@
             for worker in balancer.workers:
                 worker.others, worker.seen_at = worker.others * 0.5, -1.0
 
-    def put(self, now: float, kind: str, *fields: Any) -> Iterator[Decided]:
+    def feed(self, now: float, kind: str, *fields: Any) -> Iterator[Decided]:
         """Passes an input to the reducer. Yields its decisions, except for timers, which set `wake_at`."""
         if self.wake_at <= now:
             self.wake_at = math.inf
@@ -286,7 +288,7 @@
         return {"firsts": balancer.firsts, "copies": balancer.copies}
 
 
-def load(text: bytes) -> Load | None:
+def parse_load(text: bytes) -> Load | None:
     """Parses the header X-Load (`running,waiting,slots`). Returns None if it is malformed."""
     try:
         running, waiting, slots = (int(part) for part in text.split(b","))
@@ -295,10 +297,10 @@
     return Load(running, waiting, slots) if min(running, waiting) >= 0 and slots > 0 else None
 
 
-def rows(workers: dict[str, Worker], svc: str, resting: Resting = RESTLESS) -> list[Row]:
+def worker_rows(workers: dict[str, Worker], svc: str, resting: Resting = NONE_RESTING) -> list[WorkerRow]:
     """The responsive workers of a service; resting ones count as draining."""
     return [
-        Row(
+        WorkerRow(
             w.id,
             w.host,
             w.port,
--- a/opalwick/post/counter/item.py
+++ b/opalwick/post/counter/item.py
@@ -12,53 +12,55 @@
     """A message that this gateway delivers. Times are in seconds of the gateway's own clock."""
 
     __slots__ = (
-        "aim_at",
         "attempt",
         "awaited",
+        "awaited_since",
         "claim",
-        "dated",
-        "due",
+        "closed",
+        "delivery_countries",
+        "dispatcher_name",
+        "due_at",
+        "expires_at",
         "fails",
-        "foreign",
+        "first_due_at",
         "given_up",
-        "letter",
+        "in_flight",
         "lost",
+        "message",
         "mid",
-        "out",
-        "over",
         "partner",
+        "permit_expires_at",
         "queued",
-        "ran",
+        "ran_in",
+        "reassigned",
+        "rejections",
+        "replicas",
         "route",
-        "sent",
-        "since",
-        "svc",
-        "touched",
-        "turned",
-        "until",
-        "use_by",
+        "scheduled",
     )
 
     def __init__(self, message: Letter, replicas: tuple[str, ...], now: float) -> None:
         """`replicas`: stores that hold a replica of the message."""
-        self.letter, self.mid, self.touched = message, message.mid, replicas
-        self.due, self.until = now + message.due, now + message.until
-        self.aim_at = self.due  # when it was first due
+        self.message, self.mid, self.replicas = message, message.mid, replicas
+        self.due_at, self.expires_at = now + message.due, now + message.until
+        self.first_due_at = self.due_at  # when it was first due
         # `lost` counts deliveries with an unknown outcome
         self.fails, self.lost, self.claim = message.fails, message.lost, message.claim
-        self.attempt, self.turned = 0, 0
-        self.out: dict[int, float] = {}  # deliveries in flight: when each was sent
-        self.over = self.given_up = self.queued = False
-        self.use_by = math.inf  # when its permit expires, where it needs one
-        self.foreign = False  # reassigned to another gateway: no further attempt here
+        self.attempt, self.rejections = 0, 0
+        self.in_flight: dict[int, float] = {}  # deliveries in flight: when each was sent
+        self.closed = self.given_up = self.queued = False
+        self.permit_expires_at = math.inf  # when its permit expires, where it needs one
+        self.reassigned = False  # reassigned to another gateway: no further attempt here
         self.awaited = set[str]()  # replicas that have not confirmed that this gateway delivers it
-        self.since = now  # when this gateway received it
-        self.dated = False  # it has an entry in the schedule
+        self.awaited_since = now  # when this gateway received it
+        self.scheduled = False  # it has an entry in the schedule
         self.route: Route | None = None
-        self.svc = ""  # name of its dispatcher
+        self.dispatcher_name = ""  # name of its dispatcher
         self.partner = ""  # its customer, if it is subject to data residency
-        self.sent: dict[int, str] = {}  # country of each delivery, if it is subject to data residency
-        self.ran = ""  # country of the successful delivery
+        self.delivery_countries: dict[
+            int, str
+        ] = {}  # country of each delivery, if it is subject to data residency
+        self.ran_in = ""  # country of the successful delivery
 
 
 class Start(NamedTuple):
@@ -79,10 +81,10 @@
     number: int
 
 
-class UntoldEnd(NamedTuple):
+class UnconfirmedEnd(NamedTuple):
     """A final outcome that some replicas have not yet confirmed to have on disk."""
 
-    word: End
+    end: End
     missing: set[str]  # stores that have not confirmed it
     since: float  # s, this gateway's clock
 
@@ -91,4 +93,4 @@
     """The final outcome of a message, kept for as long as an assignment of it may still arrive."""
 
     at: float  # s, this gateway's clock: when this gateway recorded it
-    word: End
+    end: End
--- a/opalwick/post/counter/known.py
+++ b/opalwick/post/counter/known.py
@@ -12,11 +12,11 @@
 
 # stores of the own zone per replica, and minimum in total per replica: enough remain after the failures that
 # messages must survive
-NEAR = 3
-FAR = 1  # stores of each other zone; per replica if replicas are spread over zones
+STORES_PER_REPLICA = 3
+STORES_PER_OTHER_ZONE = 1  # stores of each other zone; per replica if replicas are spread over zones
 
 
-def known(stores: list[Node], node: str, zone: str, replicas: int, spread: bool) -> list[Node]:
+def linked_stores(stores: list[Node], node: str, zone: str, replicas: int, spread: bool) -> list[Node]:
     """The stores to which a gateway in that zone keeps links. `replicas`: of a message. `spread`: whether
     replicas are in different zones.
     """
@@ -24,10 +24,16 @@
     chosen: dict[str, int] = {}
     linked = []
     for store in ranked:
-        limit = NEAR * replicas if store.zone == zone else FAR * replicas if spread else FAR
+        limit = (
+            STORES_PER_REPLICA * replicas
+            if store.zone == zone
+            else STORES_PER_OTHER_ZONE * replicas
+            if spread
+            else STORES_PER_OTHER_ZONE
+        )
         if chosen.get(store.zone, 0) < limit:
             chosen[store.zone] = chosen.get(store.zone, 0) + 1
             linked.append(store)
     names = {store.node for store in linked}  # if the zone has few stores, others fill up
     rest = [store for store in ranked if store.node not in names]
-    return linked + rest[: max(0, NEAR * replicas - len(linked))]
+    return linked + rest[: max(0, STORES_PER_REPLICA * replicas - len(linked))]
--- a/opalwick/post/counter/role.py
+++ b/opalwick/post/counter/role.py
@@ -12,14 +12,14 @@
 from zlib import crc32
 
 from opalwick.post.counter.ceilings import Ceilings
-from opalwick.post.counter.desks import Load, rows
+from opalwick.post.counter.desks import Load, worker_rows
 from opalwick.post.counter.front import LATER, fault
-from opalwick.post.counter.holding import Holding
+from opalwick.post.counter.holding import WindowShares
 from opalwick.post.counter.intake import Intake
 from opalwick.post.counter.item import Item, Start, Stop
-from opalwick.post.counter.known import known
+from opalwick.post.counter.known import linked_stores
 from opalwick.post.counter.lookup import Lookups
-from opalwick.post.counter.rounds import PARK, Rounds
+from opalwick.post.counter.rounds import PARK_AFTER, Rounds
 from opalwick.post.depot.keeping import LAPSE, MARGIN
 from opalwick.post.home.guard import Guard
 from opalwick.post.home.policy import named
@@ -27,36 +27,40 @@
 from opalwick.post.names import Names, RandomOctets, finish
 from opalwick.post.settings import Settings
 from opalwick.post.station import Link, Station
-from opalwick.post.verdict import Verdict
+from opalwick.post.verdict import DeliveryOutcome
 from opalwick.post.wire_pb2 import Keep, Letter, News, Partner, Pulse, Refuse, Route
 from opalwick.protocol.conversation import Call
 from opalwick.protocol.http import Message
 
-HEAVY = 0.25  # share of the memory that held messages may use; above it messages wait at their stores
+HELD_MEMORY_SHARE = (
+    0.25  # share of the memory that held messages may use; above it messages wait at their stores
+)
 # s from SIGTERM until connections are closed: the platform checks readiness each second and needs two
 # failures
-AFTER = 2.3
+CLOSE_DELAY = 2.3
 # s after that until held messages return to their stores: requests just received are stored by then
-CLOSE = 0.2
-SWEEP = 1.0  # s between removals of expired state
-COUNTED = 0.25  # s that a count of waiting messages stays valid: far less than any limit of waiting time
-CALLED = 30.0  # s that a temporary link to a store is kept after its last use
-UNSAID = 5.0  # s that messages for a store wait for a temporary link: several connection attempts
-UNSAIDS = 512  # limit of such messages per store
+PARK_DELAY = 0.2
+SWEEP_INTERVAL = 1.0  # s between removals of expired state
+COUNT_VALIDITY = (
+    0.25  # s that a count of waiting messages stays valid: far less than any limit of waiting time
+)
+TEMPORARY_LINK_IDLE = 30.0  # s that a temporary link to a store is kept after its last use
+PENDING_LIFETIME = 5.0  # s that messages for a store wait for a temporary link: several connection attempts
+MAX_PENDING = 512  # limit of such messages per store
 # s that a process which ends waits for a store without a link that lacks final outcomes
-UNLINKED = 1.5
-LINKED = 0.5  # s to wait for the first echo of a linked store: a heartbeat each way
-YOUNG = 2.0  # s after the start in which links to stores may be missing: several connection attempts
+UNLINKED_STORE_WAIT = 1.5
+FIRST_ECHO_WAIT = 0.5  # s to wait for the first echo of a linked store: a heartbeat each way
+START_UP = 2.0  # s after the start in which links to stores may be missing: several connection attempts
 # s to wait for a temporary link: five times a connection and a round trip between regions
-DIALLED = 0.3
+TEMPORARY_LINK_WAIT = 0.3
 
 
-def whole_name(message: Letter) -> str:
+def complete_name(message: Letter) -> str:
     """Completes the name of a message whose stores are known."""
     return finish(message.mid, message.holders, message.host.decode("latin-1"))
 
 
-class Counter(Station):
+class Gateway(Station):
     """Accepts messages from clients, has them stored and delivers them. Times are in seconds of its clock."""
 
     role = "counter"
@@ -74,29 +78,29 @@
         """
         super().__init__(settings, life, now)
         seed = crc32(f"{self.node}/{life}".encode())
-        self.copies = settings.survive.boxes + 1
-        self.intake = Intake(self.zone, self.copies, accepts, settings.survive.spread)
+        self.replica_count = settings.survive.boxes + 1
+        self.intake = Intake(self.zone, self.replica_count, accepts, settings.survive.spread)
         self.rounds = Rounds(self.node, settings, seed, now, self.may_send)
         self.ceilings = Ceilings(self.node, life)
-        self.shares = Holding(self.rounds)
+        self.window_shares = WindowShares(self.rounds)
         # by store: the latest time of sending of which it has confirmed the receipt
-        self.heard_here: dict[str, float] = {}
-        self.sure = set[str]()  # stores that have since confirmed who owns their messages
-        self.untold: dict[str, None] = {}  # stores to which the full list of deliveries must be sent
+        self.confirmed_receipt: dict[str, float] = {}
+        self.confirmed_owners = set[str]()  # stores that have since confirmed who owns their messages
+        self.lists_due: dict[str, None] = {}  # stores to which the full list of deliveries must be sent
         self.guard = Guard(self.zone, settings, self.directory, self.event)
         self.short, self.counted_at = Short(now), -1e9
         # rejected: of another country; for lack of capacity in this country
-        self.abroad = self.turned_home = 0
-        self.stale = set[str]()  # stores whose confirmation of owners was outdated when it arrived
-        self.mine: set[str] = set()  # stores to which it keeps links
-        self.called: dict[str, float] = {}  # stores with a temporary link: when last used
-        self.unsaid: dict[str, list[tuple[float, str, Any]]] = {}
+        self.rejected_other_country = self.rejected_no_capacity = 0
+        self.outdated = set[str]()  # stores whose confirmation of owners was outdated when it arrived
+        self.linked_stores: set[str] = set()  # stores to which it keeps links
+        self.temporary_links: dict[str, float] = {}  # stores with a temporary link: when last used
+        self.pending: dict[str, list[tuple[float, str, Any]]] = {}
         self.lookups = Lookups(self)
-        self.orders: list[Start | Stop] = []
-        self.serial = self.heavy = 0
+        self.commands: list[Start | Stop] = []
+        self.serial = self.held_bytes = 0
         self.confirmed = self.leaving = self.closing = False
-        self.began = now
-        self.left_at = 0.0  # when shutdown was requested
+        self.started_at = now
+        self.leaving_since = 0.0  # when shutdown was requested
         self.parked_at = math.inf  # when held messages were first returned to their stores
         self.sweep_at = now
         self.names = Names(self.node, life, random_octets)
@@ -115,7 +119,7 @@
 
     def ready(self) -> bool:
         """Whether it accepts messages: the configuration is confirmed, and enough stores are available."""
-        return self.confirmed and not self.leaving and len(self.intake.able()) >= self.copies
+        return self.confirmed and not self.leaving and len(self.intake.able()) >= self.replica_count
 
     def pulse(self, link: Link) -> Pulse:
         pulse = Pulse(
@@ -125,7 +129,7 @@
         )
         conf = self.directory.conf
         if conf is not None and conf.window.watched and link.peer.role == "office":
-            pulse.seq, pulse.resting = conf.seq, self.rounds.out_at_rest()
+            pulse.seq, pulse.resting = conf.seq, self.rounds.in_flight_at_resting()
             pulse.due.update(self.rounds.due_now())
         return pulse
 
@@ -134,8 +138,8 @@
         recently that none considers the gateway failed, and all of these stores have confirmed the owner
         since the last time at which they may have considered it failed.
         """
-        fresh = [node for node in item.touched if self.fresh(node)]
-        if not fresh or not all(node in self.sure for node in fresh):
+        fresh = [node for node in item.replicas if self.fresh(node)]
+        if not fresh or not all(node in self.confirmed_owners for node in fresh):
             return False
         return not any(self.awaits(node, item) for node in item.awaited)
 
@@ -143,32 +147,36 @@
         """Whether to wait for that store, which has a replica and has not confirmed that this gateway
         delivers the message. An unreachable store is not waited for.
         """
-        since = self.now - item.since
+        since = self.now - item.awaited_since
         if self.fresh(node):  # a store of an earlier version never answers
             return since < LAPSE - MARGIN
         if node in self.links:  # the link may be new
-            return since < LINKED
+            return since < FIRST_ECHO_WAIT
         # a store without its regular link is unreachable, unless this process has just started
-        dialled = node in self.called if node not in self.mine else self.now - self.began < YOUNG
-        return dialled and since < DIALLED
+        dialled = (
+            node in self.temporary_links
+            if node not in self.linked_stores
+            else self.now - self.started_at < START_UP
+        )
+        return dialled and since < TEMPORARY_LINK_WAIT
 
     def fresh(self, node: str) -> bool:
         """Whether that store has received this gateway's heartbeats so recently that it can't consider it
         failed.
         """
-        return self.now - self.heard_here.get(node, -1e9) < LAPSE - MARGIN
+        return self.now - self.confirmed_receipt.get(node, -1e9) < LAPSE - MARGIN
 
-    def heard_by(self, node: str, at: float) -> None:
+    def echoed(self, node: str, at: float) -> None:
         """A store's echo: it received what this gateway sent at that time of the gateway's clock."""
-        before = self.heard_here.get(node, -1e9)
+        before = self.confirmed_receipt.get(node, -1e9)
         if at <= before:
             return
-        self.heard_here[node] = at
-        if at - before >= LAPSE - MARGIN or (node in self.stale and self.fresh(node)):
+        self.confirmed_receipt[node] = at
+        if at - before >= LAPSE - MARGIN or (node in self.outdated and self.fresh(node)):
             # after so long a gap the store may have assigned the messages to other gateways
-            self.sure.discard(node)
-            self.stale.discard(node)
-            self.untold[node] = None
+            self.confirmed_owners.discard(node)
+            self.outdated.discard(node)
+            self.lists_due[node] = None
 
     # ---- links
 
@@ -177,35 +185,35 @@
             node = link.peer.node
             self.intake.depot_up(node, link.peer.zone)
             self.rounds.depot_up(node)
-            self.untold[node] = None
-            for sent_at, kind, content in self.unsaid.pop(node, ()):
-                if self.now - sent_at < UNSAID:
+            self.lists_due[node] = None
+            for sent_at, kind, content in self.pending.pop(node, ()):
+                if self.now - sent_at < PENDING_LIFETIME:
                     link.say(kind, content)
 
     def call_on(self, node: str, kind: str, content: Any) -> None:
         """Sends a message to a store. If there is no link to it, opens a temporary one first."""
-        if node not in self.mine:
-            self.called[node] = self.now
-        if self.say(node, kind, content) or node in self.mine:
+        if node not in self.linked_stores:
+            self.temporary_links[node] = self.now
+        if self.say(node, kind, content) or node in self.linked_stores:
             return  # what a regular store has missed is sent again when its link is up
         target = self.directory.nodes.get(node)
         if target is not None and not target.gone:
             self.want(target.ip)
-            if len(pending := self.unsaid.setdefault(node, [])) < UNSAIDS:
+            if len(pending := self.pending.setdefault(node, [])) < MAX_PENDING:
                 pending.append((self.now, kind, content))
 
-    def uncalled(self) -> None:
+    def close_unused_links(self) -> None:
         """Closes temporary links to stores that are no longer used."""
-        if not self.called:
+        if not self.temporary_links:
             return
-        used = {node for item in self.rounds.items.values() for node in item.touched}
-        used |= {node for untold in self.rounds.ending.values() for node in untold.missing}
+        used = {node for item in self.rounds.items.values() for node in item.replicas}
+        used |= {node for untold in self.rounds.unconfirmed_ends.values() for node in untold.missing}
         used |= {node for wait in self.intake.waits.values() for node in wait.asked}
-        for node, at in list(self.called.items()):
-            if self.now - at > CALLED and node not in used:
-                del self.called[node]
-                self.unsaid.pop(node, None)
-                if (target := self.directory.nodes.get(node)) is not None and node not in self.mine:
+        for node, at in list(self.temporary_links.items()):
+            if self.now - at > TEMPORARY_LINK_IDLE and node not in used:
+                del self.temporary_links[node]
+                self.pending.pop(node, None)
+                if (target := self.directory.nodes.get(node)) is not None and node not in self.linked_stores:
                     self.wanted.pop((target.ip, self.port), None)
 
     def down(self, link: Link) -> None:
@@ -220,7 +228,7 @@
         match kind:
             case "pulse" if link.peer.role == "depot":
                 self.intake.depot_pulse(node, content.leaving, content.behind)
-                self.heard_by(node, content.echo)
+                self.echoed(node, content.echo)
             case "pulse" if link.peer.role == "office":
                 if content.settled and not self.confirmed and self.rounds.routes is not None:
                     self.confirmed = self.rounds.routes.gen >= content.gen > 0
@@ -245,10 +253,10 @@
                 self.intake.taken_away(content.gone)
                 self.rounds.taken_away(node, list(content.gone))
                 self.rounds.agreement.agreed(node, content.agreed)
-                if node not in self.untold and content.number == self.rounds.numbers.get(node):
+                if node not in self.lists_due and content.number == self.rounds.list_numbers.get(node):
                     # a confirmation that arrived with delay proves nothing; it is requested again after the
                     # next timely echo
-                    (self.sure if self.fresh(node) else self.stale).add(node)
+                    (self.confirmed_owners if self.fresh(node) else self.outdated).add(node)
             case "holders":
                 self.trace(157, message=content.mid, by=node, holders=",".join(content.holders))
                 self.rounds.moved(content.mid, tuple(content.holders))
@@ -276,12 +284,12 @@
             self.rounds.governed(guard.policy, guard.here)
 
     def news(self, news: News) -> None:
-        self.know()
+        self.select_stores()
         if news.HasField("conf"):
             self.intake.retiring = set(news.conf.retiring)
             self.rounds.configured(self.directory.conf)  # type: ignore[arg-type]
             self.rounds.rest(list(news.conf.window.resting))
-            self.shares.configured(self.now, news.conf.window.shares)
+            self.window_shares.configured(self.now, news.conf.window.shares)
             self.event(102, gen=news.conf.gen)
         self.govern()
         gateways_present = self.nodes("counter")
@@ -298,15 +306,19 @@
                 {s.name: s.rate for s in conf.services if s.rate > 0}, gateways, len(self.nodes("office"))
             )
 
-    def know(self) -> None:
+    def select_stores(self) -> None:
         """Selects the stores to which it keeps links."""
         watched = self.nodes("depot")
         if self.guard.policy is None:  # with a policy, a message may have to be stored in any country
-            watched = known(watched, self.node, self.zone, self.copies, self.settings.survive.spread)
+            watched = linked_stores(
+                watched, self.node, self.zone, self.replica_count, self.settings.survive.spread
+            )
         for store in watched:
             self.want(store.ip)
-        self.called |= dict.fromkeys(self.mine - {store.node for store in watched}, self.now)
-        self.mine = {store.node for store in watched}
+        self.temporary_links |= dict.fromkeys(
+            self.linked_stores - {store.node for store in watched}, self.now
+        )
+        self.linked_stores = {store.node for store in watched}
 
     # ---- clients
 
@@ -328,7 +340,7 @@
         if not route.deferred:
             fault(call, 404, "the route does not accept messages")
             return
-        if self.shares.on and (wait := self.shares.ask(route)):
+        if self.window_shares.active and (wait := self.window_shares.retry_after(route)):
             fault(
                 call,
                 429,
@@ -341,13 +353,13 @@
         message.gen = routes.gen
         message.due = max(0.0, request.first_at + delay - now) if delay else 0.0
         message.until = max(0.0, request.first_at + route.retain - now)
-        if self.guard.policy is not None and not self.homely(call, message, route):
+        if self.guard.policy is not None and not self.check_residency(call, message, route):
             return
-        parked = message.due > PARK or self.heavy > HEAVY * self.settings.mem_mb * 1e6
-        self.intake.offered(call, message, parked, whole_name)
+        parked = message.due > PARK_AFTER or self.held_bytes > HELD_MEMORY_SHARE * self.settings.mem_mb * 1e6
+        self.intake.offered(call, message, parked, complete_name)
         self.settle()
 
-    def homely(self, call: Call, message: Letter, route: Route) -> bool:
+    def check_residency(self, call: Call, message: Letter, route: Route) -> bool:
         """Whether data residency allows to accept the message here; if not, the call has been answered."""
         policy = self.guard.policy
         assert policy is not None
@@ -356,11 +368,11 @@
             return True
         message.home, message.home_gen = partner.home, policy.gen
         if self.guard.here != partner.home:
-            self.abroad += 1
+            self.rejected_other_country += 1
             fault(call, 421, f"messages of this customer are accepted only in {partner.home}", LATER)
             return False
         if why := self.shortage(partner, route):
-            self.turned_home += 1
+            self.rejected_no_capacity += 1
             again = self.short.again(named(partner), self.now, partner.wait)
             fault(call, 503, why, f"Retry-After: {again:.1f}")
             return False
@@ -368,46 +380,48 @@
 
     def shortage(self, partner: Partner, route: Route) -> str:
         """Why the customer's country can accept no more messages of the customer; empty if it can."""
-        if (able := len(self.intake.able(partner.home))) < self.copies:
-            return f"{able} stores in {partner.home} accept messages, {self.copies} are needed"
-        if not self.runs_at(partner.home, route.svc) and (partner.refuse or self.static(route.svc)):
+        if (able := len(self.intake.able(partner.home))) < self.replica_count:
+            return f"{able} stores in {partner.home} accept messages, {self.replica_count} are needed"
+        if not self.has_worker(partner.home, route.svc) and (
+            partner.refuse or self.static_endpoint(route.svc)
+        ):
             return f"no worker in {partner.home} is available"
-        if self.now - self.counted_at >= COUNTED:
+        if self.now - self.counted_at >= COUNT_VALIDITY:
             self.counted_at, waiting = self.now, dict[str, tuple[int, float]]()
             for item in self.rounds.items.values():
-                if item.letter.home and not item.out and item.due <= self.now:
-                    count, oldest = waiting.get(whose := self.rounds.whose(item), (0, self.now))
-                    waiting[whose] = count + 1, min(oldest, item.aim_at)
+                if item.message.home and not item.in_flight and item.due_at <= self.now:
+                    count, oldest = waiting.get(whose := self.rounds.partner_of(item), (0, self.now))
+                    waiting[whose] = count + 1, min(oldest, item.first_due_at)
             self.short.waiting = waiting
         if self.short.wait(named(partner), self.now) > partner.wait:
             return f"messages waiting in {partner.home} need more than {partner.wait:g} s to run"
         return ""
 
-    def static(self, svc: str) -> str:
+    def static_endpoint(self, svc: str) -> str:
         """The static endpoint of a service, empty if it has none."""
-        dispatcher = self.rounds.desks.get(svc)
+        dispatcher = self.rounds.dispatchers.get(svc)
         return dispatcher.service.static if dispatcher is not None else ""
 
-    def runs_at(self, home: str, svc: str) -> bool:
+    def has_worker(self, home: str, svc: str) -> bool:
         """Whether that country has a worker of the service, or its static endpoint."""
         policy = self.guard.policy
         assert policy is not None
-        if static := self.static(svc):
+        if static := self.static_endpoint(svc):
             return policy.endpoints.get(static) == home
-        return any(policy.country(row.zone) == home for row in rows(self.directory.workers, svc))
+        return any(policy.country(row.zone) == home for row in worker_rows(self.directory.workers, svc))
 
     def may_write(self, node: str, content: Keep) -> bool:
         """Last check of data residency before a message that is being accepted goes to a store."""
         link = self.link(node) if self.guard.policy is not None else None
         return link is None or self.guard.write(content.letter, link.peer)
 
-    def must_meet(self, command: Start) -> bool:
+    def must_identify(self, command: Start) -> bool:
         """Whether the worker on a new connection must identify itself before the message is sent."""
-        return self.guard.must_meet(command.item.letter, command.place)
+        return self.guard.must_meet(command.item.message, command.place)
 
-    def met(self, command: Start, name: str) -> bool:
+    def is_intended(self, command: Start, name: str) -> bool:
         """Whether the worker that identified itself by this name is the intended one."""
-        return self.guard.met(command.item.letter, command.place, name)
+        return self.guard.met(command.item.message, command.place, name)
 
     def asked_back(self, call: Call, name: str, body: bool) -> None:
         """A client requests a message's state, or with `body` its bytes."""
@@ -443,14 +457,14 @@
             for message, replicas in accepted:
                 self.rounds.accepted(message, replicas)
             self.rounds.tick()
-            self.ask_permits()
+            self.request_permits()
             outbox, commands = self.rounds.effects()
             for node, kind, content in outbox:
                 self.call_on(node, kind, content)
             for command in commands:
                 if isinstance(command, Start):
                     self.started(command)
-            self.orders += commands
+            self.commands += commands
             messages, permitted = self.ceilings.effects()
             for node, kind, content in messages:
                 self.send_permit(node, kind, content)
@@ -458,36 +472,36 @@
                 self.rounds.permitted(svc, count)
             if not (accepted or permitted or barred):
                 break
-        self.tell_deliveries()
+        self.send_delivery_lists()
 
-    def tell_deliveries(self) -> None:
+    def send_delivery_lists(self) -> None:
         """Sends the full list of deliveries to stores that were just linked, or that receive heartbeats
         again. The list is built when it is sent, after all earlier messages. If it were older than a `keep`
         sent ahead of it, it would lack that message, and the store would conclude that this gateway does not
         own it.
         """
-        for node in self.untold:
-            self.say(node, "mine", self.rounds.deliveries_of(node, self.intake.under_way(node)))
-        self.untold.clear()
+        for node in self.lists_due:
+            self.say(node, "mine", self.rounds.delivery_list(node, self.intake.under_way(node)))
+        self.lists_due.clear()
 
     def started(self, command: Start) -> None:
         """A delivery is about to be sent."""
         item = command.item
         if command.away:
             self.counts["away"] += 1
-            self.counts["away_octets"] += len(item.letter.body)
+            self.counts["away_octets"] += len(item.message.body)
         self.trace(
             151,
             message=item.mid,
-            request=item.letter.rid,
+            request=item.message.rid,
             claim=item.claim,
             attempt=item.attempt,
             delivery=command.number,
             worker=command.place[2] or command.place[0],
         )
 
-    def ended(
-        self, command: Start, outcome: Verdict, token: str, load: Load | None, stale_connection: bool
+    def delivery_ended(
+        self, command: Start, outcome: DeliveryOutcome, token: str, load: Load | None, stale_connection: bool
     ) -> None:
         """Processes the outcome of a delivery. `token`: the completion token. `stale_connection`: a reused
         connection broke without a response.
@@ -500,41 +514,50 @@
             delivery=command.number,
             verdict=outcome.name,
             seal=token,
-            over=item.over,
-            foreign=item.foreign,
-            holders=",".join(item.touched),
+            over=item.closed,
+            foreign=item.reassigned,
+            holders=",".join(item.replicas),
         )
-        if item.letter.home and outcome.ran and not item.over:
-            self.short.ended(self.rounds.whose(item), self.now)
-            item.ran = item.sent.get(command.number, "")
+        if item.message.home and outcome.ran and not item.closed:
+            self.short.ended(self.rounds.partner_of(item), self.now)
+            item.ran_in = item.delivery_countries.get(command.number, "")
         self.rounds.result(item, command.key, command.number, outcome, token, load, stale_connection)
 
-    def still(self, command: Start) -> bool:
+    def may_start(self, command: Start) -> bool:
         """Whether a delivery may be sent now: the last check before it is."""
         item = command.item
-        if item.over or item.foreign or self.now >= min(item.until, item.use_by) or not self.may_send(item):
+        if (
+            item.closed
+            or item.reassigned
+            or self.now >= min(item.expires_at, item.permit_expires_at)
+            or not self.may_send(item)
+        ):
             return False
-        if item.mid in self.rounds.ended:  # an invariant: such a message is not in `items`
+        if item.mid in self.rounds.remembered_ends:  # an invariant: such a message is not in `items`
             self.rounds.figures["begun_after_end"] += 1
             self.event(158, message=item.mid, claim=item.claim, attempt=item.attempt)
             return False
-        if item.letter.home:  # recorded now, as the worker may be gone when the delivery ends
-            item.sent[command.number] = self.guard.worker(command.place)
-        return self.guard.delivery(item.letter, command.place)
+        if item.message.home:  # recorded now, as the worker may be gone when the delivery ends
+            item.delivery_countries[command.number] = self.guard.worker(command.place)
+        return self.guard.delivery(item.message, command.place)
 
-    def ask_permits(self) -> None:
+    def request_permits(self) -> None:
         """Requests permits for the messages that wait for them, as far as workers have free slots."""
-        for svc in list(self.rounds.thirsty):
+        for svc in list(self.rounds.awaiting_permits):
             dispatchers = [
                 dispatcher
-                for dispatcher in self.rounds.desks_of(svc)
-                if dispatcher.service.rate > 0 and len(dispatcher.queue)
+                for dispatcher in self.rounds.dispatchers_of(svc)
+                if dispatcher.service.rate > 0 and len(dispatcher.permit_queue)
             ]
             self.ceilings.want(
-                svc, sum(min(len(dispatcher.queue), dispatcher.bears(self.now)) for dispatcher in dispatchers)
+                svc,
+                sum(
+                    min(len(dispatcher.permit_queue), dispatcher.free_slots(self.now))
+                    for dispatcher in dispatchers
+                ),
             )
             if not dispatchers:
-                del self.rounds.thirsty[svc]
+                del self.rounds.awaiting_permits[svc]
 
     def send_permit(self, node: str, kind: str, content: Any) -> None:
         if node == "offices":
@@ -553,28 +576,28 @@
         self.ceilings.tick(self.now)
         self.lookups.tick()
         if self.now >= self.sweep_at:
-            self.sweep_at = self.now + SWEEP
+            self.sweep_at = self.now + SWEEP_INTERVAL
             self.rounds.forget()
             self.ceilings.forget()
-            self.uncalled()
-            self.heavy = sum(len(item.letter.body) + 2000 for item in self.rounds.items.values())
-        if self.left_at:
-            self.go()
-        self.shares.tick(self.now)
+            self.close_unused_links()
+            self.held_bytes = sum(len(item.message.body) + 2000 for item in self.rounds.items.values())
+        if self.leaving_since:
+            self.advance_shutdown()
+        self.window_shares.tick(self.now)
 
     # ---- shutdown
 
     def leave(self) -> None:
         """Starts the shutdown. Each accepted message is finished or returns to its stores."""
         self.event(103, held=self.rounds.held())
-        self.left_at, self.leaving = self.now, True
+        self.leaving_since, self.leaving = self.now, True
         self.ceilings.leave()
 
-    def go(self) -> None:
+    def advance_shutdown(self) -> None:
         """Advances the shutdown: closes connections, then returns messages to their stores."""
-        after = min(AFTER, 0.4 * self.settings.bounds.grace)
-        self.closing = self.now - self.left_at >= after
-        if self.now - self.left_at >= after + CLOSE:
+        after = min(CLOSE_DELAY, 0.4 * self.settings.bounds.grace)
+        self.closing = self.now - self.leaving_since >= after
+        if self.now - self.leaving_since >= after + PARK_DELAY:
             if not self.rounds.leaving:
                 self.parked_at = self.now
             self.rounds.leaving = True
@@ -586,24 +609,24 @@
         if not self.rounds.leaving:
             return False
         linked = {link.peer.node for link in self.of("depot")}
-        if self.now - self.parked_at < UNLINKED:  # other stores may be linked again by then
+        if self.now - self.parked_at < UNLINKED_STORE_WAIT:  # other stores may be linked again by then
             linked |= {depot.node for depot in self.nodes("depot")}
         return (
             not self.rounds.items
             and not self.intake.waits
-            and not any(untold.missing & linked for untold in self.rounds.ending.values())
+            and not any(untold.missing & linked for untold in self.rounds.unconfirmed_ends.values())
         )
 
     def figures(self) -> dict[str, Any]:
-        dispatchers = [dispatcher.figures() for dispatcher in self.rounds.desks.values()]
+        dispatchers = [dispatcher.figures() for dispatcher in self.rounds.dispatchers.values()]
         return {
             **self.counts,
             **self.intake.figures,
             **self.rounds.figures,
             **self.ceilings.figures,
             "held": self.rounds.held(),
-            "ending": len(self.rounds.ending),
+            "ending": len(self.rounds.unconfirmed_ends),
             "firsts": sum(dispatcher["firsts"] for dispatcher in dispatchers),
             "copies": sum(dispatcher["copies"] for dispatcher in dispatchers),
-            "duties": len(self.ceilings.held),
+            "duties": len(self.ceilings.leases),
         }
--- a/opalwick/post/counter/shares.py
+++ b/opalwick/post/counter/shares.py
@@ -8,14 +8,14 @@
 
 import zlib
 
-from opalwick.post.counter.desks import Row
+from opalwick.post.counter.desks import WorkerRow
 
 # share of a worker's connections that is allotted: gateways learn of each other with a delay
 ALLOTTED_SHARE = 0.9
 MIN_WORKERS = 2  # workers that a gateway uses if there are as many: a single one may be faulty
 
 
-def budget(limit: int, workers: int, gateways: int) -> tuple[int, int]:
+def connection_budget(limit: int, workers: int, gateways: int) -> tuple[int, int]:
     """Returns how many workers a gateway uses, and how many connections to each (0: no limit). `limit`:
     number of connections that a worker accepts, 0 if not known.
     """
@@ -26,7 +26,7 @@
     return min(workers, max(MIN_WORKERS, int(allotted / each))), each
 
 
-def chosen(rows: list[Row], node: str, zone: str, count: int) -> list[Row]:
+def choose_workers(rows: list[WorkerRow], node: str, zone: str, count: int) -> list[WorkerRow]:
     """The workers that a gateway in that zone uses. A draining worker stays in use until it has ended."""
     ranked = sorted(
         (row for row in rows if not row.draining),
--- a/opalwick/post/home/shelf.py
+++ b/opalwick/post/home/shelf.py
@@ -10,14 +10,14 @@
 from collections.abc import Callable
 from typing import Any
 
-from opalwick.post.counter.desks import Waiting
+from opalwick.post.counter.desks import WaitQueue
 
 Rank = tuple[int, str]  # prio, partner
 
 
 class Shelf:
     def __init__(self) -> None:
-        self.rows: dict[Rank, Waiting] = {}
+        self.rows: dict[Rank, WaitQueue] = {}
         self.given: dict[str, int] = {}  # turns that a partner has had, while any of its waits
 
     def __len__(self) -> int:
@@ -27,7 +27,7 @@
         if partner not in self.given:
             # it takes its turn with the others: from nought it would be given all that comes
             self.given[partner] = min(self.given.values(), default=0)
-        self.rows.setdefault((prio, partner), Waiting()).put(aim_at, item)
+        self.rows.setdefault((prio, partner), WaitQueue()).put(aim_at, item)
 
     def take(self, now: float) -> Any:
         """The next one; there must be one."""
@@ -45,7 +45,7 @@
         """Takes out those that need not wait any more."""
         found = []
         for row in self.rows.values():
-            found += row.sift(over)
+            found += row.remove_if(over)
         self.rows = {rank: row for rank, row in self.rows.items() if len(row)}
         self.given = {p: n for p, n in self.given.items() if any(p == rank[1] for rank in self.rows)}
         return found
--- a/opalwick/post/verdict.py
+++ b/opalwick/post/verdict.py
@@ -7,7 +7,7 @@
 from opalwick.interface import Outcome
 
 
-class Verdict(Enum):
+class DeliveryOutcome(Enum):
     """Outcome of one delivery. `ran`: whether the request ran; None if that is unknown."""
 
     DONE = ("done", True, Outcome.FINISHED)
@@ -22,17 +22,17 @@
     CANCELLED = ("cancelled", None, Outcome.CANCELLED)
 
     def __init__(self, text: str, ran: bool | None, outcome: Outcome) -> None:
-        self.text, self.ran, self.outcome = text, ran, outcome
+        self.text, self.ran, self.reducer_outcome = text, ran, outcome
 
 
-def of_status(status: int, not_run: bool, sealed: bool) -> Verdict:
+def outcome_of_status(status: int, not_run: bool, sealed: bool) -> DeliveryOutcome:
     """Outcome of a complete response. `not_run`: it has X-Not-Run; `sealed`: it has a completion token."""
     if 200 <= status < 300 and sealed:
-        return Verdict.DONE
+        return DeliveryOutcome.DONE
     if status == 421:
-        return Verdict.ABSENT
+        return DeliveryOutcome.ABSENT
     if not_run:
-        return Verdict.RUNNING if status == 409 else Verdict.FULL
+        return DeliveryOutcome.RUNNING if status == 409 else DeliveryOutcome.FULL
     if status == 422:
-        return Verdict.REFUSED
-    return Verdict.FAILED if status == 500 else Verdict.BROKEN
+        return DeliveryOutcome.REFUSED
+    return DeliveryOutcome.FAILED if status == 500 else DeliveryOutcome.BROKEN
--- a/tests/post_cluster.py
+++ b/tests/post_cluster.py
@@ -11,10 +11,10 @@
 from typing import Any
 
 from opalwick.post.counter.item import Start
-from opalwick.post.counter.role import Counter
+from opalwick.post.counter.role import Gateway
 from opalwick.post.depot.role import Depot
 from opalwick.post.settings import Settings, parse
-from opalwick.post.verdict import Verdict
+from opalwick.post.verdict import DeliveryOutcome
 from opalwick.post.wire_pb2 import Conf, Envelope, Letter, News, Node, Route, Service, Worker
 from opalwick.protocol.http import Message
 
@@ -87,7 +87,7 @@
         self.join(node, depot)
 
     def start_counter(self, node: str, number: int) -> None:
-        counter = Counter(settings(node, "counter", number), int(self.now), self.now, 512)
+        counter = Gateway(settings(node, "counter", number), int(self.now), self.now, 512)
         counter.heard(OFFICE, "news", News(conf=CONF, workers=[WORKER], whole=True))
         counter.confirmed = True
         self.join(node, counter)
@@ -144,7 +144,7 @@
                 self.sync(node, role)
                 role.settle()
         else:
-            orders, role.orders = role.orders, []
+            orders, role.commands = role.commands, []
             for order in orders:
                 if isinstance(order, Start):
                     self.send(node, order)
@@ -160,18 +160,18 @@
         depot.synced(writes, fetches, [disk.get(fetch.mid) for fetch in fetches])
 
     def send(self, node: str, order: Start) -> None:
-        if self.roles[node].still(order):
+        if self.roles[node].may_start(order):
             self.out[order.item.mid].append(order)
             self.began[order.item.mid].append(node)
         else:
-            self.roles[node].ended(order, Verdict.NOT_SENT, "", None, False)
+            self.roles[node].delivery_ended(order, DeliveryOutcome.NOT_SENT, "", None, False)
 
-    def answer(self, mid: str, verdict: Verdict = Verdict.DONE) -> None:
+    def answer(self, mid: str, verdict: DeliveryOutcome = DeliveryOutcome.DONE) -> None:
         """The worker's answer to the delivery of that message that went out first."""
         order = self.out[mid].pop(0)
         node = self.began[mid][-1 - len(self.out[mid])]
         self.roles[node].clock(self.now)
-        self.roles[node].ended(order, verdict, f"seal of {node}", None, False)
+        self.roles[node].delivery_ended(order, verdict, f"seal of {node}", None, False)
         self.settle(node)
 
     def holders(self, mid: str) -> tuple[str, ...]:
--- a/tests/test_lab_post_home.py
+++ b/tests/test_lab_post_home.py
@@ -241,7 +241,7 @@
 
 
 def dispatch(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Rounds, "at_home", lambda self, desk, row: True)
+    patch.setattr(Rounds, "in_country", lambda self, desk, row: True)
 
 
 SICK = fault("kill", 1.0, part=1.0, size=1.5, of=["counter-1", "counter-3"])
--- a/tests/test_lab_post_mutants.py
+++ b/tests/test_lab_post_mutants.py
@@ -11,9 +11,9 @@
 from opalwick.lab.post.day import parse
 from opalwick.lab.post.run import run
 from opalwick.post import names
-from opalwick.post.counter.ceilings import Ceilings, Held
+from opalwick.post.counter.ceilings import Ceilings, HeldLease
 from opalwick.post.counter.lookup import Lookups
-from opalwick.post.counter.role import Counter
+from opalwick.post.counter.role import Gateway
 from opalwick.post.counter.rounds import Rounds
 from opalwick.post.depot import keeping
 from opalwick.post.depot.keeping import Keeping
@@ -90,13 +90,13 @@
     "LOST",
 )
 def one_copy_only(patch: pytest.MonkeyPatch) -> None:
-    init = Counter.__init__
+    init = Gateway.__init__
 
-    def alone(self: Counter, *fields: Any) -> None:
+    def alone(self: Gateway, *fields: Any) -> None:
         init(self, *fields)
-        self.copies = self.intake.copies = 1
+        self.replica_count = self.intake.copies = 1
 
-    patch.setattr(Counter, "__init__", alone)
+    patch.setattr(Gateway, "__init__", alone)
     patch.setattr(Keeping, "depot_up", lambda self, node, *_: self.peers.__setitem__(node, self.now))
 
 
@@ -118,16 +118,16 @@
     up = Rounds.depot_up
 
     def forgetful(self: Rounds, node: str, under_way: Any = ()) -> None:
-        ending, self.ending = self.ending, {}
+        ending, self.unconfirmed_ends = self.unconfirmed_ends, {}
         up(self, node, under_way)
-        self.ending = ending
+        self.unconfirmed_ends = ending
 
     patch.setattr(Rounds, "depot_up", forgetful)
     # nor do they answer an assignment with what they know
     assigned = Rounds.assigned
 
     def takes(self: Rounds, node: str, letter: Any) -> None:
-        self.ended.pop(letter.mid, None)
+        self.remembered_ends.pop(letter.mid, None)
         assigned(self, node, letter)
 
     patch.setattr(Rounds, "assigned", takes)
@@ -142,8 +142,8 @@
     "TWICE",
 )
 def a_lapsed_counter_goes_on_sending(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Counter, "may_send", lambda self, item: True)
-    patch.setattr(Counter, "still", lambda self, order: True)
+    patch.setattr(Gateway, "may_send", lambda self, item: True)
+    patch.setattr(Gateway, "may_start", lambda self, order: True)
 
 
 @mutant('rate = 20.0\nlength = "3 s"', "AGAIN", "TWICE", "RECOVER")
@@ -234,12 +234,12 @@
 
 @mutant('rate = 40.0\nlength = "8 s"', "CEILING")
 def permits_without_a_lease(patch: pytest.MonkeyPatch) -> None:
-    def holds(self: Ceilings, svc: str) -> Held | None:
-        if svc not in self.held:
-            self.held[svc] = Held(self.rates[svc], self.now, 1e18)
-        return self.held[svc]
+    def holds(self: Ceilings, svc: str) -> HeldLease | None:
+        if svc not in self.leases:
+            self.leases[svc] = HeldLease(self.rates[svc], self.now, 1e18)
+        return self.leases[svc]
 
-    patch.setattr(Ceilings, "holds", holds)
+    patch.setattr(Ceilings, "current_lease", holds)
 
 
 def rules(text: str, seeds: range, until: set[str]) -> dict[str, int]:
--- a/tests/test_post_ceilings.py
+++ b/tests/test_post_ceilings.py
@@ -7,7 +7,7 @@
 import pytest
 from post_helper import Net
 
-from opalwick.post.counter.ceilings import HOMES, Ceilings
+from opalwick.post.counter.ceilings import MAX_HOLDERS, Ceilings
 from opalwick.post.office.duties import Duties
 from opalwick.post.wire_pb2 import Leased, Permit, Permitted
 
@@ -56,7 +56,9 @@
                 self.used.popleft()
             self.most = max(self.most, len(self.used))
         holders = [
-            name for name, c in self.counters.items() if "s" in c.held and self.now < c.held["s"].until
+            name
+            for name, c in self.counters.items()
+            if "s" in c.leases and self.now < c.leases["s"].expires_at
         ]
         assert len(holders) <= 1, f"{self.now:.2f}: {holders} hold it at once"
         if (holder := "".join(holders)) != self.holder:
@@ -97,7 +99,7 @@
     """Given back, and asked for again in turn; 651 notices failed while each renewed its minority."""
     n = Leases(start=0.5)
     for k, (me, c) in enumerate(n.counters.items(), 1):
-        c.none_since["s"] = -9.0  # long enough for the turn of each
+        c.unheld_since["s"] = -9.0  # long enough for the turn of each
         n.last |= {(me, office): 0.55 for office in n.voters if office != f"o{k}"}
     n.until(0.54)
     assert [v.holders(n.now) for v in n.voters.values()] == [{"s": f"{me}/1"} for me in n.counters]
@@ -133,7 +135,7 @@
     assert [w.span for _, kind, w in c.effects()[0] if kind == "lease" and w.duties == ["s"]] == [1.4, 0.0]
     c.now = 0.5  # by now both have granted it to another
     c.leased("o2", Leased(call=1, granted=["s"]))
-    assert c.holds("s") is None
+    assert c.current_lease("s") is None
 
 
 @pytest.mark.parametrize("seed", [0, 24])
@@ -172,11 +174,11 @@
     c.tick(0.0)
     c.leased("o1", Leased(call=1, granted=["s", "t"]))
     c.configured({"s": 30.0, "t": 5.0}, ["c1"], 1)
-    assert c.holds("s") is None and c.holds("t") is not None
+    assert c.current_lease("s") is None and c.current_lease("t") is not None
     c.effects()
     c.leave()
     [(to, _, back)] = c.effects()[0]
-    assert (to, list(back.duties), back.span, c.holds("t")) == ("offices", ["t"], 0.0, None)
+    assert (to, list(back.duties), back.span, c.current_lease("t")) == ("offices", ["t"], 0.0, None)
     c.tick(5.0)
     assert not any(w.duties for _, kind, w in c.effects()[0] if kind == "lease")
 
@@ -191,4 +193,4 @@
         first |= {node for svc in rates if c.rank(svc) == 0}
         for svc in rates:
             places[svc] += c.rank(svc)
-    assert 1 < len(first) <= HOMES and set(places.values()) == {66 * 65 // 2}
+    assert 1 < len(first) <= MAX_HOLDERS and set(places.values()) == {66 * 65 // 2}
--- a/tests/test_post_commands.py
+++ b/tests/test_post_commands.py
@@ -326,11 +326,11 @@
     seen = []
     for step in range(4):
         if step == 1:
-            counter.rounds.items["m"].letter.gen = 7
+            counter.rounds.items["m"].message.gen = 7
         if step == 2:
-            counter.heard_here["d1"] = 1.0
+            counter.confirmed_receipt["d1"] = 1.0
         if step == 3:
-            counter.sure.add("d1")
+            counter.confirmed_owners.add("d1")
             counter.tick()
             counter.settle()
         seen.append(answers(counter, "/message/" + "mq"[step % 2])[1]["why"])
--- a/tests/test_post_events.py
+++ b/tests/test_post_events.py
@@ -11,7 +11,7 @@
 import pytest
 
 from opalwick.post import events
-from opalwick.post.counter.role import Counter
+from opalwick.post.counter.role import Gateway
 from opalwick.post.depot.role import Depot
 from opalwick.post.office.role import Office
 from opalwick.post.settings import parse
@@ -20,7 +20,7 @@
 PAGES = HERE / "docs" / "operate"
 SETTINGS = "node=n\nrole=x\nip=127.0.0.1\naz=a\nport_range=7300,7315\nzones.a=r\nseeds=127.0.0.1:1\n"
 ROLES = {
-    "counter": lambda: Counter(parse(SETTINGS, ""), 1, 0.0, 8),
+    "counter": lambda: Gateway(parse(SETTINGS, ""), 1, 0.0, 8),
     "depot": lambda: Depot(parse(SETTINGS, ""), 1, 0.0, "d"),
     "office": lambda: Office(parse(SETTINGS, ""), 1, 0.0, None),
 }
--- a/tests/test_post_home.py
+++ b/tests/test_post_home.py
@@ -15,10 +15,10 @@
 from returns.result import Success
 from test_post_events import SETTINGS
 
-from opalwick.post.counter.delivery import Delivery, Meeting
+from opalwick.post.counter.delivery import Delivery, Identification
 from opalwick.post.counter.item import Item, Start
 from opalwick.post.counter.lookup import Lookup
-from opalwick.post.counter.role import Counter
+from opalwick.post.counter.role import Gateway
 from opalwick.post.depot.disk import Disk
 from opalwick.post.depot.role import Depot
 from opalwick.post.directory import Directory
@@ -30,7 +30,7 @@
 from opalwick.post.home.short import LONGEST, Short
 from opalwick.post.names import Asked
 from opalwick.post.settings import parse
-from opalwick.post.verdict import Verdict
+from opalwick.post.verdict import DeliveryOutcome
 from opalwick.post.wire_pb2 import Ask, Conf, Hello, Keep, Letter, News, Node, Route, Service, Told, Worker
 from opalwick.protocol.http import Message
 from opalwick.transport.limits import within
@@ -166,7 +166,7 @@
 
 def process(kind: Any, zone: str = "a") -> Any:
     """A process of that kind with the policy; `told`: its events."""
-    role = kind(settings(zone, ZONES[zone]), 7, 0.0, *([8] if kind is Counter else ["d"]))
+    role = kind(settings(zone, ZONES[zone]), 7, 0.0, *([8] if kind is Gateway else ["d"]))
     role.event = role.guard.event = lambda number, **fields: events.append((number, fields))
     events = role.told = []
     role.directory.merge(News(conf=conf(), nodes=[Node(node="d1", zone="a", role="depot")]))
@@ -175,7 +175,7 @@
 
 
 def test_a_workers_country_is_what_membership_proves() -> None:
-    role = process(Counter)
+    role = process(Gateway)
 
     def heard(*workers: Worker) -> str:
         role.directory.merge(News(workers=list(workers)))
@@ -196,7 +196,7 @@
 
 
 def test_each_door_refuses_counts_and_tells() -> None:
-    role = process(Counter)
+    role = process(Gateway)
     g: Guard = role.guard
     role.directory.merge(
         News(
@@ -219,18 +219,18 @@
 
 
 def test_a_run_is_listed_where_it_was_sent_though_its_worker_is_doubtful_by_its_end() -> None:
-    role = process(Counter)
+    role = process(Gateway)
     role.directory.merge(News(workers=[Worker(id="w1", host="10.0.0.1", port=80, zone="a", calls=1)]))
     role.govern()
-    role.heard_here["d1"], role.sure = 0.0, {"d1"}
+    role.confirmed_receipt["d1"], role.confirmed_owners = 0.0, {"d1"}
     item = Item(letter(home="jo", home_gen=2, until=90.0), ("d1",), 0.0)
     order = Start(item, ("m1", 1), 1, ("10.0.0.1", 80, "w1"), 1.0, False)
-    assert role.still(order)
+    assert role.may_start(order)
     role.directory.merge(News(workers=[Worker(id="w1", host="10.0.0.1", port=80, zone="b", calls=2)]))
     role.govern()
-    assert not role.still(order._replace(number=2))
-    role.ended(order, Verdict.DONE, "s", None, False)
-    [(_, _, end)] = [sent for sent in role.rounds.sends if sent[1] == "end"]
+    assert not role.may_start(order._replace(number=2))
+    role.delivery_ended(order, DeliveryOutcome.DONE, "s", None, False)
+    [(_, _, end)] = [sent for sent in role.rounds.outbox if sent[1] == "end"]
     assert (end.complete, end.country) == (True, "jo")
 
 
@@ -278,9 +278,9 @@
     answers: list[int] = []
     call = SimpleNamespace(answer=lambda status, *_: answers.append(status), message=Message(0.0))
     for counter, told in (
-        (process(Counter), Told(state=1, body=b"x", home="jo")),
-        (process(Counter, "b"), Told(state=1, body=b"x", home="jo")),
-        (process(Counter), Told(state=1, abroad=True)),
+        (process(Gateway), Told(state=1, body=b"x", home="jo")),
+        (process(Gateway, "b"), Told(state=1, body=b"x", home="jo")),
+        (process(Gateway), Told(state=1, abroad=True)),
     ):
         counter.lookups.show(Lookup(call, "m", Asked("m", ()), True, [], True), told)
     assert answers == [200, 421, 421]
@@ -339,7 +339,7 @@
     limits = within(64, 64, 16, 15.0, 0.3, 60.0, 3.0)
     pool, ends = Pool(8, 60.0, limits.ring), list[Any]()
     for worker in ("w2", "w1", "w1"):
-        meeting = Meeting("/healthz", lambda name, worker=worker: name == worker)
+        meeting = Identification("/healthz", lambda name, worker=worker: name == worker)
         mine = Letter(mid="m", rid="1", method=b"POST", target=b"/x", host=b"h", body=b"octets")
         gevent.spawn(
             Delivery(
@@ -354,7 +354,7 @@
             ).run
         ).join(2.0)
     server.stop()
-    assert ends == [Verdict.ABSENT, Verdict.DONE, Verdict.DONE]
+    assert ends == [DeliveryOutcome.ABSENT, DeliveryOutcome.DONE, DeliveryOutcome.DONE]
     # asked on each new connection, and once on a kept one
     assert [b"octets" in data for data in got] == [False, False, True, True]
     # what the question took is not the worker's any more
--- a/tests/test_post_known.py
+++ b/tests/test_post_known.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from opalwick.post.counter.known import FAR, NEAR, known
-from opalwick.post.counter.role import CALLED, Counter
+from opalwick.post.counter.known import STORES_PER_OTHER_ZONE, STORES_PER_REPLICA, linked_stores
+from opalwick.post.counter.role import TEMPORARY_LINK_IDLE, Gateway
 from opalwick.post.names import finish
 from opalwick.post.settings import parse
 from opalwick.post.wire_pb2 import Assign, Conf, Hello, Letter, News, Node, Pulse, Route, Service, Told
@@ -55,8 +55,8 @@
         self.answers.append((status, body))
 
 
-def counter(count: int = 100) -> Counter:
-    c = Counter(parse(SETTINGS, "here"), 1, 0.0, 8)
+def counter(count: int = 100) -> Gateway:
+    c = Gateway(parse(SETTINGS, "here"), 1, 0.0, 8)
     office = Spy("office", "o1")
     c.joined(office)
     conf = Conf(
@@ -69,23 +69,30 @@
 
 
 def test_few_are_known_however_many_there_are() -> None:
-    sets = {count: known(depots(count), "c1", "a", 3, False) for count in (12, 48, 400)}
-    assert [len(found) for found in sets.values()] == [3 * NEAR, 3 * NEAR + 3 * FAR, 3 * NEAR + 3 * FAR]
+    sets = {count: linked_stores(depots(count), "c1", "a", 3, False) for count in (12, 48, 400)}
+    assert [len(found) for found in sets.values()] == [
+        3 * STORES_PER_REPLICA,
+        3 * STORES_PER_REPLICA + 3 * STORES_PER_OTHER_ZONE,
+        3 * STORES_PER_REPLICA + 3 * STORES_PER_OTHER_ZONE,
+    ]
     few = [node for node in depots(48) if node.zone == "b" or node.node == "d0"]
-    assert len(known(few, "c1", "a", 3, False)) == 3 * NEAR  # its own zone has one
-    assert len(known(depots(400), "c1", "a", 3, True)) == 3 * NEAR + 3 * 3 * FAR
+    assert len(linked_stores(few, "c1", "a", 3, False)) == 3 * STORES_PER_REPLICA  # its own zone has one
+    assert (
+        len(linked_stores(depots(400), "c1", "a", 3, True))
+        == 3 * STORES_PER_REPLICA + 3 * 3 * STORES_PER_OTHER_ZONE
+    )
     # one more changes one at most in its zone, and all depots are known to some
-    more = {d.node for d in known(depots(401), "c1", "a", 3, False)}
+    more = {d.node for d in linked_stores(depots(401), "c1", "a", 3, False)}
     assert len(more - {d.node for d in sets[400]}) <= 1
-    seen = {d.node for n in range(64) for d in known(depots(48), f"c{n}", ZONES[n % 4], 3, False)}
+    seen = {d.node for n in range(64) for d in linked_stores(depots(48), f"c{n}", ZONES[n % 4], 3, False)}
     assert len(seen) == 48
 
 
 def test_holders_that_it_does_not_know_are_called_on_and_let_go() -> None:
     """It is assigned a message: all who keep it must hear whose it is, and how it ends."""
     c = counter()
-    mine = sorted(c.mine)
-    near, far = Spy("depot", mine[0]), next(f"d{n}" for n in range(100) if f"d{n}" not in c.mine)
+    mine = sorted(c.linked_stores)
+    near, far = Spy("depot", mine[0]), next(f"d{n}" for n in range(100) if f"d{n}" not in c.linked_stores)
     c.joined(near)
     place = (c.directory.nodes[far].ip, 7300)
     assert place not in c.wanted
@@ -104,19 +111,19 @@
     c.hear(near, "pulse", Pulse(settled=True, at=1.0, echo=2.0))
     c.settle()
     assert "end" in near.kinds() and "end" in late.kinds()
-    c.clock(CALLED + 4.0)
+    c.clock(TEMPORARY_LINK_IDLE + 4.0)
     c.tick()
     assert place in c.wanted  # who has not said that it has the end is not let go
     for spy in (near, late):
         c.hear(spy, "ended", next(word for kind, word in spy.said if kind == "end"))
-    c.clock(CALLED + 6.0)
+    c.clock(TEMPORARY_LINK_IDLE + 6.0)
     c.tick()
     assert place not in c.wanted and all((c.directory.nodes[node].ip, 7300) in c.wanted for node in mine)
 
 
 def test_a_message_is_asked_for_at_those_that_its_name_tells() -> None:
     c, call = counter(), Asked()
-    far = next(f"d{n}" for n in range(100) if f"d{n}" not in c.mine)
+    far = next(f"d{n}" for n in range(100) if f"d{n}" not in c.linked_stores)
     call.message.headers[b"host"] = b"h"
     c.asked_back(call, finish(c.names.begin(1), [far], "h"), True)
     link = Spy("depot", far, "b")
--- a/tests/test_post_names.py
+++ b/tests/test_post_names.py
@@ -127,7 +127,7 @@
     """Its stores keep a message by the first part of the name; the tags are compared with who keeps it."""
     cluster = Cluster(counters=2, depots=3)
     cluster.introduce()
-    monkeypatch.setattr("opalwick.post.counter.role.whole_name", lambda letter: "1c.k3f9a2.zz")
+    monkeypatch.setattr("opalwick.post.counter.role.complete_name", lambda letter: "1c.k3f9a2.zz")
     cluster.named("c1", delay=60.0)
     first, second = cluster.holders("1c.k3f9a2.zz")
     third = ({"d1", "d2", "d3"} - {first, second}).pop()
--- a/tests/test_post_roles.py
+++ b/tests/test_post_roles.py
@@ -7,7 +7,7 @@
 import pytest
 
 from opalwick.post.beats import Beat
-from opalwick.post.counter.role import Counter
+from opalwick.post.counter.role import Gateway
 from opalwick.post.depot.role import Depot
 from opalwick.post.office.role import Office
 from opalwick.post.settings import parse
@@ -74,7 +74,7 @@
 def test_a_counter_asks_again_whose_its_messages_are_once_words_are_not_late_any_more() -> None:
     """A depot's answer that came when the last echo was old proved nothing; and nothing else was to come."""
     text = SETTINGS.replace("depot", "counter").replace("disk", "none").replace("datadir=/data\n", "")
-    counter, depot = Counter(parse(text, "here"), 1, 0.0, 8), Spy("depot", "d1")
+    counter, depot = Gateway(parse(text, "here"), 1, 0.0, 8), Spy("depot", "d1")
     counter.joined(depot)
     counter.settle()
 
@@ -87,11 +87,11 @@
         return sum(kind == "mine" and word.whole for kind, word in depot.said)
 
     assert hear(3.0, "pulse", Pulse(echo=1.0)) == 1  # two seconds late, and late they stay
-    assert hear(3.1, "checked", Checked(number=counter.rounds.numbers["d1"])) == 0
-    assert not counter.sure and hear(3.2, "pulse", Pulse(echo=1.2)) == 0
+    assert hear(3.1, "checked", Checked(number=counter.rounds.list_numbers["d1"])) == 0
+    assert not counter.confirmed_owners and hear(3.2, "pulse", Pulse(echo=1.2)) == 0
     assert hear(3.3, "pulse", Pulse(echo=2.6)) == 1  # the echoes' own distance is no gap
-    hear(3.4, "checked", Checked(number=counter.rounds.numbers["d1"]))
-    assert counter.sure == {"d1"} and hear(3.5, "pulse", Pulse(echo=3.4)) == 0
+    hear(3.4, "checked", Checked(number=counter.rounds.list_numbers["d1"]))
+    assert counter.confirmed_owners == {"d1"} and hear(3.5, "pulse", Pulse(echo=3.4)) == 0
 
 
 def test_an_office_that_reaches_no_majority_silences_nobody() -> None:
--- a/tests/test_post_rounds.py
+++ b/tests/test_post_rounds.py
@@ -8,10 +8,10 @@
 from post_helper import Player, letter
 
 from opalwick.post.counter.item import Item, Start, Stop
-from opalwick.post.counter.role import Counter
+from opalwick.post.counter.role import Gateway
 from opalwick.post.counter.rounds import Rounds
 from opalwick.post.settings import parse
-from opalwick.post.verdict import Verdict
+from opalwick.post.verdict import DeliveryOutcome
 from opalwick.post.wire_pb2 import Conf, End, Letter, Route, Service, Worker
 from opalwick.routing.reducer import Answer, Final
 
@@ -82,7 +82,7 @@
     def end(self, one: tuple[float, Start], verdict: str) -> None:
         self.out.remove(one)
         order, seal = one[1], "s1" if verdict == "DONE" else ""
-        self.r.result(order.item, order.key, order.number, Verdict[verdict], seal, None, False)
+        self.r.result(order.item, order.key, order.number, DeliveryOutcome[verdict], seal, None, False)
 
     def do_hears(self, me: str, what: str) -> None:
         self.heard = what == "depots"
@@ -98,7 +98,7 @@
 
     def do_up(self, depot: str) -> None:
         self.r.depot_up(depot)
-        self.r.sends.append((depot, "mine", self.r.deliveries_of(depot)))
+        self.r.outbox.append((depot, "mine", self.r.delivery_list(depot)))
 
     def hear(self, who: str, kind: str, said) -> None:
         if kind == "checked":
@@ -136,13 +136,15 @@
             rivals = [one for one in self.out if one[1].key[0] == mid]
             if isinstance(order, Stop):
                 [stopped] = [one for one in rivals if one[1].number == order.number]
-                assert stopped[1].item.svc == "twin"
+                assert stopped[1].item.dispatcher_name == "twin"
                 self.stops.append(name)
                 self.out[self.out.index(stopped)] = self.now + 0.01, stopped[1]
                 self.note(f"stop {name}")
                 continue
-            self.permits -= order.item.svc == "slow"
-            assert self.heard and not order.item.over and (order.item.svc == "twin" or not rivals)
+            self.permits -= order.item.dispatcher_name == "slow"
+            assert (
+                self.heard and not order.item.closed and (order.item.dispatcher_name == "twin" or not rivals)
+            )
             assert self.permits >= 0
             worker = order.place[2]
             self.out.append((self.now + self.lasts.get(worker, 0.1) if mid in self.wills else 1e9, order))
@@ -173,7 +175,7 @@
         traces.append(p.play(f"0.00 m1 will {verdicts}\n1.00 c1 takes m1 {svc}\n9.00 d1 ended mid=m1"))
         [end] = {(w.complete, w.seal) for _, _, kind, w in p.said if kind == "end"}
         assert f"{'complete' if end == (True, 's1') else 'dead'} {len(p.starts)}" == wanted
-        assert not p.r.items and not p.out and p.r.ending["m1"][1] == {"d2"}
+        assert not p.r.items and not p.out and p.r.unconfirmed_ends["m1"][1] == {"d2"}
     assert "\n\n".join(traces) == snapshot
 
 
@@ -233,7 +235,7 @@
 def test_a_worker_that_works_on_one_at_once_is_taken_at_its_word() -> None:
     for capacity in (2, 1):
         p = Rounding(f"0.00 c1 applies 1 plain; w1 serves plain {capacity}")
-        assert [w.slots for w in p.r.desks["plain"].reducer.workers.values()] == [capacity]
+        assert [w.slots for w in p.r.dispatchers["plain"].reducer.workers.values()] == [capacity]
 
 
 def test_blocks_copies_and_losers_of_a_service_with_dedup(snapshot) -> None:
@@ -248,7 +250,7 @@
         == snapshot
     )
     assert {worker for _, mid, worker in p.starts if mid in ("m6", "m7")} == {"w1", "w2"}
-    assert p.r.desks["twin"].figures() == {"firsts": 8, "copies": 1} and p.stops == ["m7#0"]
+    assert p.r.dispatchers["twin"].figures() == {"firsts": 8, "copies": 1} and p.stops == ["m7#0"]
 
 
 def test_assignments_and_what_is_taken_away(snapshot) -> None:
@@ -276,14 +278,14 @@
         0.50 w1 serves plain 4
         3.00 d1 up""")
     assert len(p.begun("m1")) == len(p.begun("m2")) == 1 and not p.r.items
-    assert not p.r.desks["plain"].reducer.items
+    assert not p.r.dispatchers["plain"].reducer.items
 
 
 def test_the_end_of_one_delivery_may_give_up_other_messages() -> None:
     """As the end at the last worker that was there: each of them is tried again, not that one's alone."""
     p = Rounding("0.00 c1 applies 1 plain; c1 takes m1,m2 plain")
     given_up = [Answer((mid, 1), Final.DEFERRED) for mid in ("m1", "m2")]
-    p.r.carry_out(p.r.desks["plain"], given_up, ("m1", 1))
+    p.r.apply(p.r.dispatchers["plain"], given_up, ("m1", 1))
     p.play("0.30 w1 serves plain 4\n3.00 d1 up")
     assert p.begun("m2") and {item.mid for item in p.r.items.values() if item.given_up} == {"m1"}
 
@@ -308,14 +310,14 @@
 @pytest.mark.violates
 def test_what_has_ended_is_not_sent_whatever_was_decided() -> None:
     """The last look before a delivery goes out: it counts, and tells, what must never come so far."""
-    counter = Counter(SETTINGS, 1, 0.0, 8)
+    counter = Gateway(SETTINGS, 1, 0.0, 8)
     item = Item(Letter(mid="m", until=9.0), ("d1",), 0.0)
-    counter.heard_here["d1"] = counter.now
-    counter.sure.add("d1")
+    counter.confirmed_receipt["d1"] = counter.now
+    counter.confirmed_owners.add("d1")
     order = Start(item, ("m", 1), 0, ("10.0.0.1", 80, "w"), 1.0, False)
-    assert counter.still(order)
+    assert counter.may_start(order)
     counter.rounds.ended_elsewhere(End(mid="m", complete=True, seal="s"))
-    assert not counter.still(order)
+    assert not counter.may_start(order)
     assert counter.figures()["begun_after_end"] == 1
 
 
@@ -338,7 +340,10 @@
     r, p = Random(seed), Rounding(f"{READY}; w0 serves slow 4; w4 serves twin 4")
     p.lasts |= {"w1": 0.02, "w2": 0.3, "w4": 0.2} if seed % 2 else {"w1": 1.5, "w2": 3.0}
     for n in range(60):
-        p.wills[f"m{n}"] = [*r.choices([v.name for v in Verdict if v is not Verdict.CANCELLED], k=3), "DONE"]
+        p.wills[f"m{n}"] = [
+            *r.choices([v.name for v in DeliveryOutcome if v is not DeliveryOutcome.CANCELLED], k=3),
+            "DONE",
+        ]
         p.until(p.now + 0.1 * r.random())
         p.play(f"{p.now} c1 takes m{n} {r.choice(['plain', 'twin', 'slow'])} due={r.random()}")
         if r.random() < 0.2:
@@ -369,7 +374,7 @@
     p.until(0.85)
     [(_, order)] = p.out
     assert (
-        order.place[2] in ("w1", "w2") and order.item.use_by > p.now
+        order.place[2] in ("w1", "w2") and order.item.permit_expires_at > p.now
     )  # else it is not sent when it comes to it
     p.until(1.5)
     assert not p.r.items
--- a/tests/test_post_safety.py
+++ b/tests/test_post_safety.py
@@ -12,7 +12,7 @@
 from test_post_roles import Spy
 
 from opalwick.post.counter.agent import CounterShell
-from opalwick.post.counter.role import Counter
+from opalwick.post.counter.role import Gateway
 from opalwick.post.depot.disk import Disk
 from opalwick.post.depot.role import Depot
 from opalwick.post.office.role import Office
@@ -296,7 +296,7 @@
     """Found by a drawn day (TWICE): the last `kept` and a pulse came in one read. The message was no wait any
     and no delivery yet, so it was not listed; the depot gave it to another, and both delivered it."""
     text = DEPOT.replace("depot", "counter").replace("disk", "none").replace("datadir=/data\n", "")
-    counter = Counter(parse(text, "here"), 1, 0.0, 8)
+    counter = Gateway(parse(text, "here"), 1, 0.0, 8)
     depots = [Spy("depot", name) for name in ("d1", "d2")]
     counter.directory.merge(
         News(
--- a/tests/test_post_shares.py
+++ b/tests/test_post_shares.py
@@ -6,14 +6,14 @@
 
 import pytest
 
-from opalwick.post.counter.desks import Row
-from opalwick.post.counter.shares import budget, chosen
+from opalwick.post.counter.desks import WorkerRow
+from opalwick.post.counter.shares import choose_workers, connection_budget
 
 ZONES = "nesw"
 
 
-def row(id: str, zone: str, draining: bool = False) -> Row:
-    return Row(id, "10.0.0.1", 80, zone, 6, draining, 0.0)
+def row(id: str, zone: str, draining: bool = False) -> WorkerRow:
+    return WorkerRow(id, "10.0.0.1", 80, zone, 6, draining, 0.0)
 
 
 @pytest.mark.parametrize(
@@ -21,12 +21,12 @@
 )
 def test_all_counters_together_stay_under_what_a_worker_takes(most: int, workers: int, counters: int) -> None:
     rows = [row(f"w{n}", ZONES[n % 4]) for n in range(workers)]
-    count, each = budget(most, workers, counters)
+    count, each = connection_budget(most, workers, counters)
     assert count >= 2 and each >= 1
     taken = Counter(
         mine.id
         for n in range(counters)
-        for mine in chosen(rows, f"c{n}", ZONES[n % 4], count)
+        for mine in choose_workers(rows, f"c{n}", ZONES[n % 4], count)
         for _ in range(each)
     )
     assert max(taken.values()) <= most and len(taken) == workers
@@ -34,13 +34,17 @@
 
 def test_near_workers_first_and_another_takes_the_place_of_one_that_leaves() -> None:
     rows = [row(f"w{n}", ZONES[n % 4]) for n in range(8)]
-    mine = chosen(rows, "c1", "n", 3)
+    mine = choose_workers(rows, "c1", "n", 3)
     assert [r.zone for r in mine[:2]] == ["n", "n"]
     rows = [r._replace(draining=True) if r.id == "w0" else r for r in rows]
-    after = chosen(rows, "c1", "n", 3)
+    after = choose_workers(rows, "c1", "n", 3)
     assert [r.id for r in after if r.draining] == ["w0"]  # until it has ended
     assert sum(not r.draining for r in after) == 3 and len({r.id for r in after} - {r.id for r in mine}) == 1
 
 
 def test_a_limit_that_nobody_told_binds_nobody() -> None:
-    assert budget(0, 5, 64) == (5, 0) and budget(58, 0, 64) == (0, 0) and budget(105, 1, 66) == (1, 1)
+    assert (
+        connection_budget(0, 5, 64) == (5, 0)
+        and connection_budget(58, 0, 64) == (0, 0)
+        and connection_budget(105, 1, 66) == (1, 1)
+    )
--- a/tests/test_post_tables.py
+++ b/tests/test_post_tables.py
@@ -10,14 +10,14 @@
 from post_helper import fill, show
 
 from opalwick.post.beats import Beat
-from opalwick.post.counter.delivery import Delivery, request
-from opalwick.post.counter.desks import Load, load
+from opalwick.post.counter.delivery import Delivery, request_bytes
+from opalwick.post.counter.desks import Load, parse_load
 from opalwick.post.counter.routes import Routes
 from opalwick.post.directory import Directory, empty
 from opalwick.post.names import Asked, Names, finish, is_name_of, kept_by, owner, read, short, tag
 from opalwick.post.office.duties import LONGEST, Duties
 from opalwick.post.office.registry import FORGOTTEN, MISSED, Registry
-from opalwick.post.verdict import Verdict, of_status
+from opalwick.post.verdict import DeliveryOutcome, outcome_of_status
 from opalwick.post.wire_pb2 import Conf, Field, Letter, News, Node, Route, Worker
 
 
@@ -45,8 +45,8 @@
     ],
 )
 def test_what_an_answer_proves(status: int, not_run: bool, sealed: bool, wanted: str) -> None:
-    found = of_status(status, not_run, sealed)
-    assert found is Verdict[wanted]
+    found = outcome_of_status(status, not_run, sealed)
+    assert found is DeliveryOutcome[wanted]
     # a seal, 422 and 500 alone prove a run, and `X-Not-Run` or 421 that there was none
     assert found.ran is (False if not_run or status == 421 else True if found.name != "BROKEN" else None)
 
@@ -230,30 +230,36 @@
         body=b"abc",
         fields=[Field(name=b"x-order-key", value=b"k\xe9")],
     )
-    assert request(letter, 1.5, "i-7f") == (
+    assert request_bytes(letter, 1.5, "i-7f") == (
         b"POST /x/2f?q=1 HTTP/1.1\r\nHost: a.example\r\nx-order-key: k\xe9\r\nX-Request-Id: 9c41\r\n"
         b"X-Deadline-Ms: 1500\r\nContent-Length: 3\r\nX-Want-Worker: i-7f\r\n\r\nabc"
     )
-    bare = request(letter, 0.0001, "")  # a single endpoint has no id
+    bare = request_bytes(letter, 0.0001, "")  # a single endpoint has no id
     assert b"X-Want-Worker" not in bare and b"X-Deadline-Ms: 1\r\n" in bare
 
 
 @pytest.mark.parametrize(
     "alone, status, fields, wanted, closed",
     [
-        (True, 200, {b"x-seal": b"s1", b"x-load": b"3,1,8"}, (Verdict.DONE, "s1", Load(3, 1, 8)), False),
-        (False, 200, {b"x-seal": b"s1", b"x-load": b"3,1,8"}, (Verdict.BROKEN, "", None), True),
-        (True, 200, {b"x-seal": b"s1", b"x-request-id": b"other"}, (Verdict.BROKEN, "", None), True),
+        (
+            True,
+            200,
+            {b"x-seal": b"s1", b"x-load": b"3,1,8"},
+            (DeliveryOutcome.DONE, "s1", Load(3, 1, 8)),
+            False,
+        ),
+        (False, 200, {b"x-seal": b"s1", b"x-load": b"3,1,8"}, (DeliveryOutcome.BROKEN, "", None), True),
+        (True, 200, {b"x-seal": b"s1", b"x-request-id": b"other"}, (DeliveryOutcome.BROKEN, "", None), True),
         (
             False,
             200,
             {b"x-seal": b"s1", b"x-request-id": b"9c41", b"keep-alive": b"timeout=5"},
-            (Verdict.DONE, "s1", None),
+            (DeliveryOutcome.DONE, "s1", None),
             False,
         ),
-        (True, 421, {b"x-load": b"0,0,0"}, (Verdict.ABSENT, "", None), True),
-        (True, 503, {b"x-not-run": b""}, (Verdict.FULL, "", None), False),
-        (False, 503, {b"x-not-run": b""}, (Verdict.BROKEN, "", None), True),
+        (True, 421, {b"x-load": b"0,0,0"}, (DeliveryOutcome.ABSENT, "", None), True),
+        (True, 503, {b"x-not-run": b""}, (DeliveryOutcome.FULL, "", None), False),
+        (False, 503, {b"x-not-run": b""}, (DeliveryOutcome.BROKEN, "", None), True),
     ],
 )
 def test_what_is_heard_of_a_worker(
@@ -262,13 +268,13 @@
     """An answer of another request proves nothing of this one, and one that names none only where no other
     was ever asked on its connection; a connection rests well within its time."""
     d, connection, rests = Delivery.__new__(Delivery), SimpleNamespace(closed=False), []
-    d.rid, d.address, d.alone, d.whole = b"9c41", ("10.0.0.1", 80), alone, True
+    d.rid, d.address, d.only_request, d.fully_written = b"9c41", ("10.0.0.1", 80), alone, True
     d.pool = SimpleNamespace(rests=lambda at, seconds: rests.append(round(seconds, 2)))  # type: ignore[assignment]
     connection.close = lambda: setattr(connection, "closed", True)
-    assert d.heard(connection, SimpleNamespace(status=status, headers=fields)) == wanted  # type: ignore[arg-type]
+    assert d.interpret(connection, SimpleNamespace(status=status, headers=fields)) == wanted  # type: ignore[arg-type]
     assert connection.closed is closed and rests == ([3.4] if b"keep-alive" in fields else [])
 
 
 @pytest.mark.parametrize("text", [b"", b"1,2", b"1,2,3,4", b"a,b,c", b"-1,0,4", b"1,0,0"])
 def test_odd_loads_say_nothing(text: bytes) -> None:
-    assert load(text) is None
+    assert parse_load(text) is None
--- a/tests/test_post_twice.py
+++ b/tests/test_post_twice.py
@@ -92,7 +92,7 @@
         cluster.roles["c3"],
         Letter(mid=mid, host=b"h", target=b"/x", holders=[first, second], until=9.0),
     )
-    counter.mine = {first, second}
+    counter.linked_stores = {first, second}
     counter.rounds.assigned(first, letter)
     item = counter.rounds.items[mid]
     assert counter.awaits(second, item)
