--- a/opalwick/post/counter/ceilings.py
+++ b/opalwick/post/counter/ceilings.py
@@ -1,8 +1,9 @@
 """Rate limits of services: one gateway at a time holds the lease of a service's limit and grants permits.
 
 A majority of controllers grants the lease, whose span counts from before the request was sent. The holder
-stops granting `MARGIN` before its end, and starts without saved permits. A permit is used within `USE` of its
-request or not at all. So at most rate * (w + USE) + SAVED messages arrive in a window w. No I/O.
+stops granting `MARGIN` before its end, and starts without saved permits. A permit is used within
+`PERMIT_LIFETIME` of its request or not at all. So at most rate * (w + PERMIT_LIFETIME) + MAX_SAVED messages
+arrive in a window w. No I/O.
 """
 
 from __future__ import annotations
@@ -16,16 +17,14 @@
 RENEW_INTERVAL = 0.4  # s between lease requests of a holder, or of a gateway that needs a lease nobody holds
 IDLE_INTERVAL = 2.0  # s between lease requests that only ask who the holder is
 MARGIN = 0.3  # s: allows for clock drift and for a stalled process
-GRANT_TIMEOUT = (
-    0.3  # s for a majority to grant: ten network round trips; after that, partial grants are released
-)
+# s for a majority to grant: ten network round trips; after that, partial grants are released
+GRANT_TIMEOUT = 0.3
 PERMIT_LIFETIME = 0.25  # s: less than a twentieth of the shortest window over which the rate is checked
-MAX_SAVED = 3.0  # permits: with USE, a limit of 20/s is exceeded by less than a tenth in 5 s
+MAX_SAVED = 3.0  # permits: with PERMIT_LIFETIME, a limit of 20/s is exceeded by less than a tenth in 5 s
 # s that each gateway, by rank, waits longer before it requests a lease that nobody holds: a few round trips
 RANK_DELAY = 0.1
-MAX_HOLDERS = (
-    4  # gateways that hold the leases while they are available: all others are linked to these alone
-)
+# gateways that hold the leases while they are available: all others are linked to these alone
+MAX_HOLDERS = 4
 PERMIT_BATCH = 8  # permits per request: enough for a few tens of milliseconds
 
 
@@ -56,15 +55,13 @@
         self.rates: dict[str, float] = {}
         self.gateways: list[str] = []
         self.ranks: dict[str, int] = {}  # by service: this gateway's rank among all
-        self.voter_count = 1  # number of voters
-        self.reported_voters: dict[
-            str, int
-        ] = {}  # number of voters that each controller reported; it may be changing
+        self.voter_count = 1
+        # number of voters that each controller reported; it may be changing
+        self.reported_voters: dict[str, int] = {}
         self.leases: dict[str, HeldLease] = {}
         self.holders: dict[str, str] = {}  # by service: the process that a majority of controllers reported
-        self.reported_holders: dict[
-            str, dict[str, str]
-        ] = {}  # by controller and service: the process that it reported
+        # by controller and service: the process that it reported
+        self.reported_holders: dict[str, dict[str, str]] = {}
         self.unheld_since: dict[str, float] = {}
         self.released_at: dict[str, float] = {}  # when a lease was last released
         self.requested_at: dict[str, float] = {}  # when a lease was requested that isn't granted yet
@@ -98,7 +95,7 @@
 
     def rank(self, svc: str) -> int:
         """This gateway's rank among all for that lease: 0 requests it first. All gateways compute it by the
-        same hash; the `HOMES` gateways come first.
+        same hash; the `MAX_HOLDERS` possible holders come first.
         """
         if svc not in self.ranks:
             homes = sorted(self.gateways, key=lambda node: (zlib.crc32(node.encode()), node))[:MAX_HOLDERS]
--- a/opalwick/post/counter/desks.py
+++ b/opalwick/post/counter/desks.py
@@ -32,9 +32,8 @@
 MAX_WARM_UP = 3.0  # s: upper bound of the warm-up time that a worker reports at its start
 LATE_CREDIT = 0.3  # value of a run that starts late, relative to one in time; deployments differ
 NONE_RESTING = Resting()
-ASSUMED_RUN_TIME = (
-    0.03  # s: assumed run time of a job until about ten have run, from which the balancer learns it
-)
+# s: assumed run time of a job until about ten have run, from which the balancer learns it
+ASSUMED_RUN_TIME = 0.03
 
 
 class WorkerRow(NamedTuple):
--- a/opalwick/post/counter/item.py
+++ b/opalwick/post/counter/item.py
@@ -43,23 +43,22 @@
         """`replicas`: stores that hold a replica of the message."""
         self.message, self.mid, self.replicas = message, message.mid, replicas
         self.due_at, self.expires_at = now + message.due, now + message.until
-        self.first_due_at = self.due_at  # when it was first due
+        self.first_due_at = self.due_at
         # `lost` counts deliveries with an unknown outcome
         self.fails, self.lost, self.claim = message.fails, message.lost, message.claim
         self.attempt, self.rejections = 0, 0
-        self.in_flight: dict[int, float] = {}  # deliveries in flight: when each was sent
+        self.in_flight: dict[int, float] = {}  # by delivery: when it was sent
         self.closed = self.given_up = self.queued = False
-        self.permit_expires_at = math.inf  # when its permit expires, where it needs one
-        self.reassigned = False  # reassigned to another gateway: no further attempt here
+        self.permit_expires_at = math.inf  # infinite if it needs no permit
+        self.reassigned = False  # to another gateway: no further attempt here
         self.awaited = set[str]()  # replicas that have not confirmed that this gateway delivers it
         self.awaited_since = now  # when this gateway received it
-        self.scheduled = False  # it has an entry in the schedule
+        self.scheduled = False  # whether the schedule has an entry for it
         self.route: Route | None = None
-        self.dispatcher_name = ""  # name of its dispatcher
+        self.dispatcher_name = ""
         self.partner = ""  # its customer, if it is subject to data residency
-        self.delivery_countries: dict[
-            int, str
-        ] = {}  # country of each delivery, if it is subject to data residency
+        # country of each delivery, if it is subject to data residency
+        self.delivery_countries: dict[int, str] = {}
         self.ran_in = ""  # country of the successful delivery
 
 
--- a/opalwick/post/counter/role.py
+++ b/opalwick/post/counter/role.py
@@ -32,18 +32,16 @@
 from opalwick.protocol.conversation import Call
 from opalwick.protocol.http import Message
 
-HELD_MEMORY_SHARE = (
-    0.25  # share of the memory that held messages may use; above it messages wait at their stores
-)
+# share of the memory that held messages may use; above it messages wait at their stores
+HELD_MEMORY_SHARE = 0.25
 # s from SIGTERM until connections are closed: the platform checks readiness each second and needs two
 # failures
 CLOSE_DELAY = 2.3
 # s after that until held messages return to their stores: requests just received are stored by then
 PARK_DELAY = 0.2
 SWEEP_INTERVAL = 1.0  # s between removals of expired state
-COUNT_VALIDITY = (
-    0.25  # s that a count of waiting messages stays valid: far less than any limit of waiting time
-)
+# s that a count of waiting messages stays valid: far less than any limit of waiting time
+COUNT_VALIDITY = 0.25
 TEMPORARY_LINK_IDLE = 30.0  # s that a temporary link to a store is kept after its last use
 PENDING_LIFETIME = 5.0  # s that messages for a store wait for a temporary link: several connection attempts
 MAX_PENDING = 512  # limit of such messages per store
@@ -92,7 +90,7 @@
         # rejected: of another country; for lack of capacity in this country
         self.rejected_other_country = self.rejected_no_capacity = 0
         self.outdated = set[str]()  # stores whose confirmation of owners was outdated when it arrived
-        self.linked_stores: set[str] = set()  # stores to which it keeps links
+        self.linked_stores: set[str] = set()
         self.temporary_links: dict[str, float] = {}  # stores with a temporary link: when last used
         self.pending: dict[str, list[tuple[float, str, Any]]] = {}
         self.lookups = Lookups(self)
--- a/opalwick/post/counter/rounds.py
+++ b/opalwick/post/counter/rounds.py
@@ -56,30 +56,26 @@
         self.routes: Routes | None = None
         self.dispatchers: dict[str, Dispatcher] = {}
         self.wake_at = math.inf  # earliest timer of a dispatcher
-        self.awaiting_permits: dict[
-            str, None
-        ] = {}  # services whose messages wait, or have waited, for permits
+        # services whose messages wait, or have waited, for permits
+        self.awaiting_permits: dict[str, None] = {}
         self.zones: dict[str, int] = {}
         self.workers: dict[str, Worker] = {}
         self.resting = Resting()  # workers whose rack is drained or unavailable
         self.gateway_count = 1  # gateways that share the workers
-        self.connection_limits: dict[tuple[str, int], int] = {}  # limit of connections by address
-        self.gateways_in_country = 1  # gateways in this gateway's country
-        self.residency_dispatchers: dict[
-            str, list[str]
-        ] = {}  # by service: names of its data residency dispatchers
+        self.connection_limits: dict[tuple[str, int], int] = {}  # by address
+        self.gateways_in_country = 1
+        # by service: names of its data residency dispatchers
+        self.residency_dispatchers: dict[str, list[str]] = {}
         self.unconfirmed_ends: dict[str, UnconfirmedEnd] = {}  # by message
         self.remembered_ends: dict[str, RememberedEnd] = {}  # by message
-        self.list_numbers: dict[
-            str, int
-        ] = {}  # by store: number of the last full list of deliveries sent to it
+        # by store: number of the last full list of deliveries sent to it
+        self.list_numbers: dict[str, int] = {}
         self.ends_by_service: dict[str, int] = {}  # final outcomes sent since the start
         self.leaving = False
         self.policy: Policy | None = None  # where messages subject to data residency may run
-        self.country = ""  # country of this gateway
-        self.residency_queues: dict[
-            str, Shelf
-        ] = {}  # by dispatcher: messages waiting for a worker in their country
+        self.country = ""  # of this gateway
+        # by dispatcher: messages waiting for a worker in their country
+        self.residency_queues: dict[str, Shelf] = {}
         self.outbox: list[tuple[str, str, Any]] = []
         self.commands: list[Start | Stop] = []
         counted = ("delivered", "failed", "dead", "unknown", "parked", "turned_away")
@@ -107,9 +103,8 @@
         for name, dispatcher in list(self.dispatchers.items()):
             known, new = dispatcher.service, services.get(dispatcher.service.name)
             if new is None or (known.rate, known.dedup, known.static) != (new.rate, new.dedup, new.static):
-                del self.dispatchers[
-                    name
-                ]  # deliveries in flight go on; messages that were not sent are rescheduled
+                # deliveries in flight go on; messages that were not sent are rescheduled
+                del self.dispatchers[name]
                 dispatcher.permit_queue.clear()
                 self.residency_queues.pop(name, None)
                 for item in list(self.items.values()):
@@ -362,9 +357,8 @@
             if self.now - ended.at > END_RETENTION and mid not in self.unconfirmed_ends:
                 del self.remembered_ends[mid]
         for mid, unconfirmed in list(self.unconfirmed_ends.items()):
-            if (
-                self.now - unconfirmed.since > 4.0 * END_RETENTION
-            ):  # the other replicas have it, and propagate it
+            # by then the other replicas propagate it
+            if self.now - unconfirmed.since > 4.0 * END_RETENTION:
                 del self.unconfirmed_ends[mid]
         for queue in self.residency_queues.values():
             for item in queue.sift(
