--- a/tests/test_post_ceilings.py
+++ b/tests/test_post_ceilings.py
@@ -95,7 +95,7 @@
         self.at(self.now + seconds, self.do_join, me, others)
 
 
-def test_three_that_ask_at_once_and_get_one_vote_each(snapshot) -> None:
+def test_simultaneous_requests_with_one_vote_each(snapshot) -> None:
     """Given back, and asked for again in turn; 651 notices failed while each renewed its minority."""
     n = Leases(start=0.5)
     for k, (me, c) in enumerate(n.counters.items(), 1):
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.parametrize("start", range(0, 200, 50))
-def test_drawn_histories(start: int) -> None:
+def test_random_histories(start: int) -> None:
     """Delays, losses, counters cut off, a voter that starts anew: one holder, and no more than may arrive."""
     for seed in range(start, start + 50):
         n = Leases(seed, rate=(5.0, 20.0, 60.0)[seed % 3], late=(0.001, 0.1), lost=0.02)
@@ -125,7 +125,7 @@
         assert 2.0 * n.rate < n.total and n.most <= n.rate * 5.0 * 1.1 + 5.0, seed
 
 
-def test_what_was_given_back_is_not_held() -> None:
+def test_a_released_lease_is_not_held() -> None:
     """o2's answer stays away for half a second, or c1 itself stands still before it reads it."""
     c = Ceilings("c1", 1)
     c.configured({"s": 20.0}, ["c1"], 3)
@@ -139,7 +139,7 @@
 
 
 @pytest.mark.parametrize("seed", [0, 24])
-def test_histories_in_which_two_hold_it_at_once(seed: int) -> None:
+def test_no_two_holders_with_late_replies(seed: int) -> None:
     Leases(seed, late=(0.001, 0.6)).until(20.0)
 
 
@@ -168,7 +168,7 @@
     assert c.effects()[1] == [] and c.figures["late"] == 2
 
 
-def test_one_that_leaves_or_whose_rate_changes_holds_nothing() -> None:
+def test_shutdown_or_a_changed_rate_ends_the_lease() -> None:
     c = Ceilings("c1", 1)
     c.configured({"s": 20.0, "t": 5.0}, ["c1"], 1)
     c.tick(0.0)
@@ -183,7 +183,7 @@
     assert not any(w.duties for _, kind, w in c.effects()[0] if kind == "lease")
 
 
-def test_duties_of_many_counters_have_few_homes() -> None:
+def test_leases_of_many_gateways_have_few_holders() -> None:
     """All others are linked to these alone, whatever the number of ceilings."""
     nodes, rates = [f"c{n}" for n in range(66)], {f"s{n}": 32.0 for n in range(60)}
     first, places = set(), dict.fromkeys(rates, 0)
--- a/tests/test_post_safety.py
+++ b/tests/test_post_safety.py
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize("method, body", LEAVING)
-def test_a_cut_off_office_confirms_no_drain_and_tells_all_that_it_reaches(method: str, body: Any) -> None:
+def test_an_isolated_controller_confirms_no_drain_and_publishes_it_to_all_it_reaches(method: str, body: Any) -> None:
     o, edge = office(1, 2, 3), Spy("counter", "c1")
     linked(o, 2, 3)
     o.joined(edge)
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize("method, body", LEAVING)
-def test_a_drain_is_confirmed_once_a_majority_has_taken_it_in(method: str, body: Any) -> None:
+def test_a_drain_is_confirmed_once_a_majority_has_recorded_it(method: str, body: Any) -> None:
     o = office(1, 2, 3)
     one, other = linked(o, 2, 3)
     asks(o, "PUT", "/workers/w1", WORKER)
@@ -124,7 +124,7 @@
 
 
 @pytest.mark.parametrize("id", ["x" * 129, "a%20b", "a%2fb", "a%7f"])
-def test_who_cannot_be_registered_is_not_kept_as_one_that_has_left(id: str) -> None:
+def test_a_worker_id_that_cannot_be_registered_is_not_recorded_by_its_removal(id: str) -> None:
     """An id of any length went to all processes, and stood in their directories."""
     o = office(1)
     for method, body in (("PUT", WORKER), ("DELETE", None)):
@@ -133,7 +133,7 @@
     assert not o.directory.workers
 
 
-def test_a_drain_that_no_majority_takes_in_has_an_answer_in_time_which_promises_nothing() -> None:
+def test_a_drain_without_a_majority_is_answered_in_time_and_not_confirmed() -> None:
     o = office(1, 2, 3)
     linked(o, 2, 3)  # the links are up, and nothing comes back
     call = asks(o, "PUT", "/workers/w1", WORKER | {"state": "draining"})
@@ -142,7 +142,7 @@
     assert call.status == 503
 
 
-def test_an_office_takes_a_drain_in_and_tells_its_own_before_it_says_so() -> None:
+def test_a_controller_records_and_publishes_a_drain_before_it_acknowledges_it() -> None:
     o, edge = office(1, 2, 3), Spy("counter", "c1")
     one, _ = linked(o, 2, 3)
     o.joined(edge)
@@ -187,7 +187,7 @@
             o.settle()
 
 
-def test_complete_is_agreed_and_never_taken_back() -> None:
+def test_complete_is_agreed_and_never_revoked() -> None:
     o, links = alone()
     call = asks(o, "POST", "/retire/d1", {"over_s": 9})
     pass_time(o, o.now + 0.2, links)
@@ -210,7 +210,7 @@
     assert again.status == 200
 
 
-def test_an_office_that_is_not_sure_of_the_majority_neither_refuses_nor_confirms() -> None:
+def test_a_controller_that_is_not_sure_of_its_majority_neither_rejects_nor_confirms() -> None:
     """Before: 404 for a machine that it had not heard of, `complete` from its memory, 409 and 200."""
     o = office(1, 2, 3)
     linked(o, 2, 3)
@@ -228,7 +228,7 @@
         assert call.status in (503, 504), (method, path)
 
 
-def test_other_content_under_a_held_number_is_refused_and_the_same_acknowledged() -> None:
+def test_other_content_under_a_used_number_is_rejected_and_the_same_acknowledged() -> None:
     o, links = alone()
     conf = {"caps": {}, "backends": [], "routing": [], "gen": 7}
     for body, status in ((conf, 200), (conf | {"caps": {"idle_ms": 9}}, 409), (conf | {"gen": 5}, 200)):
@@ -244,7 +244,7 @@
     return call.body
 
 
-def test_news_of_a_configuration_leave_its_history_at_home() -> None:
+def test_directory_updates_omit_the_history_of_a_configuration() -> None:
     o, _ = alone()
     conf = Conf(
         gen=8,
@@ -261,7 +261,7 @@
     assert (told.said, told.digest, list(told.past)) == (b"", b"", []) and list(told.emptied) == ["d1"]
 
 
-def test_a_sealed_depot_takes_nothing_after_a_restart_at_which_it_has_heard_nothing(tmp_path: Path) -> None:
+def test_a_sealed_store_accepts_nothing_after_a_restart_without_updates(tmp_path: Path) -> None:
     disk = Disk(str(tmp_path))
     assert disk.seal() is None
     disk.commit([("seal", (7, 2))])
--- a/tests/test_post_shares.py
+++ b/tests/test_post_shares.py
@@ -19,7 +19,7 @@
 @pytest.mark.parametrize(
     "most, workers, counters", [(58, 8, 64), (58, 4, 64), (460, 44, 66), (100, 3, 7), (110, 12, 8)]
 )
-def test_all_counters_together_stay_under_what_a_worker_takes(most: int, workers: int, counters: int) -> None:
+def test_all_gateways_together_stay_below_the_limit_of_a_worker(most: int, workers: int, counters: int) -> None:
     rows = [row(f"w{n}", ZONES[n % 4]) for n in range(workers)]
     count, each = connection_budget(most, workers, counters)
     assert count >= 2 and each >= 1
@@ -32,7 +32,7 @@
     assert max(taken.values()) <= most and len(taken) == workers
 
 
-def test_near_workers_first_and_another_takes_the_place_of_one_that_leaves() -> None:
+def test_workers_of_the_own_zone_come_first_and_a_draining_one_is_replaced() -> None:
     rows = [row(f"w{n}", ZONES[n % 4]) for n in range(8)]
     mine = choose_workers(rows, "c1", "n", 3)
     assert [r.zone for r in mine[:2]] == ["n", "n"]
@@ -42,7 +42,7 @@
     assert sum(not r.draining for r in after) == 3 and len({r.id for r in after} - {r.id for r in mine}) == 1
 
 
-def test_a_limit_that_nobody_told_binds_nobody() -> None:
+def test_an_unknown_limit_is_no_limit() -> None:
     assert (
         connection_budget(0, 5, 64) == (5, 0)
         and connection_budget(58, 0, 64) == (0, 0)
--- a/tests/test_post_twice.py
+++ b/tests/test_post_twice.py
@@ -15,7 +15,7 @@
 from opalwick.post.wire_pb2 import Hello, Keep, Letter, Mine
 
 
-def test_a_list_of_deliveries_is_not_overtaken_by_what_was_accepted_after_it() -> None:
+def test_a_list_of_deliveries_contains_messages_accepted_before_it_is_sent() -> None:
     """The list was made as the first echo was heard and said with the next words, after those of a request
     that came in between. The depots gave that message to another counter, and both delivered it.
     """
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("moved", [False, True])
-def test_two_depots_that_do_not_hear_each_other_have_a_message_begun_once(moved: bool) -> None:
+def test_two_stores_without_a_link_have_a_message_delivered_once(moved: bool) -> None:
     """Each of them acted, and gave it to another counter; both counters were linked to both depots. `moved`:
     one of them had its copy made anew elsewhere, as the other was away for long.
     """
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize("again", [False, True])
-def test_an_end_that_one_holder_missed_reaches_it_before_the_other_is_stopped(again: bool) -> None:
+def test_a_final_outcome_that_one_replica_missed_reaches_it_before_the_other_is_stopped(again: bool) -> None:
     """A counter that ended just after one of its links had broken left that depot without the end. Depots
     compared what they keep only as a link between them came up; once the other was stopped by plan, it had
     the message delivered again. `again`: the counter is started again at once.
@@ -80,7 +80,7 @@
     assert cluster.began[mid] == ["c1"]
 
 
-def test_a_counter_that_has_just_started_waits_for_the_depots_that_it_dials() -> None:
+def test_a_gateway_that_has_just_started_waits_for_the_stores_that_it_connects_to() -> None:
     """Else it would begin what one depot gives it before it could ask the others."""
     cluster = Cluster(counters=2, depots=3)
     mid = cluster.accepted("c1", delay=4.0)
@@ -105,7 +105,7 @@
     assert not counter.awaits(second, item)  # it is out of touch
 
 
-def test_a_depot_of_an_earlier_version_that_never_answers_holds_nothing_up_for_long(
+def test_a_store_of_an_earlier_version_that_never_answers_delays_messages_only_briefly(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(Agreement, "agreed", lambda self, node, mids: None)
@@ -117,7 +117,7 @@
     assert len(cluster.began[mid]) == 1
 
 
-def test_a_copy_that_was_on_its_way_as_the_message_ended_is_told() -> None:
+def test_a_replica_in_transit_when_the_message_ended_gets_the_final_outcome() -> None:
     """Its new holder would have had it delivered, once the others were stopped."""
     cluster = Cluster(counters=2, depots=3)
     mid = cluster.accepted("c1")
@@ -133,7 +133,7 @@
     assert mid in cluster.roles[target].keeping.ends
 
 
-def test_words_of_an_earlier_life_of_a_counter_are_no_claim_of_the_later_one() -> None:
+def test_messages_from_an_earlier_incarnation_of_a_gateway_are_no_claim_of_the_later_one() -> None:
     cluster = Cluster(counters=2, depots=2)
     depot, old = cluster.roles["d1"], cluster.ends["d1", "c1"]
     later = Hello(node="c1", role="counter", zone="b", life=old.peer.life + 1)
