--- a/tests/test_post_ceilings.py
+++ b/tests/test_post_ceilings.py
@@ -1,4 +1,4 @@
-"""Ceilings: counters and voters on a net of virtual time; who holds a duty, and how many permits are used."""
+"""Rate limits: gateways and voters in a simulated network; holders of a lease, and permits that are used."""
 
 from __future__ import annotations
 
@@ -13,7 +13,9 @@
 
 
 class Leases(Net):
-    """Three voters, three counters that all want permits for one service; never two hold it at once."""
+    """Three voters and three gateways that all need permits for one service. It checks that no two gateways
+    hold the lease at once.
+    """
 
     def __init__(
         self,
@@ -24,40 +26,40 @@
         start: float | None = None,
     ) -> None:
         super().__init__(seed, late, lost)
-        self.rate, self.lines, self.holder = rate, list[str](), ""
+        self.rate, self.events, self.holder = rate, list[str](), ""
         self.voters = {f"o{n}": Duties(0.0, True) for n in (1, 2, 3)}
-        self.counters = {f"c{n}": Ceilings(f"c{n}", 1) for n in (1, 2, 3)}
-        self.used, self.most, self.total = deque[float](), 0, 0  # permits as they came, in the last 5 s
-        for name, c in self.counters.items():
-            c.configured({"s": rate}, list(self.counters), 3)
+        self.gateways = {f"c{n}": Ceilings(f"c{n}", 1) for n in (1, 2, 3)}
+        self.used, self.max_used, self.total = deque[float](), 0, 0  # times of permits in the last 5 s
+        for name, c in self.gateways.items():
+            c.configured({"s": rate}, list(self.gateways), 3)
             self.at(0.1 * self.random.random() if start is None else start, self.tick, name)
 
     def note(self, text: str) -> None:
-        self.lines.append(f"{self.now:6.2f} {text}")
+        self.events.append(f"{self.now:6.2f} {text}")
 
     def tick(self, me: str) -> None:
-        c = self.counters[me]
+        c = self.gateways[me]
         c.tick(self.now)
         c.want("s", 8)
         self.settle(me)
         self.at(self.now + 0.1, self.tick, me)
 
     def settle(self, me: str) -> None:
-        sends, permitted = self.counters[me].effects()
-        for to, kind, word in sends:
+        messages, granted = self.gateways[me].effects()
+        for to, kind, content in messages:
             for node in self.voters if to == "offices" else [to]:
-                self.carry(me, node, self.hear, me, node, kind, word)
-            if kind == "lease" and word.duties and self.holder != me:
-                self.note(f"{me} asks" if word.call else f"{me} gives back")
-        for _, count in permitted:
+                self.carry(me, node, self.hear, me, node, kind, content)
+            if kind == "lease" and content.duties and self.holder != me:
+                self.note(f"{me} asks" if content.call else f"{me} gives back")
+        for _, count in granted:
             self.total += count
             self.used.extend([self.now] * count)
             while self.used[0] <= self.now - 5.0:
                 self.used.popleft()
-            self.most = max(self.most, len(self.used))
+            self.max_used = max(self.max_used, len(self.used))
         holders = [
             name
-            for name, c in self.counters.items()
+            for name, c in self.gateways.items()
             if "s" in c.leases and self.now < c.leases["s"].expires_at
         ]
         assert len(holders) <= 1, f"{self.now:.2f}: {holders} hold it at once"
@@ -65,68 +67,70 @@
             self.holder = holder
             self.note(f"{holder or 'nobody'} holds it")
 
-    def hear(self, frm: str, me: str, kind: str, word) -> None:
+    def hear(self, sender: str, me: str, kind: str, content) -> None:
         if (voter := self.voters.get(me)) is not None:
-            granted = voter.lease(self.now, f"{frm}/1", list(word.duties), word.span)
-            if word.call:
-                told = Leased(call=word.call, granted=granted, held=voter.holders(self.now))
-                self.carry(me, frm, self.hear, me, frm, "leased", told)
+            granted = voter.lease(self.now, f"{sender}/1", list(content.duties), content.span)
+            if content.call:
+                reply = Leased(call=content.call, granted=granted, held=voter.holders(self.now))
+                self.carry(me, sender, self.hear, me, sender, "leased", reply)
             return
-        c = self.counters[me]
+        c = self.gateways[me]
         c.now = self.now
         if kind == "permit":
-            self.carry(me, frm, self.hear, me, frm, "permitted", c.permit(frm, word))
+            self.carry(me, sender, self.hear, me, sender, "permitted", c.permit(sender, content))
         elif kind == "permitted":
-            c.answered(word)
+            c.answered(content)
         else:
-            c.leased(frm, word)
+            c.leased(sender, content)
         self.settle(me)
 
-    def restart(self, office: str) -> None:
-        """A voter forgets what it granted, and grants nothing for the longest span."""
-        self.voters[office] = Duties(self.now, False)
-        for c in self.counters.values():
-            c.office_down(office)
+    def restart(self, controller: str) -> None:
+        """Restarts a voter: it has lost its grants, and grants nothing for the longest span of a lease."""
+        self.voters[controller] = Duties(self.now, False)
+        for c in self.gateways.values():
+            c.office_down(controller)
 
-    def gone(self, me: str, seconds: float) -> None:
-        """Cut off from all for a while."""
-        others = " ".join([*self.voters, *self.counters])
+    def isolate(self, me: str, seconds: float) -> None:
+        """Isolates a gateway for a while."""
+        others = " ".join([*self.voters, *self.gateways])
         self.do_cut(me, others)
         self.at(self.now + seconds, self.do_join, me, others)
 
 
 def test_simultaneous_requests_with_one_vote_each(snapshot) -> None:
-    """Given back, and asked for again in turn; 651 notices failed while each renewed its minority."""
+    """Minority grants must be released, and the lease requested again by rank: otherwise each gateway renews
+    its minority grant and none ever gets a majority (651 notices failed in such a case).
+    """
     n = Leases(start=0.5)
-    for k, (me, c) in enumerate(n.counters.items(), 1):
-        c.unheld_since["s"] = -9.0  # long enough for the turn of each
+    for k, (me, c) in enumerate(n.gateways.items(), 1):
+        c.unheld_since["s"] = -9.0  # so that each of them requests it at once
         n.last |= {(me, office): 0.55 for office in n.voters if office != f"o{k}"}
     n.until(0.54)
-    assert [v.holders(n.now) for v in n.voters.values()] == [{"s": f"{me}/1"} for me in n.counters]
+    assert [v.holders(n.now) for v in n.voters.values()] == [{"s": f"{me}/1"} for me in n.gateways]
     n.until(4.0)
-    gone = n.holder
-    n.gone(gone, 9.0)
+    isolated = n.holder
+    n.isolate(isolated, 9.0)
     n.until(8.0)
-    assert "\n".join(n.lines) == snapshot
-    assert gone and n.holder not in ("", gone) and n.total > 80
+    assert "\n".join(n.events) == snapshot
+    assert isolated and n.holder not in ("", isolated) and n.total > 80
 
 
 @pytest.mark.parametrize("start", range(0, 200, 50))
 def test_random_histories(start: int) -> None:
-    """Delays, losses, counters cut off, a voter that starts anew: one holder, and no more than may arrive."""
+    """Delays, lost messages, isolated gateways, a restarted voter: one holder, permits within the bound."""
     for seed in range(start, start + 50):
         n = Leases(seed, rate=(5.0, 20.0, 60.0)[seed % 3], late=(0.001, 0.1), lost=0.02)
         r = n.random
         n.at(r.uniform(0.5, 8.0), n.restart, r.choice(list(n.voters)))
         for _ in range(2):
-            n.at(r.uniform(0.5, 8.0), n.gone, r.choice(list(n.counters)), r.uniform(0.2, 3.0))
+            n.at(r.uniform(0.5, 8.0), n.isolate, r.choice(list(n.gateways)), r.uniform(0.2, 3.0))
         n.until(9.0)
-        # of nine seconds' worth some is used, though its holder may be away twice
-        assert 2.0 * n.rate < n.total and n.most <= n.rate * 5.0 * 1.1 + 5.0, seed
+        # a part of the permits of nine seconds is used, although the holder may be isolated twice
+        assert 2.0 * n.rate < n.total and n.max_used <= n.rate * 5.0 * 1.1 + 5.0, seed
 
 
 def test_a_released_lease_is_not_held() -> None:
-    """o2's answer stays away for half a second, or c1 itself stands still before it reads it."""
+    """The reply of o2 is delayed by half a second, or c1 is stalled before it reads it."""
     c = Ceilings("c1", 1)
     c.configured({"s": 20.0}, ["c1"], 3)
     c.tick(0.0)
@@ -144,7 +148,9 @@
 
 
 def test_permits() -> None:
-    """None is saved up from before; SAVED at most; what comes late is not used; who has none says so."""
+    """A new holder has no saved permits, and saves at most MAX_SAVED; late permits are not used; a gateway
+    without the lease reports that.
+    """
     c = Ceilings("c1", 1)
     c.configured({"s": 20.0}, ["c1", "c2"], 1)
     c.tick(0.0)
@@ -155,16 +161,16 @@
     assert c.effects()[1] == []
     for now, count in ((0.25, 3), (1.05, 3), (1.06, 0)):
         c.now = now
-        told = c.permit("c2", Permit(call=6, svc="s", count=8))
-        assert (told.count, told.holder) == (count, True) and 0.03 < told.wait <= 0.05
-    c.now = 1.11  # SPAN - MARGIN after it asked
+        reply = c.permit("c2", Permit(call=6, svc="s", count=8))
+        assert (reply.count, reply.holder) == (count, True) and 0.03 < reply.wait <= 0.05
+    c.now = 1.11  # LEASE_SPAN - MARGIN after the request
     assert not c.permit("c2", Permit(call=8, svc="s", count=8)).holder
     c.leased("o1", Leased(held={"s": "c2/1"}))
     c.want("s", 2)
-    to, kind, asked = c.effects()[0][-1]
-    assert (to, kind, asked.count) == ("c2", "permit", 2)
+    to, kind, request = c.effects()[0][-1]
+    assert (to, kind, request.count) == ("c2", "permit", 2)
     c.now = 1.37
-    c.answered(Permitted(call=asked.call, svc="s", count=2, holder=True))
+    c.answered(Permitted(call=request.call, svc="s", count=2, holder=True))
     assert c.effects()[1] == [] and c.figures["late"] == 2
 
 
@@ -177,20 +183,20 @@
     assert c.current_lease("s") is None and c.current_lease("t") is not None
     c.effects()
     c.leave()
-    [(to, _, back)] = c.effects()[0]
-    assert (to, list(back.duties), back.span, c.current_lease("t")) == ("offices", ["t"], 0.0, None)
+    [(to, _, release)] = c.effects()[0]
+    assert (to, list(release.duties), release.span, c.current_lease("t")) == ("offices", ["t"], 0.0, None)
     c.tick(5.0)
     assert not any(w.duties for _, kind, w in c.effects()[0] if kind == "lease")
 
 
 def test_leases_of_many_gateways_have_few_holders() -> None:
-    """All others are linked to these alone, whatever the number of ceilings."""
+    """All other gateways are linked to these alone, whatever the number of rate limits."""
     nodes, rates = [f"c{n}" for n in range(66)], {f"s{n}": 32.0 for n in range(60)}
-    first, places = set(), dict.fromkeys(rates, 0)
+    first, rank_sums = set(), dict.fromkeys(rates, 0)
     for node in nodes:
         c = Ceilings(node, 1)
         c.configured(rates, nodes, 5)
         first |= {node for svc in rates if c.rank(svc) == 0}
         for svc in rates:
-            places[svc] += c.rank(svc)
-    assert 1 < len(first) <= MAX_HOLDERS and set(places.values()) == {66 * 65 // 2}
+            rank_sums[svc] += c.rank(svc)
+    assert 1 < len(first) <= MAX_HOLDERS and set(rank_sums.values()) == {66 * 65 // 2}
--- a/tests/test_post_rounds.py
+++ b/tests/test_post_rounds.py
@@ -194,7 +194,7 @@
 
 
 def test_no_delivery_starts_while_stores_are_unreachable_or_with_an_older_configuration(snapshot) -> None:
-    """Nor without a permit if there is a rate limit; a permit received while they were unreachable is void."""
+    """Nor without a permit if there is a rate limit; a permit that comes while unreachable is not used."""
     p = RoundsPlayer()
     assert (
         p.play("""
