--- a/tests/test_post_safety.py
+++ b/tests/test_post_safety.py
@@ -1,4 +1,4 @@
-"""What an office, a depot and a counter say while they are cut off, taken away or told to end."""
+"""Guarantees of controllers, stores and gateways while they are isolated, removed or shut down."""
 
 from __future__ import annotations
 
@@ -56,7 +56,9 @@
 WORKER = {"svc": "s", "address": "10.9.0.1:80", "capacity": 1, "state": "up", "calls": 1}
 
 
-class Calling:
+class FakeCall:
+    """A client's request, and the answer to it."""
+
     def __init__(self, method: str, path: str, body: Any = None) -> None:
         self.message = Message(0.0)
         self.message.method, self.message.target = method.encode(), path.encode()
@@ -68,24 +70,24 @@
         self.status, self.body = status, body
 
 
-def office(*seeds: int) -> Office:
+def new_controller(*seeds: int) -> Office:
     text = OFFICE.format(seeds=",".join(f"10.0.0.{n}:8262" for n in seeds))
     return Office(parse(text, "here"), 1, 0.0, None)
 
 
-def asks(o: Office, method: str, path: str, body: Any = None) -> Calling:
-    call = Calling(method, path, body)
-    o.called(call)  # type: ignore[arg-type]
-    o.settle()
+def request(controller: Office, method: str, path: str, body: Any = None) -> FakeCall:
+    call = FakeCall(method, path, body)
+    controller.called(call)  # type: ignore[arg-type]
+    controller.settle()
     return call
 
 
-def linked(o: Office, *numbers: int) -> list[Spy]:
+def link_controllers(controller: Office, *numbers: int) -> list[Spy]:
     links = []
     for number in numbers:
         link = Spy("office", f"o{number}")
         link.peer.ip = f"10.0.0.{number}"
-        o.joined(link)
+        controller.joined(link)
         links.append(link)
     return links
 
@@ -94,158 +96,163 @@
 
 
 @pytest.mark.parametrize("method, body", LEAVING)
-def test_an_isolated_controller_confirms_no_drain_and_publishes_it_to_all_it_reaches(method: str, body: Any) -> None:
-    o, edge = office(1, 2, 3), Spy("counter", "c1")
-    linked(o, 2, 3)
-    o.joined(edge)
-    assert asks(o, "PUT", "/workers/w1", WORKER).status == 200
+def test_an_isolated_controller_confirms_no_drain_and_publishes_it_to_all_it_reaches(
+    method: str, body: Any
+) -> None:
+    controller, gateway = new_controller(1, 2, 3), Spy("counter", "c1")
+    link_controllers(controller, 2, 3)
+    controller.joined(gateway)
+    assert request(controller, "PUT", "/workers/w1", WORKER).status == 200
     for number in (2, 3):
-        o.parted(o.links[f"o{number}"][0])
-    edge.said.clear()
-    assert asks(o, method, "/workers/w1", body).status == 503
-    told = [w for kind, news in edge.said if kind == "news" for w in news.workers]
-    assert told and (told[-1].draining or told[-1].gone)
-    assert asks(o, "PUT", "/workers/w2", WORKER).status == 503  # the next one may reach the others
+        controller.parted(controller.links[f"o{number}"][0])
+    gateway.said.clear()
+    assert request(controller, method, "/workers/w1", body).status == 503
+    updates = [w for kind, news in gateway.said if kind == "news" for w in news.workers]
+    assert updates and (updates[-1].draining or updates[-1].gone)
+    # the client should try another controller, which may reach the others
+    assert request(controller, "PUT", "/workers/w2", WORKER).status == 503
 
 
 @pytest.mark.parametrize("method, body", LEAVING)
 def test_a_drain_is_confirmed_once_a_majority_has_recorded_it(method: str, body: Any) -> None:
-    o = office(1, 2, 3)
-    one, other = linked(o, 2, 3)
-    asks(o, "PUT", "/workers/w1", WORKER)
-    call = asks(o, method, "/workers/w1", body)
+    controller = new_controller(1, 2, 3)
+    one, other = link_controllers(controller, 2, 3)
+    request(controller, "PUT", "/workers/w1", WORKER)
+    call = request(controller, method, "/workers/w1", body)
     spread = next(word for kind, word in one.said if kind == "spread")
     assert call.status == 0 and any(kind == "spread" for kind, _ in other.said)
-    o.heard(one, "known", Known(call=spread.call - 1, view=View()))  # of another call
+    controller.heard(one, "known", Known(call=spread.call - 1, view=View()))  # of another call
     assert call.status == 0
-    o.heard(one, "known", Known(call=spread.call, view=View()))
-    o.heard(other, "known", Known(call=spread.call, view=View()))
+    controller.heard(one, "known", Known(call=spread.call, view=View()))
+    controller.heard(other, "known", Known(call=spread.call, view=View()))
     assert call.status == 200
 
 
 @pytest.mark.parametrize("id", ["x" * 129, "a%20b", "a%2fb", "a%7f"])
 def test_a_worker_id_that_cannot_be_registered_is_not_recorded_by_its_removal(id: str) -> None:
-    """An id of any length went to all processes, and stood in their directories."""
-    o = office(1)
+    """Guards against ids of any length that were sent to all processes and stored in their directories."""
+    controller = new_controller(1)
     for method, body in (("PUT", WORKER), ("DELETE", None)):
         with pytest.raises(Malformed, match="id in the path"):
-            asks(o, method, f"/workers/{id}", body)
-    assert not o.directory.workers
+            request(controller, method, f"/workers/{id}", body)
+    assert not controller.directory.workers
 
 
 def test_a_drain_without_a_majority_is_answered_in_time_and_not_confirmed() -> None:
-    o = office(1, 2, 3)
-    linked(o, 2, 3)  # the links are up, and nothing comes back
-    call = asks(o, "PUT", "/workers/w1", WORKER | {"state": "draining"})
-    o.clock(0.9)
-    o.tick()
+    controller = new_controller(1, 2, 3)
+    link_controllers(controller, 2, 3)  # the links are up, without replies
+    call = request(controller, "PUT", "/workers/w1", WORKER | {"state": "draining"})
+    controller.clock(0.9)
+    controller.tick()
     assert call.status == 503
 
 
 def test_a_controller_records_and_publishes_a_drain_before_it_acknowledges_it() -> None:
-    o, edge = office(1, 2, 3), Spy("counter", "c1")
-    one, _ = linked(o, 2, 3)
-    o.joined(edge)
-    order: list[str] = []
-    edge.say = lambda kind, word: order.append(f"edge {kind}")  # type: ignore[method-assign]
-    one.say = lambda kind, word: order.append(f"o2 {kind}")  # type: ignore[method-assign]
+    controller, gateway = new_controller(1, 2, 3), Spy("counter", "c1")
+    one, _ = link_controllers(controller, 2, 3)
+    controller.joined(gateway)
+    steps: list[str] = []
+    gateway.say = lambda kind, word: steps.append(f"gateway {kind}")  # type: ignore[method-assign]
+    one.say = lambda kind, word: steps.append(f"o2 {kind}")  # type: ignore[method-assign]
     worker = {"id": "w1", "svc": "s", "draining": True, "calls": 2}
     from opalwick.post.wire_pb2 import Spread, Worker
 
-    o.heard(one, "spread", Spread(call=9, news=News(workers=[Worker(**worker)])))
-    assert order == ["edge news", "o2 known"]
+    controller.heard(one, "spread", Spread(call=9, news=News(workers=[Worker(**worker)])))
+    assert steps == ["gateway news", "o2 known"]
 
 
-# ---- a depot that is taken away
+# ---- removal of a store
 
 
-def alone(depots: int = 4) -> tuple[Office, list[Spy]]:
-    """An office that is the only voter, with a configuration in force."""
-    o = office(1)
-    o.registry.node(0.0, Node(node="o1", role="office", ip="10.0.0.1", life=1))
+def single_controller(stores: int = 4) -> tuple[Office, list[Spy]]:
+    """A controller that is the only voter, with a configuration in force, and its links to stores."""
+    controller = new_controller(1)
+    controller.registry.node(0.0, Node(node="o1", role="office", ip="10.0.0.1", life=1))
     links = []
-    for n in range(depots):
+    for n in range(stores):
         links.append(Spy("depot", f"d{n}"))
-        o.joined(links[-1])
-    pass_time(o, 9.0, links)
+        controller.joined(links[-1])
+    pass_time(controller, 9.0, links)
     conf = {"gen": 7, "routing": [], "backends": [], "caps": {}}
-    call = asks(o, "PUT", "/conf", conf)
-    pass_time(o, 9.2, links)
+    call = request(controller, "PUT", "/conf", conf)
+    pass_time(controller, 9.2, links)
     assert call.status == 200
-    return o, links
+    return controller, links
 
 
-def pass_time(o: Office, until: float, links: Sequence[Spy] = ()) -> None:
-    while o.now < until:
-        o.clock(round(o.now + 0.05, 3))
+def pass_time(controller: Office, until: float, links: Sequence[Spy] = ()) -> None:
+    while controller.now < until:
+        controller.clock(round(controller.now + 0.05, 3))
         for link in links:
-            link.heard_at = o.now
-        o.tick()
-        o.settle()
-        while saves := o.batch():
-            o.synced(saves)
-            o.settle()
+            link.heard_at = controller.now
+        controller.tick()
+        controller.settle()
+        while saves := controller.batch():
+            controller.synced(saves)
+            controller.settle()
 
 
 def test_complete_is_agreed_and_never_revoked() -> None:
-    o, links = alone()
-    call = asks(o, "POST", "/retire/d1", {"over_s": 9})
-    pass_time(o, o.now + 0.2, links)
+    controller, links = single_controller()
+    call = request(controller, "POST", "/retire/d1", {"over_s": 9})
+    pass_time(controller, controller.now + 0.2, links)
     assert call.status == 200
-    state = asks(o, "GET", "/retire/d1")
-    pass_time(o, o.now + 0.2, links)
+    state = request(controller, "GET", "/retire/d1")
+    pass_time(controller, controller.now + 0.2, links)
     assert json.loads(state.body) == {"state": "active"}
-    o.heard(links[1], "pulse", Pulse(settled=True, empty=True))
-    assert not Conf.FromString(o.views.in_force).emptied
-    pass_time(o, o.now + 0.2, links)
-    assert list(Conf.FromString(o.views.in_force).emptied) == ["d1"]
-    o.heard(links[1], "pulse", Pulse(settled=True))  # started anew, it has to look first
-    stored = o.views.conf
-    state = asks(o, "GET", "/retire/d1")
-    pass_time(o, o.now + 0.2, links)
+    controller.heard(links[1], "pulse", Pulse(settled=True, empty=True))
+    assert not Conf.FromString(controller.views.in_force).emptied
+    pass_time(controller, controller.now + 0.2, links)
+    assert list(Conf.FromString(controller.views.in_force).emptied) == ["d1"]
+    # restarted, it has yet to check whether it is empty
+    controller.heard(links[1], "pulse", Pulse(settled=True))
+    stored = controller.views.conf
+    state = request(controller, "GET", "/retire/d1")
+    pass_time(controller, controller.now + 0.2, links)
     assert json.loads(state.body) == {"state": "complete"}
-    assert list(Conf.FromString(stored).emptied) == ["d1"]  # on the disk, for whoever is primary next
-    again = asks(o, "POST", "/retire/d1", {"over_s": 9})
-    pass_time(o, o.now + 0.2, links)
+    assert list(Conf.FromString(stored).emptied) == ["d1"]  # on disk, for the next primary
+    again = request(controller, "POST", "/retire/d1", {"over_s": 9})
+    pass_time(controller, controller.now + 0.2, links)
     assert again.status == 200
 
 
 def test_a_controller_that_is_not_sure_of_its_majority_neither_rejects_nor_confirms() -> None:
-    """Before: 404 for a machine that it had not heard of, `complete` from its memory, 409 and 200."""
-    o = office(1, 2, 3)
-    linked(o, 2, 3)
+    """Guards against answers from its own state: 404 for an unknown machine, `complete`, 409 and 200."""
+    controller = new_controller(1, 2, 3)
+    link_controllers(controller, 2, 3)
     for method in ("POST", "GET"):
-        assert asks(o, method, "/retire/d1", {"over_s": 9}).status == 503
-    o, _links = alone()
-    o.views.view.voters.extend(["10.0.0.2", "10.0.0.3"])  # cut off from these, it does not know it yet
-    o.views.heard_at = {"10.0.0.2": o.now, "10.0.0.3": o.now}
-    o.empty["d1"] = True
+        assert request(controller, method, "/retire/d1", {"over_s": 9}).status == 503
+    controller, _links = single_controller()
+    # isolated from these, which it has not noticed yet
+    controller.views.view.voters.extend(["10.0.0.2", "10.0.0.3"])
+    controller.views.heard_at = {"10.0.0.2": controller.now, "10.0.0.3": controller.now}
+    controller.empty["d1"] = True
     for method, path in (("GET", "/retire/d1"), ("POST", "/retire/nobody"), ("GET", "/conf")):
-        call = asks(o, method, path, {"over_s": 9})
-        o.clock(o.now + 0.9)
-        o.tick()
-        o.settle()
+        call = request(controller, method, path, {"over_s": 9})
+        controller.clock(controller.now + 0.9)
+        controller.tick()
+        controller.settle()
         assert call.status in (503, 504), (method, path)
 
 
 def test_other_content_under_a_used_number_is_rejected_and_the_same_acknowledged() -> None:
-    o, links = alone()
+    controller, links = single_controller()
     conf = {"caps": {}, "backends": [], "routing": [], "gen": 7}
     for body, status in ((conf, 200), (conf | {"caps": {"idle_ms": 9}}, 409), (conf | {"gen": 5}, 200)):
-        call = asks(o, "PUT", "/conf", body)
-        pass_time(o, o.now + 0.2, links)
+        call = request(controller, "PUT", "/conf", body)
+        pass_time(controller, controller.now + 0.2, links)
         assert call.status == status, call.body
-    assert b"take a higher number" in asks_after(o, links, conf | {"caps": {"idle_ms": 9}})
+    assert b"take a higher number" in request_body(controller, links, conf | {"caps": {"idle_ms": 9}})
 
 
-def asks_after(o: Office, links: list[Spy], body: Any) -> bytes:
-    call = asks(o, "PUT", "/conf", body)
-    pass_time(o, o.now + 0.2, links)
+def request_body(controller: Office, links: list[Spy], body: Any) -> bytes:
+    call = request(controller, "PUT", "/conf", body)
+    pass_time(controller, controller.now + 0.2, links)
     return call.body
 
 
 def test_directory_updates_omit_the_history_of_a_configuration() -> None:
-    o, _ = alone()
+    controller, _ = single_controller()
     conf = Conf(
         gen=8,
         said=b"{}",
@@ -254,11 +261,11 @@
         emptied=["d1"],
         services=[Service(name="s")],
     )
-    edge = Spy("counter", "c1")
-    o.joined(edge)
-    o.publish(conf.SerializeToString())
-    told = next(word.conf for kind, word in edge.said if kind == "news" and word.conf.gen == 8)
-    assert (told.said, told.digest, list(told.past)) == (b"", b"", []) and list(told.emptied) == ["d1"]
+    gateway = Spy("counter", "c1")
+    controller.joined(gateway)
+    controller.publish(conf.SerializeToString())
+    sent = next(word.conf for kind, word in gateway.said if kind == "news" and word.conf.gen == 8)
+    assert (sent.said, sent.digest, list(sent.past)) == (b"", b"", []) and list(sent.emptied) == ["d1"]
 
 
 def test_a_sealed_store_accepts_nothing_after_a_restart_without_updates(tmp_path: Path) -> None:
@@ -268,37 +275,39 @@
     disk.close()
     disk = Disk(str(tmp_path))
     assert disk.seal() == (7, 2)
-    depot, link, peer = Depot(parse(DEPOT, "here"), 2, 0.0, disk.id), Spy("counter"), Spy("depot", "d2")
-    depot.keeping.seal.loaded(disk.seal())
-    depot.joined(link)
-    depot.joined(peer)
-    letter = Letter(mid="m.1.1", body=b"x", holders=["d1", "d2"], until=90.0)
-    depot.heard(link, "keep", Keep(letter=letter))
-    depot.heard(peer, "hand", Hand(letters=[letter]))
-    depot.settle()
-    assert not depot.keeping.entries and not depot.queue
+    store, link, peer = Depot(parse(DEPOT, "here"), 2, 0.0, disk.id), Spy("counter"), Spy("depot", "d2")
+    store.keeping.seal.loaded(disk.seal())
+    store.joined(link)
+    store.joined(peer)
+    message = Letter(mid="m.1.1", body=b"x", holders=["d1", "d2"], until=90.0)
+    store.heard(link, "keep", Keep(letter=message))
+    store.heard(peer, "hand", Hand(letters=[message]))
+    store.settle()
+    assert not store.keeping.entries and not store.queue
     assert [word.refused for kind, word in link.said if kind == "kept"] == [True]
-    office_link = Spy("office", "o1")
-    depot.joined(office_link)
-    for gen, seq, sealed in ((7, 1, True), (7, 2, True), (7, 3, False)):  # the order was taken back
-        depot.hear(office_link, "news", News(conf=Conf(gen=gen, seq=seq), whole=True))
-        depot.settle()
-        assert (depot.keeping.seal.written is not None) is sealed
-    disk.commit([(write.kind, write.fields) for write in depot.batch()[0]])
+    controller_link = Spy("office", "o1")
+    store.joined(controller_link)
+    for gen, seq, sealed in ((7, 1, True), (7, 2, True), (7, 3, False)):  # the removal was revoked
+        store.hear(controller_link, "news", News(conf=Conf(gen=gen, seq=seq), whole=True))
+        store.settle()
+        assert (store.keeping.seal.written is not None) is sealed
+    disk.commit([(write.kind, write.fields) for write in store.batch()[0]])
     assert disk.seal() is None
     disk.close()
 
 
-# ---- a counter that has just started
+# ---- a gateway that has just started
 
 
 def test_what_is_accepted_as_a_depot_is_heard_again_is_told_as_its_own() -> None:
-    """Found by a drawn day (TWICE): the last `kept` and a pulse came in one read. The message was no wait any
-    and no delivery yet, so it was not listed; the depot gave it to another, and both delivered it."""
+    """Guards against a second delivery (rule TWICE): the last `kept` and a heartbeat arrived in one read. The
+    message was no longer being stored and not yet scheduled, so it was missing in the list of deliveries. The
+    store assigned it to another gateway, and both delivered it.
+    """
     text = DEPOT.replace("depot", "counter").replace("disk", "none").replace("datadir=/data\n", "")
-    counter = Gateway(parse(text, "here"), 1, 0.0, 8)
-    depots = [Spy("depot", name) for name in ("d1", "d2")]
-    counter.directory.merge(
+    gateway = Gateway(parse(text, "here"), 1, 0.0, 8)
+    stores = [Spy("depot", name) for name in ("d1", "d2")]
+    gateway.directory.merge(
         News(
             conf=Conf(
                 gen=1,
@@ -308,40 +317,42 @@
             )
         )
     )
-    counter.rounds.configured(counter.directory.conf)  # type: ignore[arg-type]
-    for depot in depots:
-        counter.joined(depot)
-    counter.settle()
-    call = Calling("POST", "/x")
-    letter = Letter(rid="1", host=b"h", method=b"POST", target=b"/x", body=b"x")
-    counter.offered(call, call.message, letter, 0.0)  # type: ignore[arg-type]
-    keep = next(word for kind, word in depots[0].said if kind == "keep")
-    for depot in depots:
-        depot.said.clear()
-        counter.hear(depot, "kept", Kept(mid=keep.letter.mid))
-    for depot in depots:
-        counter.hear(depot, "pulse", Pulse(echo=0.1))
-    counter.settle()
+    gateway.rounds.configured(gateway.directory.conf)  # type: ignore[arg-type]
+    for store in stores:
+        gateway.joined(store)
+    gateway.settle()
+    call = FakeCall("POST", "/x")
+    message = Letter(rid="1", host=b"h", method=b"POST", target=b"/x", body=b"x")
+    gateway.offered(call, call.message, message, 0.0)  # type: ignore[arg-type]
+    keep = next(word for kind, word in stores[0].said if kind == "keep")
+    for store in stores:
+        store.said.clear()
+        gateway.hear(store, "kept", Kept(mid=keep.letter.mid))
+    for store in stores:
+        gateway.hear(store, "pulse", Pulse(echo=0.1))
+    gateway.settle()
     assert call.status == 202
-    for depot in depots:
-        listed = [list(word.mids) for kind, word in depot.said if kind == "mine" and word.whole]
-        assert listed and all(keep.letter.mid in mids for mids in listed), depot.said
+    for store in stores:
+        listed = [list(word.mids) for kind, word in store.said if kind == "mine" and word.whole]
+        assert listed and all(keep.letter.mid in mids for mids in listed), store.said
 
 
-# ---- a counter that is told to end
+# ---- shutdown of a gateway
 
 
 def test_a_request_that_comes_in_the_last_moment_before_the_end_is_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Found by a drawn day (LOST): read after the last look whether anybody waits, and never answered."""
+    """Guards against a lost request (rule LOST): it was read after the last check for waiting clients, and
+    never answered.
+    """
     shell = CounterShell.__new__(CounterShell)
-    order: list[str] = []
+    steps: list[str] = []
     conversations: dict[str, None] = {}
 
     class Accepting:
         def kill(self) -> None:
-            order.append("no more are accepted")
+            steps.append("no more are accepted")
 
     class Door:
         def __init__(self, *_: Any) -> None:
@@ -353,14 +364,14 @@
         def usher(self) -> None: ...
 
     def sleep(seconds: float) -> None:
-        order.append("waits")
-        if order[-3:] == ["waits"] * 3:  # it is answered a while later
+        steps.append("waits")
+        if steps[-3:] == ["waits"] * 3:  # it is answered after a while
             conversations.clear()
 
     def finish(until: float) -> None:
         CounterShell.finish(shell, until)
-        order.append("looked")
-        if order.count("looked") == 1:
+        steps.append("looked")
+        if steps.count("looked") == 1:
             conversations["a client"] = None  # read by now
 
     agent = "opalwick.post.counter.agent"
@@ -382,4 +393,4 @@
     monkeypatch.setattr(shell, "begin", lambda: None)
     monkeypatch.setattr(shell, "finish", finish)
     shell.serve()
-    assert order == ["looked", *["no more are accepted"] * 2, *["waits"] * 3, "looked", "waits"]
+    assert steps == ["looked", *["no more are accepted"] * 2, *["waits"] * 3, "looked", "waits"]
--- a/tests/test_post_twice.py
+++ b/tests/test_post_twice.py
@@ -1,6 +1,6 @@
-"""A message whose success was read, or whose delivery is out, is not begun by anybody that could know.
+"""Guards against second deliveries of a message that has succeeded, or has a delivery in flight.
 
-Each of these was found or refuted by `docs/incidents/twice-after-a-read-success.md`.
+The cases are described in `docs/incidents/twice-after-a-read-success.md`.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 
 def test_a_list_of_deliveries_contains_messages_accepted_before_it_is_sent() -> None:
-    """The list was made as the first echo was heard and said with the next words, after those of a request
-    that came in between. The depots gave that message to another counter, and both delivered it.
+    """The list was built at the first echo, but sent after the message of a request that came in between, so
+    it lacked that message. The stores assigned it to another gateway, and both gateways delivered it.
     """
     cluster = Cluster(counters=2, depots=2)
     cluster.start_counter("c3", 13)
-    cluster.read()  # the depots have heard c3, and have not said so yet
+    cluster.read()  # the stores have received c3's heartbeat, and have not echoed it yet
     cluster.pulses()
-    cluster.read("c3")  # the first echo: a pulse, from which nothing follows before the next tick
+    cluster.read("c3")  # the first echo: a heartbeat, which has no effect before the next tick
     call = cluster.offer("c3")
     cluster.read()
     assert call.status == 202
@@ -34,8 +34,8 @@
 
 @pytest.mark.parametrize("moved", [False, True])
 def test_two_stores_without_a_link_have_a_message_delivered_once(moved: bool) -> None:
-    """Each of them acted, and gave it to another counter; both counters were linked to both depots. `moved`:
-    one of them had its copy made anew elsewhere, as the other was away for long.
+    """Each store assigned the message to a different gateway; both gateways were linked to both stores.
+    `moved`: one store had its replica made again elsewhere, as the other one was unreachable for long.
     """
     cluster = Cluster(counters=5, depots=3)
     mid = cluster.accepted("c1", delay=14.0 if moved else 0.0)
@@ -44,22 +44,23 @@
     for node in ("c1", "c3"):  # the two choose different counters
         cluster.roles[second].keeping.counters[node].given = 19
     cluster.part(first, second)
-    before = list(cluster.began[mid])
+    started = list(cluster.began[mid])
     if not moved:
-        cluster.end("c1")  # with its delivery out: each depot gives the message to another at once
+        # with its delivery in flight: each store assigns the message to another gateway at once
+        cluster.end("c1")
     cluster.run(16.0)
-    assert cluster.began[mid][:-1] == before
+    assert cluster.began[mid][:-1] == started
     cluster.out[mid] = cluster.out[mid][-1:]
     cluster.answer(mid)
     cluster.run(8.0)
-    assert cluster.began[mid][:-1] == before
+    assert cluster.began[mid][:-1] == started
 
 
 @pytest.mark.parametrize("again", [False, True])
 def test_a_final_outcome_that_one_replica_missed_reaches_it_before_the_other_is_stopped(again: bool) -> None:
-    """A counter that ended just after one of its links had broken left that depot without the end. Depots
-    compared what they keep only as a link between them came up; once the other was stopped by plan, it had
-    the message delivered again. `again`: the counter is started again at once.
+    """A gateway that ended just after one of its links broke left that store without the final outcome.
+    Stores compared their messages only when a link between them came up; once the other store was stopped
+    for maintenance, the first had the message delivered again. `again`: the gateway is restarted at once.
     """
     cluster = Cluster(counters=2, depots=3)
     mid = cluster.accepted("c1")
@@ -81,28 +82,28 @@
 
 
 def test_a_gateway_that_has_just_started_waits_for_the_stores_that_it_connects_to() -> None:
-    """Else it would begin what one depot gives it before it could ask the others."""
+    """Otherwise it would deliver what one store assigns before it could ask the other replicas."""
     cluster = Cluster(counters=2, depots=3)
     mid = cluster.accepted("c1", delay=4.0)
     first, second = cluster.holders(mid)
     cluster.run(3.9)
     cluster.start_counter("c3", 13)
     cluster.part("c3", second)
-    counter, letter = (
+    gateway, message = (
         cluster.roles["c3"],
         Letter(mid=mid, host=b"h", target=b"/x", holders=[first, second], until=9.0),
     )
-    counter.linked_stores = {first, second}
-    counter.rounds.assigned(first, letter)
-    item = counter.rounds.items[mid]
-    assert counter.awaits(second, item)
+    gateway.linked_stores = {first, second}
+    gateway.rounds.assigned(first, message)
+    item = gateway.rounds.items[mid]
+    assert gateway.awaits(second, item)
     cluster.link("c3", second)
     cluster.read()
     assert item.awaited == set()
     item.awaited = {second}
     cluster.part("c3", second)
     cluster.run(0.4)
-    assert not counter.awaits(second, item)  # it is out of touch
+    assert not gateway.awaits(second, item)  # it is unreachable
 
 
 def test_a_store_of_an_earlier_version_that_never_answers_delays_messages_only_briefly(
@@ -118,15 +119,15 @@
 
 
 def test_a_replica_in_transit_when_the_message_ended_gets_the_final_outcome() -> None:
-    """Its new holder would have had it delivered, once the others were stopped."""
+    """Otherwise the store with the new replica would have it delivered once the others are stopped."""
     cluster = Cluster(counters=2, depots=3)
     mid = cluster.accepted("c1")
     cluster.run(0.1)
     first, _ = cluster.holders(mid)
-    keeping = cluster.roles[first].keeping
+    storage = cluster.roles[first].keeping
     target = next(node for node in ("d1", "d2", "d3") if node not in cluster.holders(mid))
-    keeping.moving.on_way[mid] = Transfer(target, cluster.now, (first, target))
-    keeping.fetch(mid, ("move", target, (first, target)))
+    storage.moving.on_way[mid] = Transfer(target, cluster.now, (first, target))
+    storage.fetch(mid, ("move", target, (first, target)))
     cluster.settle(first)
     cluster.answer(mid)
     cluster.read()
@@ -135,10 +136,10 @@
 
 def test_messages_from_an_earlier_incarnation_of_a_gateway_are_no_claim_of_the_later_one() -> None:
     cluster = Cluster(counters=2, depots=2)
-    depot, old = cluster.roles["d1"], cluster.ends["d1", "c1"]
-    later = Hello(node="c1", role="counter", zone="b", life=old.peer.life + 1)
-    depot.joined(SimpleNamespace(peer=later, heard_at=cluster.now, say=lambda kind, word: None))
-    depot.heard(old, "keep", Keep(letter=Letter(mid="m", holders=["d1", "d2"], due=9.0, until=90.0)))
-    assert depot.keeping.entries["m"].owner == ""
-    depot.heard(old, "mine", Mine(mids=["m"], claims=[7]))
-    assert depot.keeping.entries["m"].owner == ""
+    store, earlier = cluster.roles["d1"], cluster.ends["d1", "c1"]
+    later = Hello(node="c1", role="counter", zone="b", life=earlier.peer.life + 1)
+    store.joined(SimpleNamespace(peer=later, heard_at=cluster.now, say=lambda kind, word: None))
+    store.heard(earlier, "keep", Keep(letter=Letter(mid="m", holders=["d1", "d2"], due=9.0, until=90.0)))
+    assert store.keeping.entries["m"].owner == ""
+    store.heard(earlier, "mine", Mine(mids=["m"], claims=[7]))
+    assert store.keeping.entries["m"].owner == ""
