--- a/opalwick/post/counter/delivery.py
+++ b/opalwick/post/counter/delivery.py
@@ -70,16 +70,16 @@
         wanted: Callable[[], bool],
         pool: Pool,
         limits: Limits,
-        tell: Callable[[Result, bool], None],
-        meeting: Identification | None = None,
+        report: Callable[[Result, bool], None],
+        identification: Identification | None = None,
     ) -> None:
-        """`tell`: receives the outcome, and whether a reused connection broke without a response. `meeting`:
-        set for a message subject to data residency.
+        """`report`: receives the outcome, and whether a reused connection broke without a response.
+        `identification`: set for a message subject to data residency.
         """
         self.worker, self.identification, self.message = (
             place[2],
-            meeting,
-            message if meeting is not None else None,
+            identification,
+            message if identification is not None else None,
         )
         host, port, worker = place
         super().__init__(
@@ -91,7 +91,7 @@
             limits,
             Answer(limits, MAX_BODY),
         )
-        self.rid, self.report = message.rid.encode("latin-1"), tell
+        self.rid, self.report = message.rid.encode("latin-1"), report
         self.fully_written = True  # the last byte of the request was written
         self.only_request = False  # it is the only request that was ever sent on the connection
 
@@ -182,6 +182,6 @@
     def broke(self, end: Result) -> bool:
         return end[0] is DeliveryOutcome.BROKEN
 
-    def told(self, end: Any, kept: bool) -> None:
-        self.report(end, kept)
+    def told(self, result: Any, stale_connection: bool) -> None:
+        self.report(result, stale_connection)
         del self.report  # breaks the reference cycle
--- a/opalwick/post/counter/item.py
+++ b/opalwick/post/counter/item.py
@@ -48,11 +48,13 @@
         self.fails, self.lost, self.claim = message.fails, message.lost, message.claim
         self.attempt, self.rejections = 0, 0
         self.in_flight: dict[int, float] = {}  # by delivery: when it was sent
+        # `closed`: no longer handled here. `given_up`: by the dispatcher. `queued`: for a permit, or for a
+        # worker
         self.closed = self.given_up = self.queued = False
         self.permit_expires_at = math.inf  # infinite if it needs no permit
         self.reassigned = False  # to another gateway: no further attempt here
         self.awaited = set[str]()  # replicas that have not confirmed that this gateway delivers it
-        self.awaited_since = now  # when this gateway received it
+        self.awaited_since = now  # when it was received, or its replicas were last asked
         self.scheduled = False  # whether the schedule has an entry for it
         self.route: Route | None = None
         self.dispatcher_name = ""
--- a/opalwick/post/counter/role.py
+++ b/opalwick/post/counter/role.py
@@ -151,12 +151,12 @@
         if node in self.links:  # the link may be new
             return since < FIRST_ECHO_WAIT
         # a store without its regular link is unreachable, unless this process has just started
-        dialled = (
+        connecting = (
             node in self.temporary_links
             if node not in self.linked_stores
             else self.now - self.started_at < START_UP
         )
-        return dialled and since < TEMPORARY_LINK_WAIT
+        return connecting and since < TEMPORARY_LINK_WAIT
 
     def fresh(self, node: str) -> bool:
         """Whether that store has received this gateway's heartbeats so recently that it can't consider it
@@ -205,7 +205,9 @@
         if not self.temporary_links:
             return
         used = {node for item in self.rounds.items.values() for node in item.replicas}
-        used |= {node for untold in self.rounds.unconfirmed_ends.values() for node in untold.missing}
+        used |= {
+            node for unconfirmed in self.rounds.unconfirmed_ends.values() for node in unconfirmed.missing
+        }
         used |= {node for wait in self.intake.waits.values() for node in wait.asked}
         for node, at in list(self.temporary_links.items()):
             if self.now - at > TEMPORARY_LINK_IDLE and node not in used:
@@ -608,11 +610,11 @@
             return False
         linked = {link.peer.node for link in self.of("depot")}
         if self.now - self.parked_at < UNLINKED_STORE_WAIT:  # other stores may be linked again by then
-            linked |= {depot.node for depot in self.nodes("depot")}
+            linked |= {store.node for store in self.nodes("depot")}
         return (
             not self.rounds.items
             and not self.intake.waits
-            and not any(untold.missing & linked for untold in self.rounds.unconfirmed_ends.values())
+            and not any(unconfirmed.missing & linked for unconfirmed in self.rounds.unconfirmed_ends.values())
         )
 
     def figures(self) -> dict[str, Any]:
--- a/opalwick/post/counter/rounds.py
+++ b/opalwick/post/counter/rounds.py
@@ -219,11 +219,11 @@
             and self.policy.country(row.zone) == dispatcher.country
         )
 
-    def governed(self, policy: Policy | None, here: str) -> None:
+    def governed(self, policy: Policy | None, country: str) -> None:
         """Applies a data residency policy and this gateway's country: the workers in each country may have
         changed. Messages keep their country; those of other countries return to their stores.
         """
-        self.policy, self.country = policy, here
+        self.policy, self.country = policy, country
         for name, dispatcher in list(self.dispatchers.items()):
             if dispatcher.country and dispatcher.service.static:
                 del self.dispatchers[name]  # made again, with a new check of the endpoint's country
@@ -234,7 +234,7 @@
                 self.residency_queues.pop(name, None)
             elif dispatcher.country:
                 self.refresh_workers(dispatcher.service.name)
-        self.return_to_stores(lambda item: item.message.home not in ("", here))
+        self.return_to_stores(lambda item: item.message.home not in ("", country))
 
     def dispatcher_of(self, item: Item) -> Dispatcher | None:
         """The dispatcher of its service that has the workers at which it may run; None if there is none."""
@@ -261,13 +261,13 @@
             self.refresh_workers(svc)
         return dispatcher
 
-    def counters(self, count: int, near: int = 0) -> None:
-        """Number of gateways. `near`: those in this gateway's country, which share the workers there for
-        messages with data residency.
+    def counters(self, count: int, in_country: int = 0) -> None:
+        """Number of gateways. `in_country`: those in this gateway's country, which share the workers there
+        for messages with data residency.
         """
-        if (count, max(1, near)) == (self.gateway_count, self.gateways_in_country):
+        if (count, max(1, in_country)) == (self.gateway_count, self.gateways_in_country):
             return
-        self.gateway_count, self.gateways_in_country = max(1, count), max(1, near)
+        self.gateway_count, self.gateways_in_country = max(1, count), max(1, in_country)
         for dispatcher in list(self.dispatchers.values()):
             dispatcher.terms.schedulers = (
                 self.gateways_in_country if dispatcher.country else self.gateway_count
