--- a/opalwick/post/counter/desks.py
+++ b/opalwick/post/counter/desks.py
@@ -1,8 +1,8 @@
-"""A desk a service: the present program's reducer, with its decision module, picks the worker, forms blocks,
-sends copies and cancels them. A desk feeds it; what it decides goes back to `rounds.py`.
+"""Dispatchers, one per service. A dispatcher passes inputs to the routing reducer, whose balancer picks
+workers, groups jobs, hedges and cancels; its decisions go back to `rounds.py`.
 
-Services whose workers discard repeats (`dedup`) have repeat-safe jobs: blocks and copies. All others' jobs go
-alone, and are never taken back once sent.
+Services whose workers discard repeats (`dedup`) have repeat-safe jobs: these are sent in groups and hedged.
+The jobs of all other services are sent one at a time and never cancelled once sent.
 """
 
 from __future__ import annotations
@@ -28,43 +28,46 @@
 from opalwick.routing.reducer import Effect as Decided
 from opalwick.routing.reducer import Reducer, Timer
 
-SPAN = 600.0  # s: a message's own time is bounded by the rounds, not by the module
-# what a hand-off into another zone costs, in mean jobs: a near worker is taken as long as it promises nearly
-# as much. At 0.15 every second job crossed on a calm day, by the noise of what others hold; 0.4 is less than
-# the worth of a run that begins late
-CROSS = 0.4
-# s at most until one found silent is tried again: a trial on a new connection costs 0.3 s of one message, and
-# a service may have no other worker; at 8 s an endpoint that was dark for 7 s was out for 18
-SHUN = 1.0
-CHILL = 3.0  # s: what a worker that says how long it stays cold says at its start, at most
-TARDY = 0.3  # worth of a run that begins late, of one in time: between what deployments tell
-RESTLESS = Resting()
-RUN = 0.03  # s that a job is taken to run until some have: the module learns it within ten
-
-
-class Row(NamedTuple):
-    """A worker as it is listed."""
+# s: not a limit in practice, as the delivery scheduling bounds the time of a message
+MESSAGE_EXPIRY = 600.0
+# price of a delivery to another zone, in mean jobs: a worker of the own zone is preferred as long as it
+# offers nearly as much. At 0.15 every second job crossed zones under light load, because of noise in the
+# estimated load from other gateways. 0.4 is less than the value of a run that starts late
+CROSS_ZONE_PRICE = 0.4
+# s: upper bound of the time until an unresponsive worker is tried again. A trial on a new connection costs
+# one message 0.3 s, and the service may have no other worker; with 8 s, an endpoint that was down for 7 s got
+# nothing for 18 s
+MAX_AVOIDANCE = 1.0
+MAX_WARM_UP = 3.0  # s: upper bound of the warm-up time that a worker reports at its start
+LATE_CREDIT = 0.3  # value of a run that starts late, relative to one in time; deployments differ
+NONE_RESTING = Resting()
+# s: assumed run time of a job until about ten have run, from which the balancer learns it
+ASSUMED_RUN_TIME = 0.03
+
+
+class WorkerRow(NamedTuple):
+    """A worker in the directory."""
 
     id: str
     host: str
     port: int
     zone: str
-    capacity: int  # 0: not known
+    capacity: int  # jobs at once; 0: not known
     draining: bool
-    chill: float  # s
+    warm_up: float  # s: warm-up time
 
 
 class Load(NamedTuple):
-    """What a worker says with an answer: jobs, and how many it works on at once."""
+    """The load that a worker reports with a response: numbers of jobs, and of jobs it runs at once."""
 
     running: int
     waiting: int
     slots: int
 
 
-class Waiting:
-    """Items that wait for their turn. Who can still begin within the aim goes first, the earliest aim first;
-    of those that are late the newest, as what is oldest is worth the least.
+class WaitQueue:
+    """Queue of items. Those that can still start in time come first, by their target time; of the late ones
+    the newest comes first, as the oldest has the least value.
     """
 
     def __init__(self) -> None:
@@ -75,31 +78,35 @@
     def __len__(self) -> int:
         return len(self.timely) + len(self.late)
 
-    def put(self, aim_at: float, item: Any) -> None:
+    def put(self, start_by: float, item: Any) -> None:
         self.serial += 1
-        heapq.heappush(self.timely, (aim_at, self.serial, item))
+        heapq.heappush(self.timely, (start_by, self.serial, item))
 
     def take(self, now: float) -> Any:
+        """Removes and returns the next item; the queue must not be empty."""
         while self.timely and self.timely[0][0] <= now:
             self.late.append(heapq.heappop(self.timely)[2])
         return heapq.heappop(self.timely)[2] if self.timely else self.late.pop()
 
     def clear(self) -> list[Any]:
-        return self.sift(lambda item: True)
+        """Removes and returns all items."""
+        return self.remove_if(lambda item: True)
 
-    def sift(self, out: Callable[[Any], bool]) -> list[Any]:
-        """Takes out those that need not wait here any more; asks once of each."""
-        found = [entry for entry in self.timely if out(entry[2])]
-        late = [item for item in self.late if out(item)]
+    def remove_if(self, remove: Callable[[Any], bool]) -> list[Any]:
+        """Removes and returns the items for which `out` is true; calls it once for each."""
+        found = [entry for entry in self.timely if remove(entry[2])]
+        late = [item for item in self.late if remove(item)]
         if found or late:
-            gone = {id(item) for item in [*[entry[2] for entry in found], *late]}
-            self.timely = [entry for entry in self.timely if id(entry[2]) not in gone]
-            self.late = [item for item in self.late if id(item) not in gone]
+            removed = {id(item) for item in [*[entry[2] for entry in found], *late]}
+            self.timely = [entry for entry in self.timely if id(entry[2]) not in removed]
+            self.late = [item for item in self.late if id(item) not in removed]
             heapq.heapify(self.timely)
         return [entry[2] for entry in found] + late
 
 
-class Desk:
+class Dispatcher:
+    """Assigns the jobs of one service to its workers."""
+
     def __init__(
         self,
         service: Service,
@@ -111,11 +118,13 @@
         home: str = "",
         static: bool = True,
     ) -> None:
-        """`home`: the country whose workers alone it has. `static`: whether the service's endpoint is one."""
-        self.service, self.zones, self.home = service, zones, home
+        """`home`: country to which its workers are restricted, if any. `static`: whether it may use the
+        service's static endpoint.
+        """
+        self.service, self.zones, self.country = service, zones, home
         self.wake_at = math.inf
-        self.queue = Waiting()  # items that wait for a ceiling's permits
-        # under a ceiling each send needs its own permit
+        self.permit_queue = WaitQueue()  # items that wait for permits
+        # with a rate limit each delivery needs its own permit
         self.terms = SchedulerConfig(
             categories=[],
             customers=[],
@@ -128,7 +137,7 @@
             max_retry_after=0.0,
             credit_per_work=False,
             excess_credit=1.0,
-            price_cross_zone=CROSS,
+            price_cross_zone=CROSS_ZONE_PRICE,
             price_peer_message=0.0,
             position=0,
             must_subscribe=False,
@@ -136,7 +145,7 @@
             overload_multiple=50.0,
             overload_span=1.0,
             cold_share=0.5,
-            ramp=CHILL,
+            ramp=MAX_WARM_UP,
             reports_start=False,
             progress_every=0.0,
             tick=0.005,
@@ -149,19 +158,19 @@
             only_draining_binds=False,
             fixed_sizes=False,
             load_metrics=(LoadMetric.IN_FLIGHT, LoadMetric.WAITING),
-            max_ejection=SHUN,
+            max_ejection=MAX_AVOIDANCE,
         )
         self.reducer = Reducer(self.terms, seed, now)
         self.categories: dict[str, Category] = {}
-        self.known: dict[str, tuple[Any, ...]] = {}
-        self.numbers = self.cancels = 0
-        self.used = set[tuple[str, int]]()  # where its workers are
+        self.listed_workers: dict[str, tuple[Any, ...]] = {}
+        self.last_number = self.cancels = 0
+        self.addresses = set[tuple[str, int]]()  # addresses of its workers
         if service.static and static:
             host, _, port = service.static.rpartition(":")
-            list(self.listed(now, [Row("", host, int(port), settings.zone, 0, False, 0.0)]))
+            list(self.set_workers(now, [WorkerRow("", host, int(port), settings.zone, 0, False, 0.0)]))
 
     def category(self, route: Route) -> Category:
-        """Of that route as it is now; what its jobs have shown so far stays."""
+        """The category of a route's jobs, updated to the route; what was learned about its jobs stays."""
         found = self.categories.get(route.name)
         if found is None:
             effect = Effect.IDEMPOTENT if self.service.dedup else Effect.AT_MOST_ONCE
@@ -171,27 +180,27 @@
                 group=Group.ALL,
                 due=route.start,
                 due_stretch=1.0,
-                expiry=SPAN,
-                late_credit=TARDY,
-                dedup_window=SPAN,
-                mean_run=RUN,
+                expiry=MESSAGE_EXPIRY,
+                late_credit=LATE_CREDIT,
+                dedup_window=MESSAGE_EXPIRY,
+                mean_run=ASSUMED_RUN_TIME,
             )
             self.terms.categories.append(found)
             self.reducer.balancer.update_means()
         found.due = route.start
         return found
 
-    def listed(self, now: float, rows: list[Row]) -> Iterator[Decided]:
-        """All there are."""
-        told, sizes = [], set()
+    def set_workers(self, now: float, rows: list[WorkerRow]) -> Iterator[Decided]:
+        """Sets the workers. `rows`: all that the dispatcher may use."""
+        reports, sizes = [], set()
         for id, host, port, zone, capacity, draining, chill in rows:
-            number, ready_at = self.known.get(id, (None, 0.0))
+            number, ready_at = self.listed_workers.get(id, (None, 0.0))
             if number is None:
-                self.numbers += 1
-                number, ready_at = self.numbers, now - CHILL + min(CHILL, chill)
-                self.known[id] = number, ready_at
+                self.last_number += 1
+                number, ready_at = self.last_number, now - MAX_WARM_UP + min(MAX_WARM_UP, chill)
+                self.listed_workers[id] = number, ready_at
             sizes.add(capacity)
-            told.append(
+            reports.append(
                 (
                     id,
                     number,
@@ -204,46 +213,46 @@
                     0.0,
                 )
             )
-        yield from self.put(now, "listed", ListForm.FULL, told)
+        yield from self.feed(now, "listed", ListForm.FULL, reports)
         for size in sizes - {0}:
-            self.sized(size, size)
+            self.set_slots(size, size)
         self.prune({row.id for row in rows})
 
     def prune(self, listed: set[str]) -> None:
-        """Each start of a worker is a new one: those that are gone and hold nothing are forgotten."""
+        """Removes workers that are not listed and have no job: a worker that restarts has a new id."""
         reducer = self.reducer
-        for id in [id for id in self.known if id not in listed]:
+        for id in [id for id in self.listed_workers if id not in listed]:
             worker = reducer.workers.get(id)
             if worker is None or not worker.outstanding:
-                del self.known[id]
+                del self.listed_workers[id]
                 if worker is not None:
                     del reducer.workers[id], reducer.names[worker], reducer.places[worker]
                     reducer.balancer.all_workers.pop(worker, None)
                     reducer.balancer.active.pop(worker, None)
 
-    def sized(self, kind: int, slots: int) -> None:
-        """Workers tell how many they work on at once: the module need not learn it from their load."""
+    def set_slots(self, kind: int, slots: int) -> None:
+        """Sets the slots that workers report, so that the balancer needn't infer them from their load."""
         balancer = self.reducer.balancer
         if (known := balancer.kinds.get(kind)) is not None and (known.slots != slots or known.reports < 50):
             known.slots, known.reports = float(slots), 50
             balancer.update_sizes()
 
-    def told(self, load: Load | None) -> tuple[float, ...]:
-        """A worker's load in the module's figures."""
+    def load_figures(self, load: Load | None) -> tuple[float, ...]:
+        """A worker's load as the reducer expects it: jobs held, jobs waiting. Empty if it reported none."""
         if load is None:
             return ()
         if self.service.static:
-            self.sized(0, int(load.slots))
+            self.set_slots(0, int(load.slots))
         return (float(load.running + load.waiting), float(load.waiting))
 
-    def away(self, id: str) -> bool:
-        """Whether that worker stands in another zone."""
+    def in_other_zone(self, id: str) -> bool:
+        """Whether that worker is in another zone."""
         worker = self.reducer.workers.get(id)
         return worker is not None and worker.zone != self.terms.zone and not self.service.static
 
-    def held_by(self, resting: Resting, workers: dict[str, Worker]) -> int:
-        """Jobs that are out at workers that rest. One that was given up may run on for as long as its route
-        allows, which whoever drains waits for; the module's memory of it may last for longer.
+    def in_flight_at_resting(self, resting: Resting, workers: dict[str, Worker]) -> int:
+        """Jobs in flight at resting workers. A job that was given up may run on for as long as its route
+        allows, and whoever drains the workers waits for that; the balancer may count it for longer.
         """
         count = 0
         for id, worker in self.reducer.workers.items():
@@ -252,28 +261,28 @@
                 count += len(worker.in_flight)
         return count
 
-    def bears(self, now: float) -> int:
-        """Jobs that its workers may have now beside what they have: no permit is asked for more."""
-        balancer, count = self.reducer.balancer, 0
-        balancer.clock(now)  # nothing may have been put in since one was found silent
-        for w in balancer.workers:
-            if not balancer.avoids(w):
-                limit = 1 if w.ejections else int(w.limit or 4 * w.slots)
-                count += max(0, limit - w.outstanding)
-        return count
-
-    def doubt(self) -> None:
-        """Turned a job away. While nothing of its own is out it hears nothing of the others' load, and would
-        believe for ever what it heard last: half of it is let go each time.
+    def free_slots(self, now: float) -> int:
+        """Jobs that its workers can take now beside those in flight; no permits are requested for more."""
+        balancer, free = self.reducer.balancer, 0
+        balancer.clock(now)  # there may have been no input since a worker was found unresponsive
+        for worker in balancer.workers:
+            if not balancer.avoids(worker):
+                limit = 1 if worker.ejections else int(worker.limit or 4 * worker.slots)
+                free += max(0, limit - worker.outstanding)
+        return free
+
+    def decay_load_estimates(self) -> None:
+        """Called when a job was rejected. Without jobs in flight the dispatcher gets no reports about the
+        load from other gateways, and would use the last report forever: each rejection halves that estimate.
         """
         balancer = self.reducer.balancer
-        if not any(w.in_flight for w in balancer.workers):
+        if not any(worker.in_flight for worker in balancer.workers):
             balancer.mean_others *= 0.5
-            for w in balancer.workers:
-                w.others, w.as_of = w.others * 0.5, -1.0
+            for worker in balancer.workers:
+                worker.others, worker.as_of = worker.others * 0.5, -1.0
 
-    def put(self, now: float, kind: str, *fields: Any) -> Iterator[Decided]:
-        """An input to the reducer; its decisions but for the timer, which is kept here."""
+    def feed(self, now: float, kind: str, *fields: Any) -> Iterator[Decided]:
+        """Passes an input to the reducer. Yields its decisions, except for timers, which set `wake_at`."""
         if self.wake_at <= now:
             self.wake_at = math.inf
         for decided in list(self.reducer.reduce(now, kind, *fields)):
@@ -283,12 +292,12 @@
                 yield decided
 
     def figures(self) -> dict[str, int]:
-        b = self.reducer.balancer
-        return {"firsts": b.first_attempts, "copies": b.hedges}
+        balancer = self.reducer.balancer
+        return {"firsts": balancer.first_attempts, "copies": balancer.hedges}
 
 
-def load(text: bytes) -> Load | None:
-    """`X-Load`; nothing where it is odd."""
+def parse_load(text: bytes) -> Load | None:
+    """Parses the header X-Load (`running,waiting,slots`). Returns None if it is malformed."""
     try:
         running, waiting, slots = (int(part) for part in text.split(b","))
     except ValueError:
@@ -296,9 +305,10 @@
     return Load(running, waiting, slots) if min(running, waiting) >= 0 and slots > 0 else None
 
 
-def rows(workers: dict[str, Worker], svc: str, resting: Resting = RESTLESS) -> list[Row]:
+def worker_rows(workers: dict[str, Worker], svc: str, resting: Resting = NONE_RESTING) -> list[WorkerRow]:
+    """The responsive workers of a service; resting ones count as draining."""
     return [
-        Row(
+        WorkerRow(
             w.id,
             w.host,
             w.port,
