--- a/opalwick/post/depot/__init__.py
+++ b/opalwick/post/depot/__init__.py
@@ -1,1 +1,3 @@
-"""A depot: keeps messages on its disk, and says who delivers them. Words in; writes, and then words, out."""
+"""A store ("depot" on the wire): keeps messages on its disk and assigns each of them to a gateway that
+delivers it.
+"""
--- a/opalwick/post/depot/messages.py
+++ b/opalwick/post/depot/messages.py
@@ -1,7 +1,7 @@
-"""What the parts of a depot's state machine need of it: the messages that it keeps, and who else is there.
+"""The interface of a store's state machine that its parts use.
 
-`Keeping` is the one implementation. Its parts (`moving.py`, `reconciliation.py`) are given it as this type,
-so that none of them has to import the module that imports them.
+The message store of `keeping.py` is its one implementation. Its parts (`moving.py`, `reconciliation.py`) get
+it as this type, so that none of them has to import the module that imports them.
 """
 
 from __future__ import annotations
@@ -15,36 +15,42 @@
 
 
 class Messages(Protocol):
-    """Times are in seconds of this depot's clock."""
+    """The state of a store. Times are in seconds of its clock."""
 
     node: str
     zone: str
     now: float
-    settled: bool  # it has heard what the other depots know, as far as they answer
-    entries: dict[str, Entry]  # by message: those that have not ended
-    ends: dict[str, KnownEnd]  # by message
+    settled: bool  # state was compared with all other stores that answer
+    entries: dict[str, Entry]  # pending messages, by id
+    ends: dict[str, KnownEnd]  # by message id
     unsynced: set[str]  # ends that are not on the disk yet
-    dead: dict[str, int]  # octets of dead messages
-    peers: dict[str, float]  # linked depots: when each was heard last
+    dead: dict[str, int]  # bytes of each dead message
+    peers: dict[str, float]  # linked stores: when the last heartbeat of each was received
     peers_settled: dict[str, bool]
     seal: Seal
 
-    def country(self, zone: str) -> str: ...
+    def country(self, zone: str) -> str:
+        """The country that a zone is in; empty where it is unknown."""
+        ...
 
     def acts(self, entry: Entry) -> bool:
-        """Whether this depot is the one that acts for the message."""
+        """Whether this store is the one among the message's replicas that assigns it."""
         ...
 
-    def send(self, node: str, kind: str, word: Any) -> None: ...
+    def send(self, node: str, kind: str, msg: Any) -> None: ...
 
     def fetch(self, mid: str, why: tuple[Any, ...]) -> None:
-        """The message's octets are read from the disk for this reason."""
+        """Requests the message's bytes from the disk, for this reason."""
         ...
 
-    def tell_end(self, mid: str, nodes: Iterable[str]) -> None: ...
+    def tell_end(self, mid: str, nodes: Iterable[str]) -> None:
+        """Sends how the message ended to these nodes."""
+        ...
 
-    def holders(self, node: str, word: Holders) -> None:
-        """That node says who keeps the message from now on."""
+    def holders(self, node: str, msg: Holders) -> None:
+        """Handles that node's list of the stores that have a replica from now on."""
         ...
 
-    def seals(self, key: Any) -> None: ...
+    def seals(self, key: Any) -> None:
+        """Writes the seal to the disk."""
+        ...
--- a/opalwick/post/depot/records.py
+++ b/opalwick/post/depot/records.py
@@ -1,4 +1,4 @@
-"""What a depot knows of a message that has not ended, and the effects that its decisions leave behind."""
+"""State that a store has about a message, and the effects that its decisions produce."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Entry:
-    """A message that has not ended. Times are this depot's clock."""
+    """A pending message. Times are in seconds of this store's clock."""
 
     __slots__ = (
         "asked_at",
@@ -35,26 +35,26 @@
         size: int = 0,
         home: str = "",
     ) -> None:
-        """`size`: octets on the disk. `home`: the country that it must not leave."""
+        """`size`: bytes on the disk. `home`: the country that the message must not leave; empty: any."""
         self.size, self.home = size, home
         self.mid, self.holders, self.due, self.until = mid, holders, due, until
         self.claim, self.owner, self.fails, self.lost = 0, "", fails, lost
-        self.taken = 0  # who has a number under this lost it by its silence
-        self.asked_at = 0.0  # when it was assigned to its owner, which has not said that it has it
-        self.freed_by = ""  # why it has no owner, as traces tell it; empty: it never had one here
+        self.taken = 0  # claims below this are void: their gateway's lease expired
+        self.asked_at = 0.0  # when it was assigned to its owner, if that has not acknowledged it; else 0
+        self.freed_by = ""  # why it has no owner, for traces; empty: it never had one here
 
 
 class KnownEnd(NamedTuple):
-    """How a message has ended, as this depot tells it to whoever asks."""
+    """How a message has ended, as this store reports it."""
 
-    complete: bool  # else it is dead
-    seal: str  # of the answer that its success gave
-    until: float  # s, this depot's clock: it is told for so long
-    holders: tuple[str, ...]  # depots that kept the message
+    complete: bool  # else it is dead (ended without a success)
+    seal: str  # completion token of the answer that reported the success
+    until: float  # s, this store's clock: when the record of the end expires
+    holders: tuple[str, ...]  # stores that had a replica of the message
 
 
 class Write(NamedTuple):
-    """`then`: words for nodes, each once this is synced."""
+    """A change of the disk. `then`: peer messages (node, kind, message) that are sent once it is synced."""
 
     kind: str
     fields: tuple[Any, ...]
@@ -62,13 +62,15 @@
 
 
 class Send(NamedTuple):
+    """A peer message that is sent at once. `word`: the message, of the wire kind `kind`."""
+
     node: str
     kind: str
     word: Any
 
 
 class Fetch(NamedTuple):
-    """The message's octets from the disk, to be handed to `fetched` with this reason."""
+    """A request for the message's bytes from the disk; they are passed to `fetched` with `why`."""
 
     mid: str
     why: tuple[Any, ...]
--- a/opalwick/post/depot/seal.py
+++ b/opalwick/post/depot/seal.py
@@ -1,21 +1,24 @@
-"""Whether a depot takes nothing any more, for good. No I/O; part of `keeping.py`.
+"""Whether a store rejects all new messages for good. No I/O; part of `keeping.py`.
 
-A depot that is to be taken away refuses new messages from the moment that it hears so. Once nothing is left
-there it writes a seal and only then says that it is empty, so that after the operator was told `complete`
-nobody can be promised anything that rests on its disk: not by a gateway that never heard of the order, and
-not after a restart at which the depot itself has not heard of it yet.
+A store that is to be removed rejects new messages as soon as it receives that configuration. Once nothing is
+left there, it writes a seal to its disk and only then reports that it is empty. So after the operator was
+told `complete`, no accepted message can depend on this disk: not one of a gateway that has not received the
+configuration, and not one that arrives after a restart, before the store itself has received the
+configuration again.
 """
 
 from __future__ import annotations
 
-Key = tuple[int, int]  # of a configuration: its number, and changes beside it
+Key = tuple[int, int]  # of a configuration: its generation, and the number of changes since
 
 
 class Seal:
+    """The order to remove this store, and its record on the disk."""
+
     def __init__(self) -> None:
-        self.ordered: Key | None = None  # by the newest configuration this depot is to be taken away
-        self.written: Key | None = None  # on the disk: sealed by the order of that configuration
-        self.on_way = False  # to the disk
+        self.ordered: Key | None = None  # the newest configuration, if it removes this store
+        self.written: Key | None = None  # the configuration whose order is recorded on the disk
+        self.on_way = False  # the write of the seal is in progress
 
     @property
     def closed(self) -> bool:
@@ -23,12 +26,12 @@
         return self.ordered is not None or self.written is not None
 
     def loaded(self, key: Key | None) -> None:
-        """From the disk, at the start."""
+        """Restores the seal from the disk at the start."""
         self.written = key
 
     def learned(self, key: Key, retiring: bool) -> bool:
-        """A configuration says whether this depot is to be taken away. True: the seal is to be lifted, as the
-        order was taken back by a newer configuration than the one that it was given by.
+        """Handles a configuration, which removes this store or not. Returns True if the seal is to be lifted,
+        because a configuration newer than the one that gave the order took it back.
         """
         self.ordered = key if retiring else None
         if retiring or self.written is None or key <= self.written:
@@ -37,13 +40,16 @@
         return True
 
     def due(self, empty: bool) -> Key | None:
-        """The key to seal with, if nothing is left and that is not on the disk or on its way there."""
+        """Returns the key to write if the store is empty and the seal is neither on the disk nor being
+        written; the caller must write it.
+        """
         if not empty or self.ordered is None or self.written is not None or self.on_way:
             return None
         self.on_way = True
         return self.ordered
 
     def synced(self, key: Key) -> None:
+        """The seal was synced to the disk."""
         self.on_way = False
-        if self.ordered is not None:  # else the order was taken back meanwhile
+        if self.ordered is not None:  # else the order was taken back during the write
             self.written = key
