--- a/opalwick/post/depot/disk.py
+++ b/opalwick/post/depot/disk.py
@@ -1,10 +1,12 @@
-"""A depot's disk: one sqlite3 file of messages and ends. Nothing here decides.
+"""A store's disk: one sqlite3 file of messages and ends. Makes no decisions.
 
-A batch is one transaction, synced before `commit` returns (WAL, synchronous=FULL): what it holds may be told.
+A batch is one transaction, synced before `commit` returns (WAL, synchronous=FULL): its content may then be
+confirmed to others.
 
-What a loss of power tore is told by sqlite: its log has sums, and what was not committed whole is not there.
-What has rotten since is told by sums of our own on each message and each end: such a one counts as lost, and
-the depot gets it anew from the others. A file that is no database any more is set aside: its disk is lost.
+Sqlite detects writes torn by a loss of power: its log has checksums, and an incomplete transaction is
+discarded. Later corruption is detected by checksums of our own on each message and each end: a corrupted row
+counts as lost, and the store gets the message again from the other replicas. A file that is no longer a
+database is set aside, and its content counts as lost.
 """
 
 from __future__ import annotations
@@ -29,7 +31,7 @@
 
 
 class Row(NamedTuple):
-    """Of the table `letters`; times are unix seconds by this machine's clock."""
+    """A row of the table `letters` (messages). Times are unix seconds by this machine's clock."""
 
     mid: str
     letter: bytes
@@ -37,56 +39,59 @@
     until: float
     fails: int
     lost: int
-    holders: str  # with blanks between, where they are not those that the letter names
+    holders: str  # separated by blanks; empty where they are the ones that the message names
 
 
 class Disk:
+    """The open database. Raises sqlite3.Error where the file cannot be read or written."""
+
     def __init__(self, folder: str) -> None:
         os.makedirs(folder, exist_ok=True)
         self.path = os.path.join(folder, "depot.sqlite3")
-        self.rotten = 0  # messages and ends that were not what was written
-        # 500 pages, 2 MB: some 20 ms of a slow disk, a quarter of an aim; 4 MB kept in memory
+        self.rotten = 0  # corrupted messages and ends found so far
+        # 500 pages, 2 MB: a checkpoint takes some 20 ms on a slow disk, a quarter of a service's aim; 4 MB of
+        # cache
         self.db = database(self.path, 500, "cache_size = -4096")
         with closed_if_it_fails(self.db):
             self.db.executescript(_TABLES)
-            for table in ("letters", "ends"):  # without a sum from before: it is taken as it is
+            for table in ("letters", "ends"):  # rows from before there were checksums are taken as they are
                 add_columns(self.db, table, holders="text not null default ''", sum="integer")
             self.id, self.life = self.started()
             self.purge()
 
     def started(self) -> tuple[str, int]:
-        """The disk's own name, drawn when it was empty, and how often a process began on it."""
+        """Returns the disk's id, made when the disk was empty, and how often a process has started on it."""
         self.db.execute("begin immediate")
         facts = dict(self.db.execute("select name, value from facts"))
-        name, life = facts.get("disk") or uuid.uuid4().hex[:12], int(facts.get("life", "0")) + 1
+        name, starts = facts.get("disk") or uuid.uuid4().hex[:12], int(facts.get("life", "0")) + 1
         self.db.executemany(
-            "insert or replace into facts values (?, ?)", [("disk", name), ("life", str(life))]
+            "insert or replace into facts values (?, ?)", [("disk", name), ("life", str(starts))]
         )
         self.db.execute("commit")
         keep_names(os.path.dirname(self.path))
-        return name, life
+        return name, starts
 
     def purge(self) -> None:
-        """At a start, before all else is read: what has rotten is lost, and let go. A message whose end has
-        rotten goes with it, or it would begin anew.
+        """At the start, before anything else is read: deletes corrupted rows. A message whose end is
+        corrupted is deleted with it, or it would be delivered again.
         """
-        bad = [
+        corrupted = [
             mid
             for mid, letter, known in self.db.execute("select mid, letter, sum from letters")
             if known is not None and known != sum_of(mid, letter)
         ]
         ends = self.db.execute("select mid, complete, seal, sum from ends")
-        bad += [
+        corrupted += [
             mid
             for mid, complete, seal, known in ends
             if known is not None and known != sum_of(mid, complete, seal)
         ]
-        self.rotten += len(bad)
-        if bad:
-            self.commit([("forget", (mid,)) for mid in bad])
+        self.rotten += len(corrupted)
+        if corrupted:
+            self.commit([("forget", (mid,)) for mid in corrupted])
 
     def seal(self) -> tuple[int, int] | None:
-        """The number and changes of the configuration by whose order this disk was sealed, if it was."""
+        """The generation and changes of the configuration that sealed this disk; None: it is not sealed."""
         found = self.db.execute("select value from facts where name = 'seal'").fetchone()
         if found is None:
             return None
@@ -94,15 +99,17 @@
         return int(gen), int(seq)
 
     def letters(self) -> Iterator[Row]:
+        """All messages, pending or dead."""
         return map(
             Row._make, self.db.execute("select mid, letter, due, until, fails, lost, holders from letters")
         )
 
     def ends(self) -> list[tuple[str, int, str, float, str]]:
+        """All ends: message id, complete, seal, until, holders."""
         return self.db.execute("select mid, complete, seal, until, holders from ends").fetchall()
 
     def letter(self, mid: str) -> bytes | None:
-        """Its octets; None where there are none, ROTTEN where they are not what was written."""
+        """The message's bytes; None: it is not there; ROTTEN: its checksum does not match."""
         found = self.db.execute("select letter, sum from letters where mid = ?", (mid,)).fetchone()
         if found is None:
             return None
@@ -112,44 +119,44 @@
         return bytes(found[0])
 
     def commit(self, writes: Sequence[tuple[str, tuple[Any, ...]]]) -> None:
-        """All of them durable, or sqlite3.Error and none."""
-        run = self.db.execute
-        run("begin immediate")
+        """Makes all writes durable, or none and raises sqlite3.Error."""
+        execute = self.db.execute
+        execute("begin immediate")
         try:
             for kind, fields in writes:
                 if kind == "keep":
-                    run(
+                    execute(
                         "insert or ignore into letters (mid, letter, due, until, fails, lost, sum)"
                         " values (?, ?, ?, ?, ?, ?, ?)",
                         (*fields, sum_of(*fields[:2])),
                     )
                 elif kind == "end":
-                    run(
+                    execute(
                         "insert or ignore into ends (mid, complete, seal, until, holders, sum)"
                         " values (?, ?, ?, ?, ?, ?)",
                         (*fields, sum_of(*fields[:3])),
                     )
-                    if fields[1]:  # of a dead one the octets may still be asked for
-                        run("delete from letters where mid = ?", fields[:1])
-                elif kind == "tried":  # mid, due, fails, lost
-                    run("update letters set due = ?2, fails = ?3, lost = ?4 where mid = ?1", fields)
-                elif kind == "holders":  # mid, names with blanks between
-                    run("update letters set holders = ?2 where mid = ?1", fields)
+                    if fields[1]:  # a dead message's bytes can still be requested
+                        execute("delete from letters where mid = ?", fields[:1])
+                elif kind == "tried":  # message id, due, fails, lost
+                    execute("update letters set due = ?2, fails = ?3, lost = ?4 where mid = ?1", fields)
+                elif kind == "holders":  # message id, stores separated by blanks
+                    execute("update letters set holders = ?2 where mid = ?1", fields)
                 elif kind == "drop":
-                    run("delete from letters where mid = ?", fields)
+                    execute("delete from letters where mid = ?", fields)
                 elif kind == "audit":  # window, home, copies or runs, country
                     audit.note(self.db, fields)
-                elif kind == "seal":  # number and changes of a configuration
-                    run("insert or replace into facts values ('seal', ?)", (f"{fields[0]} {fields[1]}",))
+                elif kind == "seal":  # generation and changes of a configuration
+                    execute("insert or replace into facts values ('seal', ?)", (f"{fields[0]} {fields[1]}",))
                 elif kind == "unseal":
-                    run("delete from facts where name = 'seal'")
+                    execute("delete from facts where name = 'seal'")
                 elif kind == "forget":
-                    run("delete from ends where mid = ?", fields)
-                    run("delete from letters where mid = ?", fields)
-            run("commit")
+                    execute("delete from ends where mid = ?", fields)
+                    execute("delete from letters where mid = ?", fields)
+            execute("commit")
         except BaseException:
             if self.db.in_transaction:
-                run("rollback")
+                execute("rollback")
             raise
 
     def close(self) -> None:
--- a/opalwick/post/depot/keeping.py
+++ b/opalwick/post/depot/keeping.py
@@ -1,11 +1,14 @@
-"""What a depot decides: what it keeps, who delivers it, what it tells. No socket, no disk, no clock.
+"""The state machine of a store: which messages it stores and which gateway delivers each. No sockets, disk or
+clock.
 
-Inputs update what is known and leave `writes` (each with the words that may be said once it is synced) and
-`sends` (at once) behind, which the agent takes with `effects()`.
+Inputs update the state and produce `writes` (each with the peer messages that may be sent once it is synced),
+`sends` (at once) and `fetches`, which the agent takes with `effects()`. Input methods that are named after a
+kind of wire message take the sender's node and that message. "Counter" is the wire's name for a gateway,
+"depot" for a store, "letter" for a stored message.
 
-Who delivers a message is one counter at a time: the one that took it, from the start, and after that whoever
-the acting depot among its holders assigns it to. A counter that no depot in touch has heard for `lapse` has
-none any more; it stops by itself `margin` sooner (`counter/rounds.py`).
+One gateway at a time delivers a message: the one that accepted it at first, and after that the one that the
+acting store among the message's replicas assigns it to. A gateway's lease has expired once no linked store
+has received its heartbeat for `LAPSE`; the gateway itself stops `MARGIN` sooner (`counter/rounds.py`).
 """
 
 from __future__ import annotations
@@ -43,34 +46,38 @@
     Tried,
 )
 
-LAPSE = 2.0  # s: a counter unheard for so long delivers nothing any more; eight pulses
-DEAF = 0.5  # s: of a counter unheard for two pulses other depots are asked whether they hear it
-ASKED = 0.75  # s that they have been asked before it lapses: a pulse each way, and one more
-MARGIN = 0.5  # s that a counter stops sooner: two pulses on the way, and their age
-AWAY = 1.2  # s that the depot which acts may be unheard until the next holder does
-SETTLE = 1.5  # s after its start that a depot waits for what others know: the counters dial within 0.8
-LEAD = 0.05  # s that a message is assigned before it is due: a trip and a sync
-STILL = 0.5  # s between two ticks after which this process stood still: ten times their distance
-REFUSED = 0.2  # s until what a counter has refused is given to another, by half more or less
-AGAIN = 0.6  # s until an assignment that was not acknowledged is said again, to the same counter
-STEP = 200  # messages assigned in one step, so that others get their turn
+LAPSE = 2.0  # s without a heartbeat after which a gateway's lease expires: eight heartbeats
+# s without a gateway's heartbeat, two of them, until other stores are asked whether they receive it
+DEAF = 0.5
+# s that the others are asked for at least before the lease expires: a heartbeat each way, and one more
+ASKED = 0.75
+MARGIN = 0.5  # s that a gateway stops sooner: two heartbeats in transit, and their age
+AWAY = 1.2  # s without a heartbeat of the acting store until the next replica acts
+SETTLE = 1.5  # s after its start that a store waits for the others' state: gateways connect within 0.8 s
+LEAD = 0.05  # s that a message is assigned before it is due: a network trip and a sync
+STILL = 0.5  # s between two ticks from which this process counts as stalled: ten times the usual interval
+REFUSED = 0.2  # s until a message that a gateway rejected is assigned again, give or take half
+AGAIN = 0.6  # s until an unacknowledged assignment is sent again, to the same gateway
+STEP = 200  # messages assigned in one tick, so that other work gets its turn
 
 
 class Counter:
-    """A counter as this depot sees it."""
+    """A gateway ("counter" on the wire) as this store sees it."""
 
     __slots__ = ("given", "heard_at", "leaving", "life", "linked", "node", "ready", "zone")
 
-    def __init__(self, node: str, life: int, zone: str, now: float) -> None:
-        self.node, self.life, self.zone, self.heard_at = node, life, zone, now
+    def __init__(self, node: str, incarnation: int, zone: str, now: float) -> None:
+        self.node, self.life, self.zone, self.heard_at = node, incarnation, zone, now
         self.linked, self.ready, self.leaving, self.given = True, False, False, 0
 
 
 def untold(number: int, **fields: Any) -> None:
-    """Takes an event that nobody listens to."""
+    """Discards an event: the default before the role sets its own."""
 
 
 class Keeping:
+    """State of a store. Times are in seconds of this store's clock; sizes are in bytes."""
+
     def __init__(
         self,
         node: str,
@@ -81,55 +88,65 @@
         copies: int = 2,
         spread: bool = True,
     ) -> None:
-        """`state_s`: for how long an end is told after it. `room`: octets of messages that may be kept.
-        `copies`: depots that keep a message; `spread`: in different zones.
+        """`state_s`: seconds that the record of an end outlives every replica. `room`: capacity in bytes.
+        `copies`: replicas of each message; `spread`: in different zones.
         """
         self.node, self.zone, self.now, self.state_s = node, zone, now, state_s
         self.started = self.ticked = now
-        self.waited = False  # with judging, as it had stood still
+        self.waited = False  # the last tick skipped time-outs, as the process had been stalled
         self.entries: dict[str, Entry] = {}
-        self.ends: dict[str, KnownEnd] = {}  # by message
+        self.ends: dict[str, KnownEnd] = {}  # by message id
         self.owned: dict[str, set[str]] = {}
         self.counters: dict[str, Counter] = {}
-        self.asked: list[tuple[float, str]] = []  # when to look whether an assignment was acknowledged
-        self.peers: dict[str, float] = {}  # depots that are linked: when heard last
+        # (time, message): when to check that an assignment was acknowledged
+        self.asked: list[tuple[float, str]] = []
+        self.peers: dict[str, float] = {}  # linked stores: when the last heartbeat was received
         self.peers_settled: dict[str, bool] = {}
-        self.peers_hear: dict[str, dict[str, float]] = {}  # depot: counter process: heard at
-        self.peers_echo: dict[str, float] = {}  # depot: the newest of this one's times that it has heard
-        self.checks: dict[str, tuple[float, Mine]] = {}  # counter: since when it waits to be told, of what
-        self.peers_ask: dict[str, list[str]] = {}  # depot: counter processes that it does not hear
-        self.deaf: dict[str, float] = {}  # owners that are not heard here: asked for since
-        self.waiting: list[tuple[float, str]] = []  # due, without an owner; may hold some that have one again
+        # by store: gateway process: when that store received it last
+        self.peers_hear: dict[str, dict[str, float]] = {}
+        # by store: the newest timestamp of this one that it has received
+        self.peers_echo: dict[str, float] = {}
+        # by gateway: a whole list that awaits its answer, and since when
+        self.checks: dict[str, tuple[float, Mine]] = {}
+        # by store: gateway processes that it receives no heartbeat of
+        self.peers_ask: dict[str, list[str]] = {}
+        self.deaf: dict[str, float] = {}  # owners without a heartbeat here: since when others are asked
+        # (due, message): those without an owner; may hold some that have one again
+        self.waiting: list[tuple[float, str]] = []
         self.expiry: list[tuple[float, str]] = []
-        self.expected: set[str] | None = None  # counters and depots that are there, once an office has told
-        self.reported = set[str]()  # counters that said what they deliver, since the start
-        self.settled, self.awaits = False, set[str]()  # depots whose answer to `have` is awaited
+        # gateways and stores of the cluster; None until controllers have reported them
+        self.expected: set[str] | None = None
+        self.reported = set[str]()  # gateways that have listed their messages since the start
+        self.settled, self.awaits = False, set[str]()  # stores whose answer to `have` is awaited
         self.leaving = False
         self.writes: list[Write] = []
         self.sends: list[Send] = []
         self.fetches: list[Fetch] = []
-        self.unsynced = set[str]()  # ends that are not on the disk yet: nobody is told of them
-        self.dead: dict[str, int] = {}  # octets of dead messages
-        self.room, self.held = room, 0  # octets
-        self.policy: Policy | None = None  # where messages with a home may be
-        self.seal = Seal()  # once nothing is to be kept here any more
+        self.unsynced = set[str]()  # ends that are not on the disk yet: not reported to anyone
+        self.dead: dict[str, int] = {}  # bytes of each dead message
+        self.room, self.held = room, 0  # bytes: capacity, stored
+        self.policy: Policy | None = None  # data residency rules; None: there are none
+        self.seal = Seal()  # whether this store is to be removed and rejects messages
         self.moving = Moving(self, copies, spread)
         self.reconciliation = Reconciliation(self)
-        counted = ("kept", "ended", "assigned", "lapsed", "handed", "refused")
-        self.figures = dict.fromkeys((*counted, "second_successes", "missed_ends"), 0)
-        # `number` of the catalogue, and its fields; the role sets both. `trace`: of single messages
+        counts = ("kept", "ended", "assigned", "lapsed", "handed", "refused")
+        self.figures = dict.fromkeys((*counts, "second_successes", "missed_ends"), 0)
+        # Callbacks that the role sets: `number` in the catalogue of events, and the event's fields. `trace`
+        # is for events of single messages.
         self.event: Callable[..., None] = untold
         self.trace: Callable[..., None] = untold
 
     def clock(self, now: float) -> None:
+        """Sets the time; called before each input."""
         self.now = now
 
     def effects(self) -> tuple[list[Write], list[Send], list[Fetch]]:
-        found = self.writes, self.sends, self.fetches
+        """Takes what the inputs so far have produced."""
+        effects = self.writes, self.sends, self.fetches
         self.writes, self.sends, self.fetches = [], [], []
-        return found
+        return effects
 
-    # ---- from the disk, at the start
+    # ---- restored from the disk at the start
 
     def loaded(
         self,
@@ -142,16 +159,18 @@
         size: int,
         home: str = "",
     ) -> None:
+        """Restores a pending message of `size` bytes."""
         self.add(Entry(mid, holders, due, until, fails, lost, size, home))
 
     def loaded_end(
         self, mid: str, complete: bool, seal: str, until: float, holders: tuple[str, ...] = ()
     ) -> None:
+        """Restores the record of an end."""
         self.ends[mid] = KnownEnd(complete, seal, until, holders)
         heapq.heappush(self.expiry, (until, mid))
 
     def loaded_dead(self, mid: str, size: int) -> None:
-        """Octets of one that has ended dead."""
+        """Restores a dead message, which takes `size` bytes."""
         self.dead[mid] = size
         self.held += size
 
@@ -162,77 +181,87 @@
         if not entry.owner:
             heapq.heappush(self.waiting, (entry.due, entry.mid))
 
-    def own(self, entry: Entry, who: str, why: str = "") -> None:
-        """`why`: the word or finding by which it has no owner any more."""
+    def own(self, entry: Entry, process: str, why: str = "") -> None:
+        """Sets the owner; empty: none. `why`: the reason for having none, for traces."""
         entry.asked_at = 0.0
-        if entry.owner == who:
+        if entry.owner == process:
             return
         if entry.owner:
             self.owned.get(entry.owner, set()).discard(entry.mid)
-        entry.owner = who
-        if who:
-            self.owned.setdefault(who, set()).add(entry.mid)
+        entry.owner = process
+        if process:
+            self.owned.setdefault(process, set()).add(entry.mid)
         else:
             entry.freed_by = why
             heapq.heappush(self.waiting, (entry.due, entry.mid))
 
-    # ---- counters
+    # ---- gateways
 
-    def counter_up(self, node: str, life: int, zone: str) -> None:
+    def counter_up(self, node: str, incarnation: int, zone: str) -> None:
+        """A link to that process of a gateway is up."""
         known = self.counters.get(node)
-        if known is not None and known.life > life:
-            return  # a link of a process before it
-        if known is None or known.life < life:
-            # a process is started again only after the one before has ended
+        if known is not None and known.life > incarnation:
+            return  # a late link of an earlier process
+        if known is None or known.life < incarnation:
+            # a node starts its next process only after the one before has ended
             if known is not None:
                 self.lapsed(owner(node, known.life))
-            fresh = self.counters[node] = Counter(node, life, zone, self.now)
-            # it takes its turn with the others: from nought it would be given all that comes
-            fresh.given = max((c.given for c in self.counters.values()), default=0)
-            for who in [
-                who for who in self.owned if who.rpartition("/")[0] == node and who != owner(node, life)
+            gateway = self.counters[node] = Counter(node, incarnation, zone, self.now)
+            # it joins at the others' level: from 0 it would be assigned every message for a while
+            gateway.given = max((c.given for c in self.counters.values()), default=0)
+            for process in [
+                process
+                for process in self.owned
+                if process.rpartition("/")[0] == node and process != owner(node, incarnation)
             ]:
-                self.lapsed(who)
+                self.lapsed(process)
             return
         known.linked, known.heard_at = True, self.now
 
     def counter_down(self, node: str) -> None:
+        """The last link to a gateway is down."""
         if node in self.counters:
             self.counters[node].linked = False
             self.reported.discard(node)
 
     def counter_pulse(self, node: str, pulse: Pulse) -> None:
-        if (counter := self.counters.get(node)) is not None:
-            counter.heard_at, counter.ready, counter.leaving = self.now, pulse.ready, pulse.leaving
+        """A heartbeat of a gateway was received."""
+        if (gateway := self.counters.get(node)) is not None:
+            gateway.heard_at, gateway.ready, gateway.leaving = self.now, pulse.ready, pulse.leaving
 
     def hears(self, node: str) -> dict[str, float]:
-        """For that depot: of counters' processes that it does not hear, how long ago each was heard."""
+        """Returns, for that store, gateway processes that it receives no heartbeat of and this one does:
+        seconds since the last one here.
+        """
         return {
-            who: self.now - at
-            for who in self.peers_ask.get(node, ())
-            if self.now - (at := self.heard_at(who)) < 10.0
+            process: self.now - at
+            for process in self.peers_ask.get(node, ())
+            if self.now - (at := self.heard_at(process)) < 10.0
         }
 
-    def heard_at(self, who: str) -> float:
-        node, _, life = who.rpartition("/")
-        counter = self.counters.get(node)
-        return counter.heard_at if counter is not None and counter.life == int(life) else -1e9
+    def heard_at(self, process: str) -> float:
+        """When the last heartbeat of that gateway process was received here."""
+        node, _, incarnation = process.rpartition("/")
+        gateway = self.counters.get(node)
+        return gateway.heard_at if gateway is not None and gateway.life == int(incarnation) else -1e9
 
-    def alive(self, who: str) -> bool:
-        if self.now - self.heard_at(who) < LAPSE:
+    def alive(self, process: str) -> bool:
+        """Whether this store or a linked one has a heartbeat of that gateway process within `LAPSE`."""
+        if self.now - self.heard_at(process) < LAPSE:
             return True
         return any(
             self.now - at < LAPSE
-            for peer, hears in self.peers_hear.items()
-            if peer in self.peers and (at := hears.get(who)) is not None
+            for peer, reports in self.peers_hear.items()
+            if peer in self.peers and (at := reports.get(process)) is not None
         )
 
-    def lapsed(self, who: str, silent: bool = False) -> None:
-        """`silent`: it may live, and another depot may hear it again that does not know yet. So its number is
-        over, and those that keep the message learn it ahead of the next pulse.
+    def lapsed(self, process: str, silent: bool = False) -> None:
+        """Frees the messages of a gateway process. `silent`: it may still run, and another store that does
+        not have this decision may receive its heartbeats again. So its claim is voided, and linked
+        replicas are informed before the next heartbeat.
         """
-        mids = self.owned.pop(who, set())
-        self.deaf.pop(who, None)
+        mids = self.owned.pop(process, set())
+        self.deaf.pop(process, None)
         self.figures["lapsed"] += len(mids)
         for mid in sorted(mids):
             entry = self.entries[mid]
@@ -242,94 +271,99 @@
             heapq.heappush(self.waiting, (entry.due, mid))
             if silent:
                 entry.claim = entry.taken = entry.claim + 1
-                word = Park(
+                msg = Park(
                     mid=mid,
                     claim=entry.claim,
                     due=max(0.0, entry.due - self.now),
                     fails=entry.fails,
                     lost=entry.lost,
                 )
-                self.sends += [Send(node, "park", word) for node in entry.holders if node in self.peers]
+                self.sends += [Send(node, "park", msg) for node in entry.holders if node in self.peers]
 
-    # ---- words of counters
+    # ---- peer messages of gateways
 
-    def keep(self, node: str, word: Keep) -> None:
-        letter: Letter = word.letter
-        mid = letter.mid
-        said = (node, "kept", Kept(mid=mid))
+    def keep(self, node: str, msg: Keep) -> None:
+        """Stores a message that the gateway accepted; confirmed with `kept` once it is on the disk."""
+        message: Letter = msg.letter
+        mid = message.mid
+        confirmation = (node, "kept", Kept(mid=mid))
         if mid in self.ends:
-            self.sends.append(Send(*said))
+            self.sends.append(Send(*confirmation))
             return
         if mid in self.entries:
-            # written already, or about to be: behind it in the same queue
-            self.writes.append(Write("none", (), (said,)))
+            # already written or queued: the confirmation follows that write in the same queue
+            self.writes.append(Write("none", (), (confirmation,)))
             return
         if self.leaving:
             return
-        if self.seal.closed or self.held + letter.ByteSize() > self.room:
+        if self.seal.closed or self.held + message.ByteSize() > self.room:
             self.figures["refused"] += 1
             self.sends.append(Send(node, "kept", Kept(mid=mid, refused=True)))
             return
-        counter = self.counters.get(node)
+        gateway = self.counters.get(node)
         entry = Entry(
             mid,
-            tuple(letter.holders),
-            self.now + letter.due,
-            self.now + letter.until,
-            letter.fails,
-            letter.lost,
-            letter.ByteSize(),
-            letter.home,
+            tuple(message.holders),
+            self.now + message.due,
+            self.now + message.until,
+            message.fails,
+            message.lost,
+            message.ByteSize(),
+            message.home,
         )
-        entry.claim = letter.claim
-        if counter is not None and not word.parked:
-            entry.owner = owner(node, counter.life)
+        entry.claim = message.claim
+        if gateway is not None and not msg.parked:
+            entry.owner = owner(node, gateway.life)
             self.owned.setdefault(entry.owner, set()).add(mid)
         self.add(entry)
         self.figures["kept"] += 1
         self.writes.append(
             Write(
                 "keep",
-                (mid, letter.SerializeToString(), entry.due, entry.until, letter.fails, letter.lost),
-                (said,),
+                (mid, message.SerializeToString(), entry.due, entry.until, message.fails, message.lost),
+                (confirmation,),
             )
         )
         self.noted(entry, "copies", self.country(self.zone))
 
     def noted(self, entry: Entry, what: str, country: str) -> None:
-        """For the list of where copies and runs of messages with a home were (`home/audit.py`)."""
+        """Counts a replica or a run of a message with a home for the residency audit (`home/audit.py`)."""
         if entry.home:
             self.writes.append(Write("audit", (self.now, entry.home, what, country)))
 
-    def end(self, node: str, word: End) -> None:
-        said = (node, "ended", Ended(mid=word.mid))
-        if word.mid in self.ends:
-            self.writes.append(Write("none", (), (said,)))
-            self.compare_successes(node, word)
+    def end(self, node: str, msg: End) -> None:
+        """Records how a message ended; confirmed with `ended` once it is on the disk."""
+        confirmation = (node, "ended", Ended(mid=msg.mid))
+        if msg.mid in self.ends:
+            self.writes.append(Write("none", (), (confirmation,)))
+            self.compare_successes(node, msg)
             return
-        entry, counter = self.entries.get(word.mid), self.counters.get(node)
-        self.finish(word.mid, word.complete, word.seal, said, waits=word.until)
-        if entry is not None and counter is not None and entry.owner != owner(node, counter.life):
-            # that counter may not know all that keep it, or not reach them
-            self.tell_end(word.mid, [holder for holder in entry.holders if holder in self.peers])
-        # one of its keepers notes a run
-        if entry is not None and word.complete and self.node in entry.holders[:1]:
-            self.noted(entry, "runs", word.country)
-
-    def compare_successes(self, node: str, word: End) -> None:
-        """Two runs of one message that both succeeded, and whose answers were both read."""
-        known = self.ends[word.mid]
-        both_read = known.complete and word.complete and known.seal and word.seal
-        if both_read and known.seal != word.seal:
+        entry, gateway = self.entries.get(msg.mid), self.counters.get(node)
+        self.finish(msg.mid, msg.complete, msg.seal, confirmation, waits=msg.until)
+        if entry is not None and gateway is not None and entry.owner != owner(node, gateway.life):
+            # that gateway may lack some of the replicas, or have no link to them
+            self.tell_end(msg.mid, [holder for holder in entry.holders if holder in self.peers])
+        # only the first replica counts the run
+        if entry is not None and msg.complete and self.node in entry.holders[:1]:
+            self.noted(entry, "runs", msg.country)
+
+    def compare_successes(self, node: str, msg: End) -> None:
+        """Reports two runs of one message that both succeeded, if the answers to both were read."""
+        known = self.ends[msg.mid]
+        both_read = known.complete and msg.complete and known.seal and msg.seal
+        if both_read and known.seal != msg.seal:
             self.figures["second_successes"] += 1
-            self.event(305, message=word.mid, seal=word.seal, known=known.seal, by=node)
+            self.event(305, message=msg.mid, seal=msg.seal, known=known.seal, by=node)
 
     def tell_end(self, mid: str, nodes: Iterable[str]) -> None:
+        """Sends the end of a message to these nodes."""
         for node in nodes:
             self.send(node, "end", self.end_of(mid))
 
     def end_of(self, mid: str) -> End:
-        """For other depots: with how long a copy of the message may wait anywhere."""
+        """The end as a peer message to other stores, with the seconds that a replica of the message may wait
+        anywhere.
+        """
         end = self.ends[mid]
         waits = max(0.0, end.until - self.now - self.state_s)
         return End(mid=mid, complete=end.complete, seal=end.seal, until=waits)
@@ -337,21 +371,22 @@
     def finish(
         self, mid: str, complete: bool, seal: str, *then: tuple[str, str, Any], waits: float = 0.0
     ) -> None:
-        """It has ended, for ever: the first such word stands. Who delivers it is told, if another said so.
-        `waits`: seconds that a copy of it may wait elsewhere, by who told.
+        """Records the end of a message, which is final: the first report counts. Its owner is informed, if
+        another node reported it. `waits`: seconds that a replica of it may wait elsewhere, according to
+        the reporter.
         """
         entry = self.entries.pop(mid, None)
-        # longer than any copy of it waits elsewhere, so that none begins anew
+        # kept longer than any replica waits elsewhere, so that none is delivered again
         until = max(self.now + waits, entry.until if entry is not None else self.now) + self.state_s
         if entry is not None and entry.owner:
             self.owned.get(entry.owner, set()).discard(mid)
-            deliverer = entry.owner.rpartition("/")[0]
-            if all(node != deliverer for node, *_ in then):
-                self.send(deliverer, "end", End(mid=mid, complete=complete, seal=seal))
+            owner_node = entry.owner.rpartition("/")[0]
+            if all(node != owner_node for node, *_ in then):
+                self.send(owner_node, "end", End(mid=mid, complete=complete, seal=seal))
         if entry is not None and complete:
             self.held -= entry.size
         elif entry is not None:
-            self.dead[mid] = entry.size  # its octets may still be asked for
+            self.dead[mid] = entry.size  # its bytes can still be requested
         holders = entry.holders if entry is not None else ()
         self.ends[mid] = KnownEnd(complete, seal, until, holders)
         self.unsynced.add(mid)
@@ -361,7 +396,7 @@
         self.writes.append(Write("end", (mid, int(complete), seal, until, " ".join(holders)), then))
 
     def synced(self, writes: list[Write]) -> None:
-        """They are on the disk."""
+        """These writes are on the disk."""
         for write in writes:
             if write.kind == "end":
                 self.unsynced.discard(write.fields[0])
@@ -369,150 +404,165 @@
                 self.seal.synced(write.fields)  # type: ignore[arg-type]
 
     def seals(self, key: tuple[int, int]) -> None:
-        """Nothing is left here, and nothing comes any more; told once that is on the disk."""
+        """Writes the seal: nothing is left here and nothing is accepted any more. Reported once it is on the
+        disk.
+        """
         self.writes.append(Write("seal", key))
 
     def ordered(self, key: tuple[int, int], retiring: set[str]) -> None:
-        """Depots that are to be taken away by the configuration with that key; may be this one."""
+        """Handles a configuration: its key, and the stores that it removes; may include this one."""
         self.moving.retiring = retiring
         if self.seal.learned(key, self.node in retiring):
             self.writes.append(Write("unseal", ()))
 
-    def tried(self, node: str, word: Tried) -> None:
-        entry = self.entries.get(word.mid)
-        if entry is not None and (word.fails > entry.fails or word.lost > entry.lost):
-            entry.fails, entry.lost = max(entry.fails, word.fails), max(entry.lost, word.lost)
+    def tried(self, node: str, msg: Tried) -> None:
+        """Records the failed attempts and lost attempts of a message."""
+        entry = self.entries.get(msg.mid)
+        if entry is not None and (msg.fails > entry.fails or msg.lost > entry.lost):
+            entry.fails, entry.lost = max(entry.fails, msg.fails), max(entry.lost, msg.lost)
             self.writes.append(Write("tried", (entry.mid, entry.due, entry.fails, entry.lost)))
 
-    def park(self, node: str, word: Park) -> None:
-        """The counter gives it back, to be delivered once it is due; or a depot took it from a silent one."""
-        entry, counter = self.entries.get(word.mid), self.counters.get(node)
+    def park(self, node: str, msg: Park) -> None:
+        """A gateway returns a message, to be delivered once it is due; or a store has freed it from a gateway
+        whose lease expired.
+        """
+        entry, gateway = self.entries.get(msg.mid), self.counters.get(node)
         if node in self.peers and entry is not None:
-            if word.claim < entry.claim or (word.claim == entry.claim and entry.owner):
+            if msg.claim < entry.claim or (msg.claim == entry.claim and entry.owner):
                 return
-            entry.taken = word.claim
+            entry.taken = msg.claim
         if entry is None or (
-            word.claim < entry.claim
-            and (counter is None or entry.asked_at or entry.owner != owner(node, counter.life))
+            msg.claim < entry.claim
+            and (gateway is None or entry.asked_at or entry.owner != owner(node, gateway.life))
         ):
             return
-        entry.due, entry.claim = self.now + word.due, max(entry.claim, word.claim)
-        entry.fails, entry.lost = max(entry.fails, word.fails), max(entry.lost, word.lost)
+        entry.due, entry.claim = self.now + msg.due, max(entry.claim, msg.claim)
+        entry.fails, entry.lost = max(entry.fails, msg.fails), max(entry.lost, msg.lost)
         if entry.owner:
             self.own(entry, "", "parked")
         else:
             heapq.heappush(self.waiting, (entry.due, entry.mid))
         self.writes.append(Write("tried", (entry.mid, entry.due, entry.fails, entry.lost)))
 
-    def mine(self, node: str, word: Mine) -> None:
-        """What a counter says that it delivers, by the latest number that it was given.
+    def mine(self, node: str, msg: Mine) -> None:
+        """Handles a gateway's list of the messages that it delivers, each with its latest claim; `whole`: of
+        all of them.
 
-        The greater number wins. Depots that do not hear each other give the same one to two counters: then
-        the name that comes first wins, with every depot. Who has lost is told.
+        A live owner keeps its message, whatever claim another gateway was given, for example by a store
+        without a link to this one; a void claim loses in any case. The gateway is informed of the messages
+        that it has lost.
         """
-        if (counter := self.counters.get(node)) is None:
+        if (gateway := self.counters.get(node)) is None:
             return
-        gone = self.claimed(node, word)
-        if word.whole:
+        gone = self.claimed(node, msg)
+        if msg.whole:
             self.reported.add(node)
-            self.unlisted(owner(node, counter.life), set(word.mids))
-            self.checks[node] = self.now, word
+            self.unlisted(owner(node, gateway.life), set(msg.mids))
+            self.checks[node] = self.now, msg
             self.check(node)
-        elif gone or word.ask:
-            agreed = (
-                [mid for mid in word.mids if mid not in self.ends and mid not in gone] if word.ask else []
-            )
-            self.sends.append(Send(node, "checked", Checked(gone=gone, number=word.number, agreed=agreed)))
+        elif gone or msg.ask:
+            agreed = [mid for mid in msg.mids if mid not in self.ends and mid not in gone] if msg.ask else []
+            self.sends.append(Send(node, "checked", Checked(gone=gone, number=msg.number, agreed=agreed)))
 
     def check(self, node: str) -> None:
-        """Answers what it delivers as a whole, once each depot in touch has echoed a later pulse of this one.
-        Until then one that had not heard that counter may take its messages away by what it knew before, and
-        its word of that comes before its echo.
+        """Answers a gateway's whole list, once each linked store has echoed a later heartbeat of this one.
+        Until then a store that had no heartbeat of that gateway may free its messages on old information;
+        its report of that arrives before its echo.
         """
-        at, word = self.checks[node]
-        if word.mids and any(
-            self.peers_echo.get(peer, -1e9) <= at
+        since, msg = self.checks[node]
+        if msg.mids and any(
+            self.peers_echo.get(peer, -1e9) <= since
             for peer, heard_at in self.peers.items()
             if self.now - heard_at < AWAY
         ):
             return
         del self.checks[node]
-        gone = self.claimed(node, word, take=False)
-        self.sends.append(Send(node, "checked", Checked(gone=gone, number=word.number)))
+        gone = self.claimed(node, msg, take=False)
+        self.sends.append(Send(node, "checked", Checked(gone=gone, number=msg.number)))
 
-    def claimed(self, node: str, word: Mine, take: bool = True) -> list[str]:
-        """Those that are not its. `take`: of the others it is the deliverer from now on; not where the word
-        has lain here for a while, and the counter may have given back some of them since.
+    def claimed(self, node: str, msg: Mine, take: bool = True) -> list[str]:
+        """Returns the listed messages that are not the gateway's. `take`: it becomes the owner of the others;
+        false where the list has waited here for a while, as the gateway may have returned some of them
+        since.
         """
-        who = owner(node, self.counters[node].life)
+        process = owner(node, self.counters[node].life)
         gone: list[str] = []
-        for mid, claim in zip(word.mids, word.claims):
+        for mid, claim in zip(msg.mids, msg.claims):
             entry = self.entries.get(mid)
             if entry is None:
-                if mid in self.ends:  # it has not heard that it ended
+                if mid in self.ends:  # it lacks the report of the end
                     end = self.ends[mid]
                     self.send(node, "end", End(mid=mid, complete=end.complete, seal=end.seal))
-            elif claim >= entry.taken and (entry.owner in ("", who) or not self.alive(entry.owner)):
-                if entry.owner not in ("", who):
+            elif claim >= entry.taken and (entry.owner in ("", process) or not self.alive(entry.owner)):
+                if entry.owner not in ("", process):
                     self.tell_gone(entry.owner, mid)
                 if take or entry.owner:
                     entry.claim = max(entry.claim, claim)
-                    self.own(entry, who)
+                    self.own(entry, process)
             else:
                 gone.append(mid)
         return gone
 
-    def unlisted(self, who: str, listed: set[str]) -> None:
-        """What it was taken to deliver and does not: its word of that was lost with a link."""
-        for mid in sorted(self.owned.get(who, set()) - listed):
-            if not self.entries[mid].asked_at:  # else it may not have heard of it yet
+    def unlisted(self, process: str, listed: set[str]) -> None:
+        """Frees messages that it owns here and does not list: its report of returning them was lost with a
+        link.
+        """
+        for mid in sorted(self.owned.get(process, set()) - listed):
+            if not self.entries[mid].asked_at:  # else the assignment may still be in transit
                 self.own(self.entries[mid], "", "unlisted")
                 self.reconciliation.doubt(mid)
-                self.tell_gone(who, mid)  # should it have it all the same, it begins it no more
+                # should it still have the message, it does not begin another attempt
+                self.tell_gone(process, mid)
 
-    def tell_gone(self, who: str, mid: str) -> None:
-        node, _, life = who.rpartition("/")
-        if (counter := self.counters.get(node)) is not None and counter.life == int(life):
+    def tell_gone(self, process: str, mid: str) -> None:
+        """Informs a gateway process that a message is no longer its own."""
+        node, _, incarnation = process.rpartition("/")
+        if (gateway := self.counters.get(node)) is not None and gateway.life == int(incarnation):
             self.send(node, "checked", Checked(gone=[mid]))
 
-    def refuse(self, node: str, word: Refuse) -> None:
-        """It cannot take it, or has let it go since another depot said that it is somebody else's."""
-        entry, counter = self.entries.get(word.mid), self.counters.get(node)
-        if entry is None or counter is None or entry.owner != owner(node, counter.life):
+    def refuse(self, node: str, msg: Refuse) -> None:
+        """A gateway rejects an assignment, or returns a message because another store reported another
+        owner.
+        """
+        entry, gateway = self.entries.get(msg.mid), self.counters.get(node)
+        if entry is None or gateway is None or entry.owner != owner(node, gateway.life):
             return
-        if word.claim == entry.claim or not entry.asked_at:  # else it is of an assignment before this one
+        if msg.claim == entry.claim or not entry.asked_at:  # else it refers to an earlier assignment
             entry.due = max(entry.due, self.now + self.pause(entry))
             self.own(entry, "", "refused")
 
     def pause(self, entry: Entry) -> float:
-        """Seconds until a message that a counter has refused is given to another: other than those of the
-        other depots that keep it, or two that do not hear each other would have each other's counter refuse
-        for ever.
+        """Seconds until a rejected message is assigned again. It differs from the other replicas' delays:
+        otherwise two stores without a link to each other would have each other's gateway reject it for
+        ever.
         """
-        drawn = zlib.crc32(f"{entry.mid}/{entry.claim}/{self.node}".encode()) / 2**32
-        return REFUSED * (0.5 + drawn)
+        fraction = zlib.crc32(f"{entry.mid}/{entry.claim}/{self.node}".encode()) / 2**32
+        return REFUSED * (0.5 + fraction)
 
-    def holders(self, node: str, word: Holders) -> None:
-        """Who keeps it, as the counter that took it says; who is not named drops it."""
-        entry = self.entries.get(word.mid)
+    def holders(self, node: str, msg: Holders) -> None:
+        """The accepting gateway or another store names the replicas; a store that is not among them drops its
+        own.
+        """
+        entry = self.entries.get(msg.mid)
         if entry is None:
             return
-        if self.node not in word.holders:
+        if self.node not in msg.holders:
             self.drop(entry)
             return
-        entry.holders = tuple(word.holders)
+        entry.holders = tuple(msg.holders)
         self.writes.append(Write("holders", (entry.mid, " ".join(entry.holders))))
 
     def drop(self, entry: Entry) -> None:
-        """A copy too many."""
+        """Deletes this store's replica."""
         self.own(entry, "")
         del self.entries[entry.mid]
         self.held -= entry.size
         self.writes.append(Write("drop", (entry.mid,)))
 
-    # ---- what is asked back
+    # ---- queries
 
     def state(self, mid: str) -> Told:
+        """The state of a message as it may be reported; an end only once it is on the disk."""
         if mid in self.ends and mid not in self.unsynced:
             end = self.ends[mid]
             return Told(state=MessageState.COMPLETE if end.complete else MessageState.DEAD, seal=end.seal)
@@ -521,25 +571,26 @@
         return Told(state=MessageState.UNKNOWN if self.settled else MessageState.UNSURE)
 
     def holders_of(self, mid: str) -> tuple[str, ...]:
-        """Who keeps it, or kept it when it ended; none where it is not known."""
+        """Stores that have the message, or had it when it ended; empty where it is unknown."""
         known = self.entries.get(mid) or self.ends.get(mid)
         return known.holders if known is not None else ()
 
-    # ---- other depots
+    # ---- other stores
 
-    def send(self, node: str, kind: str, word: Any) -> None:
-        self.sends.append(Send(node, kind, word))
+    def send(self, node: str, kind: str, msg: Any) -> None:
+        self.sends.append(Send(node, kind, msg))
 
     def fetch(self, mid: str, why: tuple[Any, ...]) -> None:
         self.fetches.append(Fetch(mid, why))
 
     def depot_up(self, node: str, zone: str = "", disk: str = "") -> None:
+        """A link to a store is up. `disk`: id of its disk."""
         self.peers[node] = self.now
         self.moving.up(node, zone, disk)
         self.compare(node)
 
     def compare(self, node: str) -> None:
-        """It is told what is pending here that it keeps too, and says what it knows of that."""
+        """Sends that store the pending messages that it has as well; it answers with what differs there."""
         self.awaits.add(node)
         pending = sorted(mid for mid, entry in self.entries.items() if node in entry.holders)
         for at in range(0, max(1, len(pending)), BATCH):
@@ -547,6 +598,7 @@
             self.sends.append(Send(node, "have", Have(pending=part, last=at + BATCH >= len(pending))))
 
     def depot_down(self, node: str) -> None:
+        """The link to a store is down."""
         self.peers.pop(node, None)
         self.peers_hear.pop(node, None)
         self.peers_ask.pop(node, None)
@@ -556,48 +608,52 @@
         self.moving.down(node)
 
     def depot_pulse(self, node: str, pulse: Pulse) -> None:
+        """A heartbeat of a store was received."""
         if node in self.peers:
             self.peers[node] = self.now
             self.peers_settled[node] = pulse.settled and not pulse.leaving
-            self.peers_hear[node] = {who: self.now - age for who, age in pulse.edges.items()}
+            self.peers_hear[node] = {process: self.now - age for process, age in pulse.edges.items()}
             self.peers_ask[node] = list(pulse.deaf)
             self.peers_echo[node] = pulse.echo
-            for counter in list(self.checks):
-                self.check(counter)
+            for gateway in list(self.checks):
+                self.check(gateway)
 
-    def have(self, node: str, word: Have) -> None:
-        """What another depot keeps as pending that should be here as well."""
-        ends = [self.end_of(mid) for mid in word.pending if mid in self.ends]
-        if word.ends:
+    def have(self, node: str, msg: Have) -> None:
+        """Answers another store's list of pending messages that should be here as well."""
+        ends = [self.end_of(mid) for mid in msg.pending if mid in self.ends]
+        if msg.ends:
             if ends:
                 self.send(node, "differ", Differ(ends=ends))
             return
-        lack = [mid for mid in word.pending if mid not in self.ends and mid not in self.entries]
+        lack = [mid for mid in msg.pending if mid not in self.ends and mid not in self.entries]
         drop = [
             mid
-            for mid in word.pending
+            for mid in msg.pending
             if (entry := self.entries.get(mid)) is not None and node not in entry.holders
         ]
-        self.sends.append(Send(node, "differ", Differ(ends=ends, lack=lack, last=word.last, drop=drop)))
+        self.sends.append(Send(node, "differ", Differ(ends=ends, lack=lack, last=msg.last, drop=drop)))
 
-    def differ(self, node: str, word: Differ) -> None:
-        for end in word.ends:
+    def differ(self, node: str, msg: Differ) -> None:
+        """Handles the differences that a store reports: ends, replicas that it lacks, replicas to drop."""
+        for end in msg.ends:
             if end.mid not in self.ends:
-                if not word.last and node not in self.awaits:  # no link has just come up
+                if not msg.last and node not in self.awaits:  # not part of the comparison on a new link
                     self.figures["missed_ends"] += 1
                     self.event(306, message=end.mid, by=node)
                 self.finish(end.mid, end.complete, end.seal, waits=end.until)
-        for mid in word.drop:
+        for mid in msg.drop:
             if (entry := self.entries.get(mid)) is not None:
                 self.drop(entry)
-        for mid in word.lack:
+        for mid in msg.lack:
             if mid in self.entries:
                 self.fetches.append(Fetch(mid, ("hand", node)))
-        if word.last:
+        if msg.last:
             self.awaits.discard(node)
 
     def rotten(self, mid: str) -> None:
-        """Its octets here are not what was written: this copy is lost, and comes anew from the others."""
+        """The message's bytes on this disk are corrupted: this replica is lost, and requested again from the
+        others.
+        """
         entry = self.entries.get(mid)
         if entry is not None:
             self.drop(entry)
@@ -605,46 +661,53 @@
                 if node != self.node:
                     self.send(node, "differ", Differ(lack=[mid]))
 
-    def hand(self, node: str, word: Hand) -> None:
-        """What this depot should have had. Who delivers it goes on: unknown here it would be assigned to
-        another, once this depot is the one that acts.
+    def hand(self, node: str, msg: Hand) -> None:
+        """Stores replicas that another store sends. Their owner goes on delivering: without an owner here,
+        the message would be assigned a second time once this store acts for it.
         """
-        for letter, who in zip(word.letters, [*word.owners, *[""] * len(word.letters)]):
-            mid = letter.mid
-            then = ((node, "kept", Kept(mid=mid)),) if word.answer else ()
+        for message, process in zip(msg.letters, [*msg.owners, *[""] * len(msg.letters)]):
+            mid = message.mid
+            then = ((node, "kept", Kept(mid=mid)),) if msg.answer else ()
             if mid in self.ends:
                 self.tell_end(mid, [node])
             elif (known := self.entries.get(mid)) is not None:
-                known.holders = tuple(letter.holders)
-                if who and letter.claim >= known.claim and not known.owner:
-                    known.claim = letter.claim
-                    self.own(known, who)
+                known.holders = tuple(message.holders)
+                if process and message.claim >= known.claim and not known.owner:
+                    known.claim = message.claim
+                    self.own(known, process)
                 self.writes.append(Write("holders", (mid, " ".join(known.holders)), then))
-            elif word.answer and (self.seal.closed or self.held + letter.ByteSize() > self.room):
+            elif msg.answer and (self.seal.closed or self.held + message.ByteSize() > self.room):
                 self.send(node, "kept", Kept(mid=mid, refused=True))
             elif self.seal.written is not None:
-                continue  # nothing rests on this disk any more
+                continue  # a sealed disk takes no replicas
             else:
                 entry = Entry(
                     mid,
-                    tuple(letter.holders),
-                    self.now + letter.due,
-                    self.now + letter.until,
-                    letter.fails,
-                    letter.lost,
-                    letter.ByteSize(),
-                    letter.home,
+                    tuple(message.holders),
+                    self.now + message.due,
+                    self.now + message.until,
+                    message.fails,
+                    message.lost,
+                    message.ByteSize(),
+                    message.home,
                 )
-                entry.claim = letter.claim
-                if who:
-                    entry.owner = who
-                    self.owned.setdefault(who, set()).add(mid)
+                entry.claim = message.claim
+                if process:
+                    entry.owner = process
+                    self.owned.setdefault(process, set()).add(mid)
                 self.add(entry)
                 self.figures["handed"] += 1
                 self.writes.append(
                     Write(
                         "keep",
-                        (mid, letter.SerializeToString(), entry.due, entry.until, letter.fails, letter.lost),
+                        (
+                            mid,
+                            message.SerializeToString(),
+                            entry.due,
+                            entry.until,
+                            message.fails,
+                            message.lost,
+                        ),
                         then,
                     )
                 )
@@ -653,49 +716,52 @@
     # ---- time
 
     def acts(self, entry: Entry) -> bool:
-        """Whether this depot is the one that assigns it: the first of its holders that is there."""
+        """Whether this store assigns the message: it is the first of its replicas that is available."""
         for holder in entry.holders:
             if holder == self.node:
                 return True
             if self.now - self.peers.get(holder, -1e9) < AWAY and self.peers_settled.get(holder, False):
                 return False
-        return True  # it is here, though none of its holders is
+        return True  # it is here, though it is not listed as a replica and no listed one is available
 
     def tick(self) -> None:
-        # this process stood still: who was not heard meanwhile may well have spoken, and its words lie here.
-        # They are read before the next tick, which judges; a depot that is always slow judges at every second
-        stood, self.ticked = self.now - self.ticked, self.now
-        self.waited = still = stood > STILL and not self.waited
-        if still and stood > AWAY and self.settled:
-            # others have acted in its place, and links may have gone with what lay on them: as after a start
+        """Handles all that is due by the time that `clock` set."""
+        # After a stall, heartbeats of the others may lie here unread. They are read before the next tick,
+        # which applies the time-outs; a store that is always slow applies them at every second tick.
+        elapsed, self.ticked = self.now - self.ticked, self.now
+        self.waited = stalled = elapsed > STILL and not self.waited
+        if stalled and elapsed > AWAY and self.settled:
+            # other stores have acted in its place, and peer messages may have been lost with links: as after
+            # a start
             self.settled, self.started = False, self.now
             for node in self.peers:
                 self.compare(node)
         if not self.settled:
-            # all that are there have told; or so much time has passed that who has not is not there
-            known = self.expected is not None and self.expected <= self.reported | set(self.peers)
+            # all expected nodes have reported, or so much time has passed that the missing ones count as
+            # absent
+            all_reported = self.expected is not None and self.expected <= self.reported | set(self.peers)
             age = self.now - self.started
-            self.settled = (not self.awaits and (known or age >= SETTLE)) or age >= 2.0 * SETTLE
-        for who in list(self.owned):
-            if not self.owned[who] or self.now - self.heard_at(who) < DEAF:
-                self.deaf.pop(who, None)
-                if not self.owned[who]:
-                    del self.owned[who]
+            self.settled = (not self.awaits and (all_reported or age >= SETTLE)) or age >= 2.0 * SETTLE
+        for process in list(self.owned):
+            if not self.owned[process] or self.now - self.heard_at(process) < DEAF:
+                self.deaf.pop(process, None)
+                if not self.owned[process]:
+                    del self.owned[process]
             elif (
-                self.now - self.deaf.setdefault(who, self.now) >= ASKED
-                and not self.alive(who)
+                self.now - self.deaf.setdefault(process, self.now) >= ASKED
+                and not self.alive(process)
                 and self.settled
-                and not still
+                and not stalled
             ):
-                self.lapsed(who, silent=True)
+                self.lapsed(process, silent=True)
         for counter in list(self.checks):
             self.check(counter)
         self.reconciliation.tick()
         while self.expiry and self.expiry[0][0] <= self.now:
             self.expire(heapq.heappop(self.expiry)[1])
-        if not self.leaving and not still:
+        if not self.leaving and not stalled:
             self.moving.tick()
-        if self.settled and not self.leaving and not still:
+        if self.settled and not self.leaving and not stalled:
             while self.asked and self.asked[0][0] <= self.now:
                 entry = self.entries.get(heapq.heappop(self.asked)[1])
                 if entry is not None and entry.asked_at and self.now - entry.asked_at >= AGAIN - 1e-6:
@@ -703,6 +769,7 @@
             self.assign()
 
     def expire(self, mid: str) -> None:
+        """Handles a message or a record of an end whose time has come."""
         if (entry := self.entries.get(mid)) is not None:
             if entry.until <= self.now:
                 self.finish(mid, False, "")
@@ -713,11 +780,12 @@
             self.writes.append(Write("forget", (mid,)))
 
     def assign(self) -> None:
+        """Assigns messages that are due and have no owner."""
         later: list[tuple[float, str]] = []
-        left = STEP
-        takers: list[Counter] | None = None
-        homely = dict[str, list[Counter]]()  # by country
-        while self.waiting and left and self.waiting[0][0] <= self.now + LEAD:
+        remaining = STEP
+        candidates: list[Counter] | None = None
+        by_country = dict[str, list[Counter]]()  # by country
+        while self.waiting and remaining and self.waiting[0][0] <= self.now + LEAD:
             due, mid = heapq.heappop(self.waiting)
             entry = self.entries.get(mid)
             if entry is None or entry.owner or entry.due > due + 1e-6:
@@ -726,30 +794,31 @@
                 later.append((self.now + 0.25, mid))
                 entry.due = max(entry.due, self.now + 0.25) if entry.due > self.now else entry.due
                 continue
-            if takers is None:
-                takers = self.takers()
+            if candidates is None:
+                candidates = self.takers()
             if entry.home:
-                if entry.home not in homely:
-                    homely[entry.home] = self.takers(entry.home)
-                if not (among := homely[entry.home]):  # it waits here, and holds up nobody
+                if entry.home not in by_country:
+                    by_country[entry.home] = self.takers(entry.home)
+                if not (eligible := by_country[entry.home]):  # it waits, without holding up others
                     later.append((self.now + 0.25, mid))
                     continue
-            elif not (among := takers):
+            elif not (eligible := candidates):
                 if self.policy is None:
                     later.append((due, mid))
                     break
                 later.append((self.now + 0.25, mid))
                 continue
-            left -= 1
-            taker = min(among, key=lambda c: c.given)
-            taker.given += 1
+            remaining -= 1
+            chosen = min(eligible, key=lambda c: c.given)
+            chosen.given += 1
             entry.claim += 1
-            self.own(entry, owner(taker.node, taker.life))
+            self.own(entry, owner(chosen.node, chosen.life))
             self.ask(entry)
         for item in later:
             heapq.heappush(self.waiting, item)
 
     def ask(self, entry: Entry) -> None:
+        """Sends an assignment to its owner and waits for the acknowledgement."""
         entry.asked_at = self.now
         heapq.heappush(self.asked, (self.now + AGAIN, entry.mid))
         self.fetches.append(Fetch(entry.mid, ("assign", entry.owner, entry.claim)))
@@ -758,8 +827,10 @@
         return self.policy.country(zone) if self.policy is not None else ""
 
     def takers(self, home: str = "") -> list[Counter]:
-        """Counters that may be assigned something: near ones, where there are any."""
-        able = [
+        """Gateways that may be assigned a message: those of this zone, where there are any. `home`: only
+        those in that country.
+        """
+        available = [
             c
             for c in self.counters.values()
             if c.linked
@@ -768,30 +839,32 @@
             and self.now - c.heard_at < 1.0
             and (not home or self.country(c.zone) == home)
         ]
-        return [c for c in able if c.zone == self.zone] or able
+        return [c for c in available if c.zone == self.zone] or available
 
-    def fetched(self, mid: str, why: tuple[Any, ...], letter: Letter | None) -> None:
-        """What the disk had; None: it has ended meanwhile."""
+    def fetched(self, mid: str, why: tuple[Any, ...], message: Letter | None) -> None:
+        """The disk's answer to a fetch; None: the message has ended since."""
         entry = self.entries.get(mid)
-        if why[0] == "dead" and letter is not None and mid in self.ends:
-            for target in why[1]:  # its octets, and that it has ended, in that order
-                self.send(target, "hand", Hand(letters=[letter]))
+        if why[0] == "dead" and message is not None and mid in self.ends:
+            for target in why[1]:  # first its bytes, then its end
+                self.send(target, "hand", Hand(letters=[message]))
             self.moving.say_end(mid, why[1])
             return
-        if entry is None or letter is None:
+        if entry is None or message is None:
             return
-        letter.due, letter.until = max(0.0, entry.due - self.now), max(0.0, entry.until - self.now)
-        letter.fails, letter.lost, letter.claim = entry.fails, entry.lost, entry.claim
-        del letter.holders[:]
-        letter.holders.extend(entry.holders)
+        message.due, message.until = max(0.0, entry.due - self.now), max(0.0, entry.until - self.now)
+        message.fails, message.lost, message.claim = entry.fails, entry.lost, entry.claim
+        del message.holders[:]
+        message.holders.extend(entry.holders)
         if why[0] == "assign":
             if (entry.owner, entry.claim) == why[1:]:
                 self.figures["assigned"] += 1
                 self.trace(352, message=mid, to=entry.owner, claim=entry.claim, why=entry.freed_by)
-                self.sends.append(Send(why[1].rpartition("/")[0], "assign", Assign(letter=letter)))
+                self.sends.append(Send(why[1].rpartition("/")[0], "assign", Assign(letter=message)))
         elif why[0] == "hand":
-            self.sends.append(Send(why[1], "hand", Hand(letters=[letter], owners=[entry.owner])))
+            self.sends.append(Send(why[1], "hand", Hand(letters=[message], owners=[entry.owner])))
         elif why[0] == "move":
-            del letter.holders[:]
-            letter.holders.extend(why[2])
-            self.sends.append(Send(why[1], "hand", Hand(letters=[letter], answer=True, owners=[entry.owner])))
+            del message.holders[:]
+            message.holders.extend(why[2])
+            self.sends.append(
+                Send(why[1], "hand", Hand(letters=[message], answer=True, owners=[entry.owner]))
+            )
--- a/opalwick/post/depot/reconciliation.py
+++ b/opalwick/post/depot/reconciliation.py
@@ -1,9 +1,9 @@
-"""Ends that this depot has missed, learned from the other depots that keep the same messages. No I/O; part of
+"""Ends that this store has missed, learned from the other replicas of the same messages. No I/O; part of
 `keeping.py`.
 
-Depots compare all that is pending as a link between them comes up. Here they compare single messages without
-a new link: those whose deliverer is gone, which may have told its end to some of their depots only, and those
-that should have ended long ago, whatever the reason.
+Stores compare all pending messages when a link between them comes up. Here they compare single messages
+without a new link: those whose owner is gone, which may have reported an end to some of the replicas only,
+and those that should have ended long ago, whatever the reason.
 """
 
 from __future__ import annotations
@@ -14,24 +14,27 @@
 from opalwick.post.depot.records import Entry
 from opalwick.post.wire_pb2 import Have
 
-OVERDUE = 3.0  # s after a message was due until the other depots are asked whether it has ended
-SCAN = 1.0  # s between looks for such messages
-SCANNED = 200  # messages looked at each time: some microseconds each
-BATCH = 500  # names in one word
+OVERDUE = 3.0  # s after a message was due until the other replicas are asked whether it has ended
+SCAN = 1.0  # s between scans for such messages
+SCANNED = 200  # messages per scan: some microseconds each
+BATCH = 500  # message ids in one peer message
 
 
 class Reconciliation:
-    def __init__(self, keeping: Messages) -> None:
-        self.keeping = keeping
-        self.doubted: dict[str, None] = {}  # messages to be asked about at the next tick
-        self.scan_at = keeping.now
-        self.unscanned: list[str] = []  # names of messages that are still to be looked at
+    """Finds the messages to compare and requests their state from the other replicas."""
+
+    def __init__(self, store: Messages) -> None:
+        self.keeping = store
+        self.doubted: dict[str, None] = {}  # messages to compare at the next tick
+        self.scan_at = store.now
+        self.unscanned: list[str] = []  # ids of messages that the current scan has yet to check
 
     def doubt(self, mid: str) -> None:
-        """That message has lost its deliverer: another depot may know that it has ended."""
+        """Marks a message that has lost its owner: another replica may have its end."""
         self.doubted[mid] = None
 
     def tick(self) -> None:
+        """Sends the comparisons that are due."""
         if self.doubted:
             self.ask_about(self.doubted)
             self.doubted.clear()
@@ -40,7 +43,7 @@
             self.ask_about(self.overdue())
 
     def ask_about(self, mids: Iterable[str]) -> None:
-        """The other depots that keep these are asked what they know of them."""
+        """Requests what the other replicas of these messages have of them."""
         asked: dict[str, list[str]] = {}
         for mid in mids:
             for node in self.others_that_keep(mid):
@@ -50,14 +53,14 @@
                 self.keeping.send(node, "have", Have(pending=pending[at : at + BATCH], ends=True))
 
     def others_that_keep(self, mid: str) -> list[str]:
-        """Those of them that are linked; none if the message has ended here."""
+        """The linked stores that have the message as well; none if it has ended here."""
         entry = self.keeping.entries.get(mid)
         if entry is None:
             return []
         return [node for node in entry.holders if node != self.keeping.node and node in self.keeping.peers]
 
     def overdue(self) -> list[str]:
-        """Names of messages that should have ended, out of the next part of all that are kept."""
+        """Ids of overdue messages in the next part of all pending ones."""
         if not self.unscanned:
             self.unscanned = list(self.keeping.entries)
         part = self.unscanned[-SCANNED:]
