--- a/opalwick/post/depot/agent.py
+++ b/opalwick/post/depot/agent.py
@@ -1,4 +1,4 @@
-"""A depot as a process: its disk in a thread, its links, its time. What it does is `role.py`'s."""
+"""The process of a store: its disk in a thread, its links and its clock. `role.py` has the behaviour."""
 
 from __future__ import annotations
 
@@ -21,23 +21,26 @@
 from opalwick.post.settings import Settings
 from opalwick.post.wire_pb2 import Letter
 
-FAILED = 0.2  # s until a batch that the disk refused is tried again
-GATHER = 0.002  # s that a batch waits for more: two syncs' worth of a usual disk, a fortieth of an aim
+FAILED = 0.2  # s until a batch that failed on the disk is tried again
+# s that a batch waits for further writes: two syncs of a usual disk, a fortieth of a service's aim
+GATHER = 0.002
 
 
 class DepotShell(Shell):
+    """Runs a store. Raises sqlite3.Error where its disk cannot be opened."""
+
     role: Depot
 
     def __init__(self, settings: Settings, process: Process) -> None:
         self.disk = opened(settings.datadir)
         self.unix = time.time() - time.monotonic()
         super().__init__(Depot(settings, int(time.time() * 1000), time.monotonic(), self.disk.id), process)
-        self.threads = ThreadPool(1)  # a disk that stalls must not stop the pulses
+        self.threads = ThreadPool(1)  # a disk that stalls must not stop the heartbeats
         self.queued = Event()
         load(self.role, self.disk, self.unix)
 
     def look(self, work: Any) -> Any:  # type: ignore[override]
-        """In the disk's thread."""
+        """Runs `work` with the disk, in the disk's thread, and returns its result."""
         return self.threads.apply(work, (self.disk,))
 
     def perform(self) -> None:
@@ -45,7 +48,7 @@
             self.queued.set()
 
     def work(self) -> None:
-        """Runs in a greenlet of its own: one batch at a time is on the disk."""
+        """Writes one batch after the other, in a greenlet of its own; never returns."""
         while True:
             if not self.role.queue:
                 self.queued.clear()
@@ -56,7 +59,7 @@
                 try:
                     found = self.threads.apply(on_disk, (self.disk, self.unix, writes, fetches))
                     break
-                except sqlite3.Error as problem:  # nothing of it is told, and nothing goes past it
+                except sqlite3.Error as problem:  # nothing is confirmed, and no later write overtakes it
                     events.say(303, problem=repr(problem), writes=len(writes))
                     gevent.sleep(FAILED)
             self.role.clock(time.monotonic())
@@ -64,6 +67,7 @@
             self.settle()
 
     def serve(self) -> None:
+        """Runs until the stop event, then shuts down."""
         self.forever(self.work)
         self.begin()
         self.stop.wait()
@@ -78,7 +82,7 @@
 
 
 def opened(folder: str) -> Disk:
-    """The disk, read once as a whole; an empty one where its file is broken."""
+    """Opens and checks the disk. A broken file is set aside and replaced by an empty one."""
     try:
         return Disk(folder)
     except sqlite3.Error as problem:
@@ -91,7 +95,7 @@
 
 
 def load(role: Depot, disk: Disk, unix: float) -> None:
-    """What the disk has, into the role. `unix`: from its clock to the time of day."""
+    """Restores the role's state from the disk. `unix`: seconds from its clock to unix time."""
     k = role.keeping
     k.seal.loaded(disk.seal())
     for mid, complete, seal, until, holders in disk.ends():
@@ -100,27 +104,29 @@
         if row.mid in k.ends:
             k.loaded_dead(row.mid, len(row.letter))
         else:
-            letter = Letter.FromString(row.letter)
+            message = Letter.FromString(row.letter)
             k.loaded(
                 row.mid,
-                tuple(row.holders.split() or letter.holders),
+                tuple(row.holders.split() or message.holders),
                 row.due - unix,
                 row.until - unix,
                 row.fails,
                 row.lost,
                 len(row.letter),
-                letter.home,
+                message.home,
             )
     events.say(301, disk=disk.id, messages=len(k.entries), ends=len(k.ends), rotten=disk.rotten)
 
 
 def on_disk(disk: Disk, unix: float, writes: list[Write], fetches: list[Fetch]) -> list[bytes | None]:
-    """In the disk's thread: all that the writes say, synced; and the octets that the fetches want."""
+    """Runs in the disk's thread: syncs the writes and returns the bytes for each fetch. `unix`: seconds from
+    the store's clock to unix time. Raises sqlite3.Error if nothing was written.
+    """
     rows: list[tuple[str, tuple[Any, ...]]] = []
     for kind, fields, _ in writes:
         if kind == "keep":
-            mid, letter, due, until, fails, lost = fields
-            rows.append((kind, (mid, letter, due + unix, until + unix, fails, lost)))
+            mid, message, due, until, fails, lost = fields
+            rows.append((kind, (mid, message, due + unix, until + unix, fails, lost)))
         elif kind == "end":
             rows.append((kind, (*fields[:3], fields[3] + unix, fields[4])))
         elif kind == "tried":
--- a/opalwick/post/depot/role.py
+++ b/opalwick/post/depot/role.py
@@ -1,7 +1,8 @@
-"""A depot as a role: what it hears goes to `keeping.py`, what that leaves behind to the disk and the links.
+"""The role of a store: passes received peer messages to `keeping.py`, and its effects to the disk and the
+links.
 
-The shell takes `batch()` to the disk in one transaction, one batch at a time, and hands back what was found
-with `synced()`; only then are the words said that follow from it.
+The shell takes `batch()` to the disk in one transaction, one batch at a time, and returns what was found with
+`synced()`; only then are the peer messages sent that depend on it.
 """
 
 from __future__ import annotations
@@ -19,16 +20,19 @@
 from opalwick.post.station import Link, Station
 from opalwick.post.wire_pb2 import Hand, Hello, Kept, Letter, News, Pulse, Told
 
-ROOM = 0.4  # of the disk that messages may take: sqlite's pages, its log and freed room take as much again
-LEAST = 0.02  # s of a batch on its way that are told: a usual one takes a tenth of it
-LEAVE = 0.4  # s from SIGTERM to the end: what comes meanwhile is synced and answered
+# share of the disk that messages may take: sqlite's pages, its log and freed space take as much again
+ROOM = 0.4
+LEAST = 0.02  # s of a batch in progress from which heartbeats report it: a usual one takes a tenth of it
+LEAVE = 0.4  # s from SIGTERM to the end: what arrives in the meantime is synced and answered
 
 
 class Depot(Station):
+    """The store of one node ("depot" on the wire)."""
+
     role = "depot"
 
     def __init__(self, settings: Settings, life: int, now: float, disk: str) -> None:
-        """`disk`: the disk's own name."""
+        """`disk`: id of the disk."""
         super().__init__(settings, life, now)
         self.disk = disk
         self.keeping = Keeping(
@@ -43,9 +47,9 @@
         self.keeping.trace, self.keeping.event = self.trace, self.event
         self.guard = Guard(self.zone, settings, self.directory, self.event)
         self.queue: list[Write | Fetch] = []
-        self.disk_since: float | None = None  # when the batch that is on its way to the disk was taken
-        self.told = set[str]()  # offices that have said who is there, in this life
-        self.left_at = 0.0  # when it was told to end
+        self.disk_since: float | None = None  # when the batch that is being written was taken; None: none is
+        self.told = set[str]()  # controllers that have sent the whole directory to this process
+        self.left_at = 0.0  # when the shutdown began; 0: it has not
 
     def clock(self, now: float) -> None:
         self.now = now
@@ -57,21 +61,23 @@
         return hello
 
     def pulse(self, link: Link) -> Pulse:
-        """Other depots are asked for counters that it does not hear, and told of those that they do not."""
+        """The heartbeat for that link. To other stores it lists the gateways that this one receives no
+        heartbeat of, and reports those that they listed.
+        """
         k = self.keeping
-        behind = 0.0 if self.disk_since is None else self.now - self.disk_since
+        delay = 0.0 if self.disk_since is None else self.now - self.disk_since
         pulse = Pulse(
             settled=k.settled,
             leaving=k.leaving,
             empty=k.moving.empty,
-            behind=behind if behind >= LEAST else 0.0,
+            behind=delay if delay >= LEAST else 0.0,
         )
         if link.peer.role == "depot":
             pulse.edges.update(k.hears(link.peer.node))
             pulse.deaf.extend(k.deaf)
         return pulse
 
-    # ---- links
+    # ---- links and peer messages
 
     def up(self, link: Link) -> None:
         k, peer = self.keeping, link.peer
@@ -88,103 +94,108 @@
         elif link.peer.role == "depot":
             self.keeping.depot_down(link.peer.node)
 
-    def heard(self, link: Link, kind: str, word: Any) -> None:
+    def heard(self, link: Link, kind: str, msg: Any) -> None:
         k, node = self.keeping, link.peer.node
-        if kind == "news" and word.whole:
+        if kind == "news" and msg.whole:
             self.told.add(node)
         if link.peer.role == "counter" and self.is_of_earlier_life(link):
             if kind in ("mine", "refuse"):
                 return
-            if kind == "keep":  # nobody delivers it
-                word.parked = True
+            if kind == "keep":  # its gateway process is gone, so it has no owner
+                msg.parked = True
         match kind, link.peer.role:
             case "pulse", "counter":
-                k.counter_pulse(node, word)
+                k.counter_pulse(node, msg)
             case "pulse", "depot":
-                k.depot_pulse(node, word)
+                k.depot_pulse(node, msg)
             case "ask", _:
-                self.answer(link, word)
-            case "keep", _ if word.letter.mid not in k.entries and not self.guard.keep(word.letter):
-                link.say("kept", Kept(mid=word.letter.mid, refused=True))
+                self.answer(link, msg)
+            case "keep", _ if msg.letter.mid not in k.entries and not self.guard.keep(msg.letter):
+                link.say("kept", Kept(mid=msg.letter.mid, refused=True))
             case "hand", "depot":
-                k.hand(node, self.let_in(link, word))
+                k.hand(node, self.let_in(link, msg))
             case (("keep" | "end" | "tried" | "park" | "mine" | "refuse" | "holders"), _):
-                self.trace_word(node, kind, word)
-                getattr(k, kind)(node, word)
+                self.trace_word(node, kind, msg)
+                getattr(k, kind)(node, msg)
             case "kept", "depot":
-                k.moving.kept(node, word.mid, word.refused)
+                k.moving.kept(node, msg.mid, msg.refused)
             case "ended", "depot":
-                k.moving.ended(node, word.mid)
+                k.moving.ended(node, msg.mid)
             case (("have" | "differ"), "depot"):
-                getattr(k, kind)(node, word)
+                getattr(k, kind)(node, msg)
             case _:
-                super().heard(link, kind, word)
+                super().heard(link, kind, msg)
 
     def is_of_earlier_life(self, link: Link) -> bool:
-        """Whether a later process of that counter has been heard; words of the earlier one may lie unread."""
+        """Whether a later process of that gateway is known; peer messages of the earlier one may still be
+        unread.
+        """
         counter = self.keeping.counters.get(link.peer.node)
         return counter is not None and counter.life > link.peer.life
 
-    def trace_word(self, node: str, kind: str, word: Any) -> None:
-        """What is heard of one message, and by whom it was delivered until then."""
+    def trace_word(self, node: str, kind: str, msg: Any) -> None:
+        """Writes the trace event of a peer message about one stored message, with its owner until then."""
         if kind in ("keep", "mine", "tried"):
             return
-        entry = self.keeping.entries.get(word.mid)
+        entry = self.keeping.entries.get(msg.mid)
         self.trace(
             351,
-            message=word.mid,
+            message=msg.mid,
             heard=kind,
             by=node,
-            claim=getattr(word, "claim", 0),
-            seal=getattr(word, "seal", ""),
+            claim=getattr(msg, "claim", 0),
+            seal=getattr(msg, "seal", ""),
             owner=entry.owner if entry is not None else "",
             known=entry.claim if entry is not None else -1,
-            ended=word.mid in self.keeping.ends,
+            ended=msg.mid in self.keeping.ends,
         )
 
-    def let_in(self, link: Link, word: Hand) -> Hand:
-        """Those of the copies that may be here."""
-        kept = [letter for letter in word.letters if self.guard.takes(letter)]
-        if len(kept) == len(word.letters):
-            return word
-        for letter in word.letters:
-            if word.answer and letter not in kept:
-                link.say("kept", Kept(mid=letter.mid, refused=True))
-        return Hand(letters=kept, answer=word.answer)
+    def let_in(self, link: Link, msg: Hand) -> Hand:
+        """Drops the replicas that data residency does not permit here, and rejects them where an answer is
+        expected.
+        """
+        permitted = [message for message in msg.letters if self.guard.takes(message)]
+        if len(permitted) == len(msg.letters):
+            return msg
+        for message in msg.letters:
+            if msg.answer and message not in permitted:
+                link.say("kept", Kept(mid=message.mid, refused=True))
+        return Hand(letters=permitted, answer=msg.answer)
 
     def resettle(self, settings: Settings) -> None:
+        """Applies changed settings."""
         super().resettle(settings)
         self.govern()
 
     def govern(self) -> None:
-        """The policy, who is there, or the settings have changed."""
+        """Applies a change of the data residency policy, the directory or the settings."""
         self.guard.learned(self.settings)
         self.keeping.policy = self.guard.policy
 
     def news(self, news: News) -> None:
-        """Depots are linked by the one whose name comes first."""
+        """Applies a directory update. Of two stores the one whose name comes first connects to the other."""
         if news.HasField("conf"):
             self.keeping.ordered((int(news.conf.gen), int(news.conf.seq)), set(news.conf.retiring))
         self.govern()
         for node in self.nodes("depot"):
             if node.node > self.node:
                 self.want(node.ip)
-        offices = self.nodes("office")
-        if 2 * sum(node.node in self.told for node in offices) > len(
-            offices
-        ):  # one alone may have lost its disk
+        controllers = self.nodes("office")
+        # a majority is needed, as a single controller may have lost its disk
+        if 2 * sum(node.node in self.told for node in controllers) > len(controllers):
             self.keeping.expected = {
                 node.node for node in self.nodes("counter") + self.nodes("depot") if node.node != self.node
             }
 
-    def answer(self, link: Link, word: Any) -> None:
-        told = self.keeping.state(word.mid)
-        if word.tags and told.state in FOUND:
-            if not is_name_of(word.tags, self.keeping.holders_of(word.mid)):
-                told = Told(state=MessageState.UNSURE)  # another name, or others keep it by now
-        told.call = word.call
-        if word.body and told.state in WITH_BODY:
-            self.queue.append(Fetch(word.mid, ("told", link, word.call)))
+    def answer(self, link: Link, msg: Any) -> None:
+        """Answers a request for a message's state or body."""
+        told = self.keeping.state(msg.mid)
+        if msg.tags and told.state in FOUND:
+            if not is_name_of(msg.tags, self.keeping.holders_of(msg.mid)):
+                told = Told(state=MessageState.UNSURE)  # another name, or its replicas have moved since
+        told.call = msg.call
+        if msg.body and told.state in WITH_BODY:
+            self.queue.append(Fetch(msg.mid, ("told", link, msg.call)))
         else:
             link.say("told", told)
 
@@ -192,48 +203,48 @@
 
     def settle(self) -> None:
         writes, sends, fetches = self.keeping.effects()
-        for node, kind, word in sends:
-            if kind not in ("hand", "assign") or self.may_leave(node, kind, word):
-                self.say(node, kind, word)
+        for node, kind, msg in sends:
+            if kind not in ("hand", "assign") or self.may_leave(node, kind, msg):
+                self.say(node, kind, msg)
         self.queue += writes
         self.queue += fetches
 
-    def may_leave(self, node: str, kind: str, word: Any) -> bool:
-        """The last door before a message's octets go from here to another process."""
+    def may_leave(self, node: str, kind: str, msg: Any) -> bool:
+        """The last data residency check before a message's bytes leave this process."""
         link = self.link(node)
         if link is None:
             return True
-        door, letters = ("move", word.letters) if kind == "hand" else ("assign", [word.letter])
-        return all([self.guard.hands(door, letter, link.peer) for letter in letters])
+        door, messages = ("move", msg.letters) if kind == "hand" else ("assign", [msg.letter])
+        return all([self.guard.hands(door, message, link.peer) for message in messages])
 
     def batch(self) -> tuple[list[Write], list[Fetch]]:
-        """All that waits for the disk."""
-        waits, self.queue = self.queue, []
+        """Takes all writes and fetches that wait for the disk."""
+        waiting, self.queue = self.queue, []
         self.disk_since = self.now
-        return [w for w in waits if isinstance(w, Write)], [f for f in waits if isinstance(f, Fetch)]
+        return [w for w in waiting if isinstance(w, Write)], [f for f in waiting if isinstance(f, Fetch)]
 
     def synced(self, writes: list[Write], fetches: list[Fetch], found: list[bytes | None]) -> None:
-        """They are on the disk; `found`: the octets of each fetch, None where there are none."""
+        """The batch is on the disk; `found`: the bytes of each fetch, None where there are none."""
         self.disk_since = None
         self.keeping.synced(writes)
         for write in writes:
-            for node, kind, word in write.then:
-                self.say(node, kind, word)
+            for node, kind, msg in write.then:
+                self.say(node, kind, msg)
         for fetch, data in zip(fetches, found):
             if data == ROTTEN:
                 self.keeping.rotten(fetch.mid)
-            letter = Letter.FromString(data) if data else None
+            message = Letter.FromString(data) if data else None
             if fetch.why[0] != "told":
-                self.keeping.fetched(fetch.mid, fetch.why, letter)
+                self.keeping.fetched(fetch.mid, fetch.why, message)
                 continue
             _, link, call = fetch.why
-            # as it is now: it may have ended since, and its octets gone with the same batch
+            # the present state: it may have ended since, and its bytes may be gone with the same batch
             told = self.keeping.state(fetch.mid)
             told.call = call
-            if letter is not None:
-                told.home = self.guard.home(letter)
+            if message is not None:
+                told.home = self.guard.home(message)
                 if self.guard.tells(told.home, self.guard.node(link.peer) if told.home else ""):
-                    told.body = letter.body
+                    told.body = message.body
                 else:
                     told.abroad = True
             elif told.state in WITH_BODY:
@@ -246,7 +257,7 @@
         self.keeping.tick()
 
     def leave(self) -> None:
-        """It is to end: nothing new is kept, others assign in its place."""
+        """Begins the shutdown: no new messages are stored, and other stores assign in its place."""
         self.left_at = self.now
         self.keeping.leaving = True
         for links in self.links.values():
@@ -255,8 +266,8 @@
 
     @property
     def gone(self) -> bool:
-        """All that it took is on the disk and answered; nothing is on its way there, in a thread that would
-        go on with a closed disk.
+        """Whether the shutdown is complete: all accepted messages are on the disk and confirmed, and no write
+        is in progress in a thread that would go on with a closed disk.
         """
         answered = not self.queue and self.disk_since is None
         return bool(self.left_at) and self.now - self.left_at >= LEAVE and answered
--- a/opalwick/post/depot/status.py
+++ b/opalwick/post/depot/status.py
@@ -1,4 +1,4 @@
-"""What a depot tells operators: what it keeps, for whom, whom it hears, and its dead messages."""
+"""Reports for operators: what a store has and for whom, its links, and its dead messages."""
 
 from __future__ import annotations
 
@@ -18,14 +18,15 @@
 from opalwick.post.wire_pb2 import Letter, Route
 
 NOW = frozenset(("pending", "ends", "settled"))
-PAGE = 100  # dead messages of one answer
-SCAN = 1000  # that are read for it at most
-STEP = 50  # in one turn of the disk's thread: a millisecond that a batch waits
+PAGE = 100  # dead messages in one answer at most
+SCAN = 1000  # dead messages read for one answer at most
+STEP = 50  # read in one turn of the disk's thread: delays a batch by a millisecond
 
 
 def status(role: Depot) -> dict[str, Any]:
+    """The answer to a request for the store's status."""
     k, now = role.keeping, role.now
-    waits = [entry for entry in k.entries.values() if not entry.owner]
+    unowned = [entry for entry in k.entries.values() if not entry.owner]
     due = [now - entry.due for entry in k.entries.values() if entry.due <= now]
     return {
         "retiring": sorted(k.moving.retiring),
@@ -47,8 +48,8 @@
             for who, mids in sorted(k.owned.items())
             if mids
         },
-        "waiting": len(waits),
-        "waiting_due": sum(entry.due <= now for entry in waits),
+        "waiting": len(unowned),
+        "waiting_due": sum(entry.due <= now for entry in unowned),
         "oldest_due": max(due, default=0.0),
         "counters": [
             {
@@ -75,7 +76,9 @@
 
 
 def home(role: Depot, look: Any) -> dict[str, Any]:
-    """Where this process is, what its guard has seen, what it keeps by home, and the list on its disk."""
+    """The data residency report: this process's country, the guard's counts, stored messages by home, and the
+    audit list of its disk.
+    """
     kept: dict[str, int] = {}
     for entry in role.keeping.entries.values():
         if entry.home:
@@ -87,29 +90,32 @@
 
 
 def why(role: Depot, entry: Entry) -> str:
-    """Why it has not ended, as this depot sees it."""
+    """Why the message has not ended, as far as this store can say."""
     k = role.keeping
     if entry.owner:
         if not k.alive(entry.owner):
-            return f"{entry.owner} delivers it, and no depot hears it any more: it is assigned anew next"
+            return (
+                f"{entry.owner} delivers it, but no store receives its heartbeats: it is assigned again next"
+            )
         if entry.asked_at:
-            return f"it was assigned to {entry.owner}, which has not said that it has it"
+            return f"it was assigned to {entry.owner}, which has not acknowledged it yet"
         return f"{entry.owner} delivers it: ask there"
     if entry.due > role.now:
         return f"it is due in {entry.due - role.now:.2f} s"
     if not k.acts(entry):
         first = next((h for h in entry.holders if h != role.node), "")
-        return f"{first} keeps it too, stands before this depot and assigns it"
+        return f"{first} has it too, comes before this store in its list of replicas and assigns it"
     if k.leaving:
-        return "this depot is to end: the next one assigns it"
+        return "this store is shutting down: the next replica assigns it"
     if not k.settled:
-        return "this depot has just started and still hears what happened meanwhile"
+        return "this store has just started and is still comparing its state with the other stores"
     if not k.takers():
-        return "no counter is ready and heard here"
+        return "no gateway is ready and in contact with this store"
     return "it is assigned next"
 
 
 def message(role: Depot, name: str) -> dict[str, Any] | None:
+    """The report on one message by its name; None: it is not here."""
     k, mid = role.keeping, kept_by(name)
     if (end := k.ends.get(mid)) is not None:
         return {
@@ -138,44 +144,47 @@
     }
 
 
-# ---- dead messages; what `look` runs is in the disk's thread
+# ---- dead messages; functions that are passed to `look` run in the disk's thread
 
 
 def rows(disk: Any, mids: list[str]) -> list[Row]:
+    """The rows of these messages; those that are not on the disk are left out."""
     read = f"select {', '.join(Row._fields)} from letters where mid = ?"
     found = (disk.db.execute(read, (mid,)).fetchone() for mid in mids)
     return [Row._make(row) for row in found if row is not None]
 
 
-def routed(role: Depot, letter: Letter) -> Route | None:
+def routed(role: Depot, message: Letter) -> Route | None:
+    """The route that the message would take by the present configuration."""
     conf = role.directory.conf
     if conf is None:
         return None
-    return Routes(conf).find(letter.host.decode("latin-1"), letter.target.decode("latin-1"))
+    return Routes(conf).find(message.host.decode("latin-1"), message.target.decode("latin-1"))
 
 
 def cause(row: Row, route: Route | None) -> str:
-    """As far as it can be told from what is kept."""
+    """Why the message is dead, as far as its row shows it."""
     if route is None:
         return "no route takes it any more"
-    may = ["refused for good (422)"]
-    if row.fails + 1 >= route.tries:  # the last failure is told with the end alone
-        may.insert(0, f"its attempt {route.tries} of {route.tries} failed")
+    causes = ["refused for good (422)"]
+    if row.fails + 1 >= route.tries:  # the last failure is only in the end, not counted in the row
+        causes.insert(0, f"its attempt {route.tries} of {route.tries} failed")
     if row.until <= time.time():
-        may.append("its time ran out")
-    return ", or ".join(may)
+        causes.append("its time ran out")
+    return ", or ".join(causes)
 
 
 def summary(role: Depot, row: Row) -> dict[str, Any]:
-    letter = Letter.FromString(row.letter)
-    route = routed(role, letter)
+    """The report on one dead message, without its body."""
+    message = Letter.FromString(row.letter)
+    route = routed(role, message)
     return {
         "id": row.mid,
-        "rid": letter.rid,
+        "rid": message.rid,
         "route": route.name if route is not None else "",
-        "host": letter.host.decode("latin-1"),
-        "target": letter.target.decode("latin-1"),
-        "octets": len(letter.body),
+        "host": message.host.decode("latin-1"),
+        "target": message.target.decode("latin-1"),
+        "octets": len(message.body),
         "fails": row.fails,
         "lost": row.lost,
         "cause": cause(row, route),
@@ -184,8 +193,9 @@
 
 
 def dead(role: Depot, look: Any, route: str = "", after: str = "") -> dict[str, Any]:
-    """Those of a route (of all, where none is named), by id, after that one. `more`: there may be further
-    ones after `last`."""
+    """Dead messages of a route (empty: of all routes), by id, after the id `after`. `more`: there may be
+    further ones after `last`.
+    """
     names = sorted(mid for mid, end in role.keeping.ends.items() if not end.complete and mid > after)
     found: list[dict[str, Any]] = []
     last, read = after, 0
@@ -196,7 +206,7 @@
             if len(found) >= PAGE:
                 break
             read, last = read + 1, mid
-            if mid in here:  # what it never had is dead here too, but without octets
+            if mid in here:  # a message that was never here can be dead here too, without bytes
                 one = summary(role, here[mid])
                 if not route or one["route"] == route:
                     found.append(one)
@@ -204,57 +214,59 @@
 
 
 def dead_one(role: Depot, look: Any, name: str) -> dict[str, Any] | None:
+    """The report on one dead message with its fields and body; None: it is not here or not dead."""
     mid = kept_by(name)
     end = role.keeping.ends.get(mid)
     if end is None or end.complete or not (found := look(lambda disk: rows(disk, [mid]))):
         return None
-    letter = Letter.FromString(found[0].letter)
+    message = Letter.FromString(found[0].letter)
     return summary(role, found[0]) | {
         "node": role.node,
-        "method": letter.method.decode("latin-1"),
-        "conf": letter.gen,
-        "depots": found[0].holders.split() or list(letter.holders),
-        "fields": [[f.name.decode("latin-1"), f.value.decode("latin-1")] for f in letter.fields],
-        "body": base64.b64encode(letter.body).decode(),
+        "method": message.method.decode("latin-1"),
+        "conf": message.gen,
+        "depots": found[0].holders.split() or list(message.holders),
+        "fields": [[f.name.decode("latin-1"), f.value.decode("latin-1")] for f in message.fields],
+        "body": base64.b64encode(message.body).decode(),
     }
 
 
-# ---- figures
+# ---- metrics
 
 
 def metrics(role: Depot) -> list[Any]:
+    """The store's metrics: name, whether it is a counter, help text, and samples (labels, value)."""
     k, now = role.keeping, role.now
     due = [entry.due for entry in k.entries.values() if entry.due <= now]
     return [
         (
             "oldest_due_seconds",
             False,
-            "How long the message that is due longest has been.",
+            "Seconds since the message that has been due longest became due.",
             [({}, now - min(due, default=now))],
         ),
         (
             "waiting_due",
             False,
-            "Due, and nobody's to deliver.",
+            "Messages that are due and have no owner.",
             [({}, sum(not entry.owner and entry.due <= now for entry in k.entries.values()))],
         ),
         (
             "dead_messages",
             False,
-            "Ended without a success, and still told.",
+            "Messages that ended without a success and are still on record.",
             [({}, sum(not end.complete for end in k.ends.values()))],
         ),
-        ("kept_octets", False, "Of messages on the disk.", [({}, k.held)]),
+        ("kept_octets", False, "Bytes of the messages on the disk.", [({}, k.held)]),
         (
             "owned",
             False,
-            "Messages that a counter's process delivers.",
+            "Messages that a gateway process delivers.",
             [({"owner": who}, len(mids)) for who, mids in sorted(k.owned.items()) if mids],
         ),
         (
             "depot_heard",
             False,
-            "Whether another depot was heard of late.",
+            "Whether a heartbeat of another store was received recently.",
             [({"node": node}, float(now - at < LAPSE)) for node, at in sorted(k.peers.items())],
         ),
     ]
