--- a/tests/test_post_disk.py
+++ b/tests/test_post_disk.py
@@ -1,4 +1,6 @@
-"""The disks of a depot and of an office: what was committed is there after reopening, whole or not at all."""
+"""The disks of a store and of a controller: what was committed is there after reopening, whole or not at
+all.
+"""
 
 from __future__ import annotations
 
@@ -26,7 +28,7 @@
 
 @pytest.fixture
 def folder():
-    """In memory where that can be had: syncs cost nothing there, and what is reopened is the same."""
+    """In memory where possible: syncs cost nothing there, and the reopened content is the same."""
     with TemporaryDirectory(dir="/dev/shm" if os.access("/dev/shm", os.W_OK) else None) as found:
         yield Path(found)
 
@@ -48,9 +50,11 @@
 
 
 def test_what_a_batch_committed_is_there_after_reopening(folder, snapshot) -> None:
-    """A dead message's octets stay until it is forgotten, a complete one's go; first words stand."""
+    """A dead message's bytes stay until its record expires, a complete one's are deleted; the first write
+    counts.
+    """
     disk = Disk(str(folder / "new" / "folder"))
-    name, life = disk.id, disk.life
+    name, starts = disk.id, disk.life
     disk.commit([*KEEPS, ("tried", ("m1", 12.0, 2, 1)), ("end", ("m2", 1, "s2", 210.0, "d1 d2"))])
     disk.commit(
         [
@@ -63,13 +67,13 @@
     )
     disk.close()
     disk = Disk(str(folder / "new" / "folder"))
-    assert lines(disk) == snapshot and (disk.id, disk.life) == (name, life + 1)
+    assert lines(disk) == snapshot and (disk.id, disk.life) == (name, starts + 1)
     assert disk.letter("m3") == b"octets 3" and disk.letter("m2") is None
     disk.commit([("forget", ("m3",)), ("forget", ("m9",)), ("drop", ("m1",))])
     assert lines(disk) == "end m2 1 s2 210.0 d1 d2" and disk.letter("m3") is None
     disk.close()
     other = Disk(str(folder / "empty"))
-    assert other.id != name and other.life == life and lines(other) == ""
+    assert other.id != name and other.life == starts and lines(other) == ""
     other.close()
 
 
@@ -77,22 +81,22 @@
 def test_a_failed_batch_leaves_nothing(folder, fault: str) -> None:
     disk = Disk(str(folder))
     disk.commit(KEEPS[:1])
-    bad: tuple = ("keep", ("m9",))
+    failing: tuple = ("keep", ("m9",))
     if fault == "a full disk":
         disk.db.execute("pragma max_page_count = 1").fetchall()
-        bad = ("keep", ("m9", bytes(1 << 20), 0.0, 1.0, 0, 0))
+        failing = ("keep", ("m9", bytes(1 << 20), 0.0, 1.0, 0, 0))
     with pytest.raises(sqlite3.Error):
-        disk.commit([KEEPS[1], ("end", ("m1", 1, "s1", 5.0, "d1 d2")), bad])
+        disk.commit([KEEPS[1], ("end", ("m1", 1, "s1", 5.0, "d1 d2")), failing])
     assert [r.mid for r in disk.letters()] == ["m1"] and disk.ends() == []
     disk.db.execute("pragma max_page_count = 1000000").fetchall()
-    disk.commit(KEEPS[2:])  # and it goes on
+    disk.commit(KEEPS[2:])  # further commits work
     disk.close()
     disk = Disk(str(folder))
     assert [r.mid for r in disk.letters()] == ["m1", "m3"] and disk.ends() == []
     disk.close()
 
 
-def test_an_offices_record_and_its_memory(folder) -> None:
+def test_a_controllers_record_and_its_saved_directory(folder) -> None:
     disk = OfficeDisk(str(folder))
     assert disk.load() is None and disk.remembered() == b""
     for stored in (Stored(4, b"view", True, b"conf", False), Stored(7, b"view 7", False, b"", True)):
@@ -108,8 +112,10 @@
     disk.close()
 
 
-def test_what_has_rotten_counts_as_lost(folder) -> None:
-    """A message; one whose end has rotten, which must not begin anew; and one that rots while it is open."""
+def test_corrupted_rows_count_as_lost(folder) -> None:
+    """A corrupted message; a message with a corrupted end, which must not be delivered again; and corruption
+    of an open disk.
+    """
     disk = Disk(str(folder))
     disk.commit([*KEEPS, ("end", ("m2", 0, "", 210.0, "d1 d2"))])
     disk.db.execute("update letters set letter = x'6f6374657473' where mid = 'm1'")
@@ -121,7 +127,7 @@
     disk.close()
 
 
-def test_a_rotten_copy_comes_anew_from_the_others() -> None:
+def test_a_corrupted_replica_is_requested_from_the_others() -> None:
     depot = Depot(parse(SETTINGS, "here"), 1, 0.0, "x")
     k = depot.keeping
     k.keep("c1", Keep(letter=Letter(mid="m1", holders=["d1", "d2"], until=90.0), parked=True))
@@ -135,8 +141,8 @@
     assert asked == [("differ", ["m1"])]
 
 
-def test_a_broken_file_is_set_aside_and_an_office_is_blank_then(folder) -> None:
-    """Whatever its settings say of a first start: it may have voted."""
+def test_a_broken_file_is_set_aside_and_a_controller_is_a_learner_then(folder) -> None:
+    """Even if its settings allow a first start: it may have voted."""
     for make, name in ((opened, "depot"), (OfficeDisk, "office")):
         disk = make(str(folder))
         if name == "office":
@@ -159,7 +165,9 @@
 
 
 def test_a_file_that_is_broken_further_in_leaves_the_new_one_alone(folder) -> None:
-    """The connection to it is closed before: later that would remove the log of the file in its place."""
+    """The connection to the broken file must be closed before the new one is made: closing it later would
+    remove the write-ahead log of the new file.
+    """
     disk = opened(str(folder))
     disk.commit(KEEPS)
     disk.close()
--- a/tests/test_post_keeping.py
+++ b/tests/test_post_keeping.py
@@ -1,4 +1,6 @@
-"""A depot's keeping, played from traces: what it keeps, whom it assigns, what it says and when."""
+"""A store's state machine, played from traces: what it stores, which gateway it assigns messages to, and what
+it sends when.
+"""
 
 from __future__ import annotations
 
@@ -13,8 +15,10 @@
 READY = "0.00 c1 up 7 n; c2 up 8 n; d2 up; d2 differ last"
 
 
-class Depot(Player):
-    """d1 in zone n. Others pulse four times a second from `up` on; the disk has what was synced."""
+class Store(Player):
+    """The store d1 in zone n. Others send a heartbeat four times a second from `up` on; the disk has what was
+    synced.
+    """
 
     def __init__(self, script: str = "", room: float = 1e9) -> None:
         super().__init__()
@@ -24,32 +28,32 @@
         self.play(script)
         self.lines.clear()
 
-    def do_up(self, who: str, life_zone: str = "") -> None:
-        if who[0] == "c":
-            life, zone = life_zone.split()
-            self.k.counter_up(who, int(life), zone)
+    def do_up(self, node: str, process_zone: str = "") -> None:
+        if node[0] == "c":
+            process, zone = process_zone.split()
+            self.k.counter_up(node, int(process), zone)
         else:
-            self.k.depot_up(who)
-        self.do_pulses(who, "ready settled")
+            self.k.depot_up(node)
+        self.do_pulses(node, "ready settled")
 
-    def do_pulses(self, who: str, text: str) -> None:
-        """It says this with each pulse from now on."""
-        self.pulses[who] = word("pulse", text)
-        self.pulse(who)
+    def do_pulses(self, node: str, text: str) -> None:
+        """It sends this with each heartbeat from now on."""
+        self.pulses[node] = word("pulse", text)
+        self.pulse(node)
 
-    def do_silent(self, who: str) -> None:
-        del self.pulses[who]
+    def do_silent(self, node: str) -> None:
+        del self.pulses[node]
 
     def do_down(self, depot: str) -> None:
         self.pulses.pop(depot, None)
         self.k.depot_down(depot)
 
-    def do_keep(self, who: str, text: str) -> None:
+    def do_keep(self, node: str, text: str) -> None:
         parked = " parked" in text
-        self.k.keep(who, Keep(letter=letter(text.replace(" parked", "")), parked=parked))
+        self.k.keep(node, Keep(letter=letter(text.replace(" parked", "")), parked=parked))
 
-    def do_hand(self, who: str, text: str) -> None:
-        self.k.hand(who, Hand(letters=[letter(one) for one in text.split(" and ")]))
+    def do_hand(self, node: str, text: str) -> None:
+        self.k.hand(node, Hand(letters=[letter(one) for one in text.split(" and ")]))
 
     def do_disk(self, me: str, what: str) -> None:
         self.stalled = what == "stalls"
@@ -65,22 +69,22 @@
             if mid not in self.ends:
                 self.k.loaded(mid, tuple(Letter.FromString(octets).holders), *rest, len(octets))
 
-    def do_asks(self, who: str, mids: str) -> None:
-        told = [(mid, self.k.state(mid)) for mid in mids.split()]
-        self.note(", ".join(f"{mid} {STATES[one.state]} {one.seal}".strip() for mid, one in told))
+    def do_asks(self, node: str, mids: str) -> None:
+        states = [(mid, self.k.state(mid)) for mid in mids.split()]
+        self.note(", ".join(f"{mid} {STATES[one.state]} {one.seal}".strip() for mid, one in states))
 
-    def hear(self, who: str, kind: str, said) -> None:
-        getattr(self.k, kind)(who, said)
+    def hear(self, node: str, kind: str, msg) -> None:
+        getattr(self.k, kind)(node, msg)
 
-    def pulse(self, who: str) -> None:
-        """Who pulses has heard all that was said to it."""
-        self.pulses[who].echo = self.now
-        (self.k.counter_pulse if who[0] == "c" else self.k.depot_pulse)(who, self.pulses[who])
+    def pulse(self, node: str) -> None:
+        """A node that sends a heartbeat has received all that was sent to it."""
+        self.pulses[node].echo = self.now
+        (self.k.counter_pulse if node[0] == "c" else self.k.depot_pulse)(node, self.pulses[node])
 
     def step(self) -> None:
         self.k.clock(self.now)
-        for who in self.pulses if round(self.now * 20) % 5 == 0 else ():
-            self.pulse(who)
+        for node in self.pulses if round(self.now * 20) % 5 == 0 else ():
+            self.pulse(node)
         self.k.tick()
 
     def settle(self) -> None:
@@ -88,8 +92,8 @@
         self.sent(sends)
         for kind, fields, _ in writes:
             if kind != "none":
-                shown = (f"{x:g}" if type(x) is float else str(x) for x in fields if type(x) is not bytes)
-                self.note(f"write {kind} {' '.join(shown)}")
+                values = (f"{x:g}" if type(x) is float else str(x) for x in fields if type(x) is not bytes)
+                self.note(f"write {kind} {' '.join(values)}")
         self.queue += [*writes, *fetches]
         if not self.stalled:
             batch, self.queue = self.queue, []
@@ -104,22 +108,24 @@
             self.sent(self.k.effects()[1])
 
     def write(self, kind: str, fields: tuple) -> None:
-        known = self.letters
+        rows = self.letters
         if kind == "keep":
-            known.setdefault(fields[0], fields)
-        elif kind == "tried" and (row := known.get(fields[0])):
-            known[fields[0]] = (*row[:2], fields[1], row[3], *fields[2:])
+            rows.setdefault(fields[0], fields)
+        elif kind == "tried" and (row := rows.get(fields[0])):
+            rows[fields[0]] = (*row[:2], fields[1], row[3], *fields[2:])
         elif kind == "end":
             self.ends.setdefault(fields[0], fields)
-            known.pop(fields[0] if fields[1] else "", None)
+            rows.pop(fields[0] if fields[1] else "", None)
         elif kind in ("forget", "drop"):
             self.ends.pop(fields[0], None)
-            known.pop(fields[0], None)
+            rows.pop(fields[0], None)
 
 
-def test_kept_and_ended_are_said_only_once_written(snapshot) -> None:
-    """A duplicate waits for the first's write; the first end stands; a crash loses what was not synced."""
-    d = Depot()
+def test_kept_and_ended_are_sent_only_once_written(snapshot) -> None:
+    """A duplicate is confirmed after the first's write; the first end counts; a crash loses what was not
+    synced.
+    """
+    d = Store()
     assert (
         d.play("""
         0.10 d1 disk stalls; c1 keep m1
@@ -136,14 +142,16 @@
     assert d.got("ended") == [(0.4, "c1"), (0.4, "c2")] and d.k.entries["m2"].fails == 2
 
 
-def test_an_asker_is_told_an_end_only_once_it_is_written() -> None:
-    d = Depot("0.10 c1 keep m1\n0.20 d1 disk stalls; c1 end mid=m1 complete seal=s1")
+def test_an_end_is_reported_only_once_it_is_written() -> None:
+    d = Store("0.10 c1 keep m1\n0.20 d1 disk stalls; c1 end mid=m1 complete seal=s1")
     assert STATES[d.k.state("m1").state] == "pending"
 
 
-def test_a_lapsed_counters_messages_are_assigned_anew(snapshot) -> None:
-    """With a greater number, after LAPSE, and not while another depot hears it; its late words are fenced."""
-    d = Depot(READY)
+def test_messages_of_an_expired_gateway_are_assigned_again(snapshot) -> None:
+    """With a greater claim, after LAPSE, and not while another store receives its heartbeats; its late
+    reports are rejected.
+    """
+    d = Store(READY)
     assert (
         d.play("""
         2.00 c1 keep m1; c1 keep m2; d2 pulses settled edges=c1/7:0.1
@@ -157,43 +165,47 @@
         6.00 c1 asks m2""")
         == snapshot
     )
-    [(at, who)] = d.got("assign", "m1")
-    assert 5.0 < at < 5.2 + LAPSE and who == "c2" and list(d.said[-1][3].gone) == ["m2"]
+    [(at, node)] = d.got("assign", "m1")
+    assert 5.0 < at < 5.2 + LAPSE and node == "c2" and list(d.said[-1][3].gone) == ["m2"]
 
 
 @pytest.mark.parametrize("held, other", [("c1", "c2"), ("c2", "c1")])
-def test_who_delivers_and_is_heard_stays_whatever_number_another_was_given(held: str, other: str) -> None:
-    """d2, which does not hear this one, gave it to the other: that one is told, and begins nothing."""
-    d = Depot(READY)
+def test_a_live_owner_keeps_its_message_whatever_claim_another_was_given(held: str, other: str) -> None:
+    """d2, which has no link to this store, assigned it to the other gateway: that one is informed, and begins
+    no attempt.
+    """
+    d = Store(READY)
     d.k.counters["c1"].given = int(held == "c2")
     d.play(f"2.00 c1 keep m1 parked; {held} mine mids=m1 claims=1\n2.10 {other} mine mids=m1 claims=2 ask")
     assert d.k.entries["m1"].owner.startswith(held + "/")
-    told = [(node, list(w.gone), list(w.agreed)) for _, node, kind, w in d.said if kind == "checked"]
-    assert told == [(other, ["m1"], [])]
+    answers = [(node, list(msg.gone), list(msg.agreed)) for _, node, kind, msg in d.said if kind == "checked"]
+    assert answers == [(other, ["m1"], [])]
     d.play(f"2.20 {held} silent\n4.40 {other} mine mids=m1 claims=3 ask")
     assert d.k.entries["m1"].owner.startswith(other + "/")
-    assert [list(w.agreed) for _, node, kind, w in d.said if kind == "checked"][-1] == ["m1"]
+    assert [list(msg.agreed) for _, node, kind, msg in d.said if kind == "checked"][-1] == ["m1"]
 
 
-def test_a_depot_that_is_asked_agrees_to_what_has_no_end_and_no_other_deliverer() -> None:
-    d = Depot(READY)
+def test_a_store_agrees_to_what_has_no_end_and_no_other_owner() -> None:
+    d = Store(READY)
     d.play("2.00 c1 keep m1; c1 keep m2; c1 keep m3 due=5 parked; c1 end mid=m2 complete seal=s")
     d.play("2.10 c2 mine mids=m1,m2,m3,m4 claims=1,1,1,1 ask")
-    told = [(node, list(w.gone), list(w.agreed)) for _, node, kind, w in d.said if kind == "checked"]
-    assert told == [("c2", ["m1"], ["m3", "m4"])]  # m4 is not known here: another may have it
+    answers = [(node, list(msg.gone), list(msg.agreed)) for _, node, kind, msg in d.said if kind == "checked"]
+    assert answers == [("c2", ["m1"], ["m3", "m4"])]  # m4 is not on this store: another may have it
     assert (2.1, "c2") in d.got("end")
 
 
 def test_who_delivers_learns_that_another_has_succeeded() -> None:
-    """Else it would try again after a failure of its own."""
-    d = Depot(f"{READY}\n2.00 c1 keep m1; c1 keep m2\n2.10 c2 end mid=m1 complete seal=s1; c1 end mid=m2")
-    # and the other depot that keeps it, which c2 may not know or not reach
+    """Otherwise it would try again after a failed attempt of its own."""
+    d = Store(f"{READY}\n2.00 c1 keep m1; c1 keep m2\n2.10 c2 end mid=m1 complete seal=s1; c1 end mid=m2")
+    # and to the other replica, which c2 may lack or have no link to
     assert d.got("end") == [(2.1, "c1"), (2.1, "d2")] and d.got("ended") == [(2.1, "c2"), (2.1, "c1")]
 
 
 def test_what_a_counter_let_go_is_assigned_anew() -> None:
-    """It says so where another depot took it away; or that word was lost, and a whole list lacks it."""
-    d = Depot(READY)
+    """It reports so if another store took a message away; or that report was lost, and a whole list lacks the
+    message.
+    """
+    d = Store(READY)
     d.play("""
         2.00 c1 keep m1; c1 keep m2; c1 keep m3; c1 keep m4 due=1 parked
         2.10 c1 refuse mid=m1 claim=0; c2 refuse mid=m2 claim=0
@@ -201,30 +213,34 @@
         2.96 c1 mine mids=m2 claims=0 whole number=4
         3.10 c1 pulses ready""")
     assert d.got("assign", "m1") and d.got("assign", "m3") and not d.got("assign", "m2")
-    assert len(d.got("assign", "m4")) == 1  # it may not have come there yet
+    assert len(d.got("assign", "m4")) == 1  # the assignment may still be in transit
 
 
 def test_who_was_silent_is_told_what_is_its_own_once_the_others_know_that_it_is_heard() -> None:
-    """c1 comes back, to d1 alone, as d2 takes its message away and has c2 deliver it. Found by `verify`."""
-    d = Depot(READY + "\n2.00 c1 keep m1 holders=d2,d1\n2.05 c1 silent")
+    """Guards against two owners of one message: c1 gets in touch again with d1 alone, while d2 frees its
+    message and has c2 deliver it.
+    """
+    d = Store(READY + "\n2.00 c1 keep m1 holders=d2,d1\n2.05 c1 silent")
     d.play("3.90 c1 pulses ready; c1 mine mids=m1 claims=0 whole number=3\n3.95 d2 park mid=m1 claim=1")
     assert "checked" not in [kind for _, _, kind, _ in d.said]
     d.play("4.05 c1 asks m1")
-    [(at, node, said)] = [(at, node, said) for at, node, kind, said in d.said if kind == "checked"]
-    assert (at, node, list(said.gone), said.number) == (4.0, "c1", ["m1"], 3)
+    [(at, node, msg)] = [(at, node, msg) for at, node, kind, msg in d.said if kind == "checked"]
+    assert (at, node, list(msg.gone), msg.number) == (4.0, "c1", ["m1"], 3)
     d.play("4.10 c2 mine mids=m1 claims=2")
     assert d.k.entries["m1"].owner == "c2/8"
 
 
-def test_a_newer_life_frees_at_once(snapshot) -> None:
-    d = Depot(READY)
+def test_a_newer_process_of_a_gateway_frees_at_once(snapshot) -> None:
+    d = Store(READY)
     assert d.play("2.00 c1 keep m1\n2.10 c1 up 6 n\n2.20 c1 up 9 n\n2.30 c1 asks m1") == snapshot
     assert d.got("assign")[0][0] <= 2.25
 
 
 def test_parked_messages_are_assigned_when_due_and_again_until_acknowledged(snapshot) -> None:
-    """To near counters that are ready, in turn, and again to the same. What one refused goes to another."""
-    d = Depot(READY)
+    """To gateways of the store's zone that are ready, in turn, and sent again to the same one. A rejected
+    message goes to another.
+    """
+    d = Store(READY)
     assert (
         d.play("""
         0.10 c3 up 5 s
@@ -241,9 +257,9 @@
     assert d.got("assign", "m2") == [(2.95, "c2"), (3.35, "c1")] and d.got("assign", "m3") == [(3.95, "c3")]
 
 
-def test_the_first_holder_that_is_there_assigns(snapshot) -> None:
-    """d2 comes before this one, and does not act while it is silent, not settled, leaving or no holder."""
-    d = Depot(READY)
+def test_the_first_available_replica_assigns(snapshot) -> None:
+    """d2 comes before this store, and does not act while it is silent, not settled, leaving or no replica."""
+    d = Store(READY)
     assert (
         d.play("""
         2.00 c1 keep m1 holders=d2,d1 parked
@@ -263,8 +279,8 @@
     assert all(since < at <= since + 0.3 for at, since in zip(firsts, (4.2, 6.0, 7.4, 8.0)))
 
 
-def test_depots_bring_each_other_ends_and_copies(snapshot) -> None:
-    d = Depot(READY)
+def test_stores_exchange_ends_and_replicas(snapshot) -> None:
+    d = Store(READY)
     assert (
         d.play("""
         0.50 c1 keep m1; c1 keep m2; c1 keep m3 holders=d1,d3; c1 end mid=m4 complete seal=s4
@@ -280,8 +296,8 @@
 
 
 def test_it_assigns_nothing_until_it_has_caught_up(snapshot) -> None:
-    """What it has from before waits for its counters, for d2's answer, or three seconds at most."""
-    d = Depot(READY)
+    """Messages from before the restart wait for the gateways and for d2's answer, three seconds at most."""
+    d = Store(READY)
     assert (
         d.play("""
         0.10 c1 keep m1; c1 keep m2
@@ -294,8 +310,8 @@
     assert d.got("assign") == [(4.0, "c1")]
 
 
-def test_one_that_leaves_takes_nothing_new_and_assigns_nothing() -> None:
-    d = Depot(f"""{READY}
+def test_a_store_that_shuts_down_accepts_and_assigns_nothing() -> None:
+    d = Store(f"""{READY}
         2.00 c1 keep m1 due=1 parked
         2.10 d1 leaves; c1 keep m2; c1 keep m1 due=1 parked; c1 end mid=m3 complete seal=s3
         5.00 c1 asks m2""")
@@ -303,9 +319,11 @@
     assert set(d.k.entries) == {"m1"}
 
 
-def test_retention_room_and_how_long_an_end_is_told(snapshot) -> None:
-    """An end outlives every copy. A complete message makes room at once, a dead one once it is forgotten."""
-    d = Depot(room=60.0)
+def test_retention_capacity_and_how_long_an_end_is_reported(snapshot) -> None:
+    """The record of an end outlives every replica. A complete message frees its space at once, a dead one
+    once its record expires.
+    """
+    d = Store(room=60.0)
     d.STEP = 0.25
     assert (
         d.play("""
@@ -318,12 +336,12 @@
         246.00 c1 asks m2""")
         == snapshot
     )
-    assert {w.mid for _, _, kind, w in d.said if kind == "kept" and w.refused} == {"m3", "m5"}
+    assert {msg.mid for _, _, kind, msg in d.said if kind == "kept" and msg.refused} == {"m3", "m5"}
     assert d.k.ends == {} == d.ends and d.letters == {} and d.k.held == 0
 
 
-def test_a_standstill_of_its_own_is_not_taken_for_the_others_silence() -> None:
-    d = Depot(f"{READY}\n2.00 c1 keep m1")
+def test_a_stall_is_not_taken_for_the_others_silence() -> None:
+    d = Store(f"{READY}\n2.00 c1 keep m1")
     d.now = 6.0
     d.step()
     d.settle()
@@ -331,8 +349,8 @@
 
 
 def test_one_that_stood_still_asks_what_has_ended_before_it_assigns() -> None:
-    """Its links may have ended with the words that lay there, before they were read."""
-    d = Depot(f"{READY}\n2.00 c1 keep m1 due=1 parked; c1 keep m2 due=1 parked")
+    """Its links may have ended with unread peer messages, so ends may have been lost."""
+    d = Store(f"{READY}\n2.00 c1 keep m1 due=1 parked; c1 keep m2 due=1 parked")
     d.now = 6.0
     d.step()
     d.settle()
@@ -340,9 +358,11 @@
     assert not d.got("assign", "m1") and d.got("assign", "m2")[0][0] >= 6.35
 
 
-def test_a_slowed_depot_lets_a_dead_counter_lapse() -> None:
-    """Other depots, too, are told each time that it has just heard that counter."""
-    d = Depot(f"{READY}\n2.00 c1 keep m1; c1 silent")
+def test_a_slow_store_lets_the_lease_of_a_dead_gateway_expire() -> None:
+    """The time-outs apply at every second tick; the heartbeats that it reports to other stores must not seem
+    new either.
+    """
+    d = Store(f"{READY}\n2.00 c1 keep m1; c1 silent")
     d.STEP = STILL + 0.1
     d.until(20.0)
     assert d.k.entries["m1"].owner != "c1/7" and not d.k.deaf
@@ -350,9 +370,11 @@
     assert d.k.hears("d2").get("c1/7", 9.0) > LAPSE
 
 
-def test_a_counter_that_others_hear_is_asked_for_before_it_lapses() -> None:
-    """Depots tell only whom another asks for, so one that has stood still asks before it judges."""
-    d = Depot(f"{READY}\n2.00 c1 keep m1; c1 silent\n2.60 d2 pulses settled")
+def test_other_stores_are_asked_before_the_lease_of_a_gateway_expires() -> None:
+    """Stores report only on gateways that another lists, so a store that has stalled lists them before it
+    applies time-outs.
+    """
+    d = Store(f"{READY}\n2.00 c1 keep m1; c1 silent\n2.60 d2 pulses settled")
     assert list(d.k.deaf) == ["c1/7"]
     d.k.deaf.clear()
     d.now += 3.0
@@ -361,6 +383,6 @@
     d.play(f"{d.now + 0.1} d2 pulses settled edges=c1/7:0.1")
     d.until(d.now + 4.0)
     assert d.k.entries["m1"].owner == "c1/7"
-    d.do_pulses("d2", "settled")  # it hears it no more
+    d.do_pulses("d2", "settled")  # d2 receives no heartbeat of it any more
     d.until(d.now + 2.1)
     assert d.k.entries["m1"].owner != "c1/7" and not d.k.deaf
--- a/tests/test_post_moving.py
+++ b/tests/test_post_moving.py
@@ -1,4 +1,4 @@
-"""Copies that must stand elsewhere: depots that hand over what they have, on a net of virtual time."""
+"""Repair and rebalancing: stores that transfer replicas, over a network in virtual time."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 ZONES = {"d1": "a", "d2": "b", "d3": "c", "d4": "a"}
 
 
-class Depots(Net):
-    """Depots with disks; `c1` is a counter that is told of its messages and says their ends."""
+class Stores(Net):
+    """Stores with disks; `c1` is a gateway that receives reports on its messages and sends their ends."""
 
     def __init__(self, names: str = "d1 d2 d3 d4", seed: int = 0) -> None:
         super().__init__(seed, (0.001, 0.003))
         self.k: dict[str, Keeping] = {}
         self.letters: dict[str, dict[str, Letter]] = {}
-        self.told: list[tuple[str, str]] = []  # to the counter: kind, message
+        self.told: list[tuple[str, str]] = []  # sent to the gateway: kind, message
         for name in names.split():
             self.start(name)
 
@@ -48,17 +48,17 @@
             self.settle(name, k)
             self.at(self.now + 0.05, self.tick, name, k)
 
-    def hears(self, name: str, sender: str, kind: str, word: object) -> None:
+    def hears(self, name: str, sender: str, kind: str, msg: object) -> None:
         k = self.k.get(name)
         if k is None:
             return
         k.clock(self.now)
         if kind == "kept":
-            k.moving.kept(sender, word.mid, word.refused)
+            k.moving.kept(sender, msg.mid, msg.refused)
         elif kind == "ended":
-            k.moving.ended(sender, word.mid)
+            k.moving.ended(sender, msg.mid)
         else:
-            getattr(k, kind)(sender, word)
+            getattr(k, kind)(sender, msg)
         self.settle(name, k)
 
     def settle(self, name: str, k: Keeping) -> None:
@@ -67,11 +67,11 @@
             for write in writes:
                 self.write(name, write)
             k.synced(writes)
-            for node, kind, word in [*sends, *[then for write in writes for then in write.then]]:
+            for node, kind, msg in [*sends, *[then for write in writes for then in write.then]]:
                 if node == "c1":
-                    self.told.append((kind, getattr(word, "mid", "")))
+                    self.told.append((kind, getattr(msg, "mid", "")))
                 else:
-                    self.carry(name, node, self.hears, node, name, kind, word)
+                    self.carry(name, node, self.hears, node, name, kind, msg)
             for mid, why in fetches:
                 letter = self.letters[name].get(mid)
                 k.fetched(mid, why, None if letter is None else Letter.FromString(letter.SerializeToString()))
@@ -84,18 +84,18 @@
             disk.pop(mid, None)
 
     def keep(self, mid: str, *holders: str) -> None:
-        letter = Letter(mid=mid, body=b"octets of " + mid.encode(), holders=holders, due=60.0, until=90.0)
+        message = Letter(mid=mid, body=b"octets of " + mid.encode(), holders=holders, due=60.0, until=90.0)
         for name in holders:
-            self.hears(name, "c1", "keep", Keep(letter=letter, parked=True))
+            self.hears(name, "c1", "keep", Keep(letter=message, parked=True))
 
     def copies(self, mid: str) -> list[str]:
         return sorted(name for name, k in self.k.items() if mid in k.entries and mid in self.letters[name])
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_depot_that_is_to_be_taken_away_is_emptied(seed: int) -> None:
-    """At no moment has a message fewer copies than it is owed; ends and a dead one's octets move as well."""
-    d = Depots(seed=seed)
+def test_a_store_that_is_to_be_removed_is_emptied(seed: int) -> None:
+    """A message never has fewer replicas than required; ends and a dead message's bytes move as well."""
+    d = Stores(seed=seed)
     d.until(4.0)
     for n in range(200):
         d.keep(f"m{n}", "d1", "d2" if n % 2 else "d3")
@@ -116,13 +116,13 @@
     assert sum("m3" in disk for name, disk in d.letters.items() if name in d.k) >= 2
 
 
-def test_what_a_lost_depot_kept_is_copied_anew() -> None:
-    """Not while it may be starting again; and what it has when it is back after all is dropped there."""
-    d = Depots("d1 d2 d3")
+def test_replicas_of_a_lost_store_are_restored() -> None:
+    """Not while it may be restarting; and if it comes back after all, it drops the replicas that it has."""
+    d = Stores("d1 d2 d3")
     d.until(4.0)
     for n in range(50):
         d.keep(f"m{n}", "d1", "d2")
-    old, disk = d.k["d1"], d.letters["d1"]
+    lost, disk = d.k["d1"], d.letters["d1"]
     d.gone("d1")
     d.until(10.0)
     assert all(d.copies(f"m{n}") == ["d2"] for n in range(50))
@@ -130,7 +130,7 @@
     assert all(d.copies(f"m{n}") == ["d2", "d3"] for n in range(50))
     d.start("d1")
     d.letters["d1"] = disk
-    for mid, entry in old.entries.items():
+    for mid, entry in lost.entries.items():
         d.k["d1"].loaded(mid, entry.holders, entry.due, entry.until, 0, 0, 10)
     for other in ("d2", "d3"):
         d.k["d1"].depot_up(other, ZONES[other], "disk")
@@ -138,25 +138,28 @@
     assert all(d.copies(f"m{n}") == ["d2", "d3"] for n in range(50))
 
 
-def test_what_a_replaced_depot_kept_is_copied_at_once() -> None:
-    """One that never was here has come: a further loss may follow soon, and none may be the only copy's."""
-    d = Depots("d1 d2 d3")
+def test_replicas_of_a_replaced_store_are_restored_at_once() -> None:
+    """A new store has come in place of a lost one. A further one may be lost soon, and no replica may be the
+    only one by then.
+    """
+    d = Stores("d1 d2 d3")
     d.until(4.0)
     for n in range(600):
         d.keep(f"m{n}", *(("d1", "d2"), ("d3", "d1"), ("d2", "d3"))[n % 3])
     d.gone("d1")
     d.until(5.0)
     d.start("d4")
-    d.until(4.0 + 4.5)  # what a new machine is given until the next loss
+    d.until(4.0 + 4.5)  # the time that a new machine has until the next loss
     assert all(len(d.copies(f"m{n}")) == 2 for n in range(600))
     d.until(12.0)
     assert sum(k.moving.figures["repaired"] for k in d.k.values()) == 400
 
 
-def test_a_copy_that_moves_keeps_its_deliverer() -> None:
-    """d1 is emptied, and then d2: by then d3 acts for what it was handed. It is c1's still, so nobody is
-    assigned it a second time."""
-    d = Depots("d1 d2 d3")
+def test_a_replica_that_moves_keeps_its_owner() -> None:
+    """d1 is emptied, and then d2: by then d3 acts for the replica that was transferred to it. c1 is still the
+    owner, so the message is not assigned a second time.
+    """
+    d = Stores("d1 d2 d3")
     d.until(4.0)
     for name in ("d2", "d1"):
         d.hears(name, "c1", "keep", Keep(letter=Letter(mid="m", holders=["d2", "d1"], until=90.0)))
