--- a/opalwick/post/home/__init__.py
+++ b/opalwick/post/home/__init__.py
@@ -1,1 +1,3 @@
-"""Work stays at home: which country a partner's messages must not leave, and what keeps them there."""
+"""Data residency: which country a partner's messages must not leave ("home"), and the checks that
+enforce it.
+"""
--- a/opalwick/post/home/commands.py
+++ b/opalwick/post/home/commands.py
@@ -1,4 +1,6 @@
-"""`opalwick post home`: the policy, where things are by it, and why a partner's or a message's work waits."""
+"""`opalwick post home`: the data residency policy, where messages are, and why a partner's or a message's
+work waits.
+"""
 
 from __future__ import annotations
 
@@ -10,46 +12,48 @@
 
 from opalwick.post.commands import NO, At, Json, Problem, ask_all, everybody, facts, given, table, told
 
-home = App(name="home", help="Where partners' work may be, and where it is.")
+home = App(name="home", help="Where partners' messages may be, and where they are.")
 
 
 def answers(at: str) -> list[dict[str, Any]]:
-    """What each process that answers says of homes."""
-    found = [said for status, said in ask_all(everybody(at), "/home").values() if status == 200]
-    if not found:
-        raise Problem("nobody answers")
-    return found
+    """The residency report of each process that answers. Raises Problem if none does."""
+    reports = [report for status, report in ask_all(everybody(at), "/home").values() if status == 200]
+    if not reports:
+        raise Problem("no process answers")
+    return reports
 
 
-def picture(found: list[dict[str, Any]]) -> dict[str, Any]:
-    """One picture of what all say; `look` names what should not be so."""
-    of = {role: [one for one in found if one["role"] == role] for role in ("office", "counter", "depot")}
-    first = max(of["office"], key=lambda one: (one["in_force"], one["policy"]), default=None)
+def picture(reports: list[dict[str, Any]]) -> dict[str, Any]:
+    """One report from all processes' reports; `look` lists what should not be so."""
+    by_role = {
+        role: [one for one in reports if one["role"] == role] for role in ("office", "counter", "depot")
+    }
+    first = max(by_role["office"], key=lambda one: (one["in_force"], one["policy"]), default=None)
     newest = first["policy"] if first is not None else 0
-    listed: dict[tuple[int, str, str, str], int] = {}
-    for depot in of["depot"]:
+    audited: dict[tuple[int, str, str, str], int] = {}
+    for depot in by_role["depot"]:
         for row in depot["list"]["rows"]:
             key = row["window"], row["home"], row["what"], row["country"]
-            listed[key] = listed.get(key, 0) + row["count"]
-    look = [
-        f"{one['node']} goes by policy {one['policy']}, {newest} is the newest"
-        for one in of["counter"] + of["depot"]
+            audited[key] = audited.get(key, 0) + row["count"]
+    faults = [
+        f"{one['node']} applies policy {one['policy']}, {newest} is the newest"
+        for one in by_role["counter"] + by_role["depot"]
         if one["policy"] != newest
     ]
-    look += [
-        f"{one['node']} is in no country for sure: see its settings"
-        for one in of["counter"] + of["depot"]
+    faults += [
+        f"{one['node']} has no certain country: check its settings"
+        for one in by_role["counter"] + by_role["depot"]
         if one["policy"] and not one["country"]
     ]
-    look += [
-        f"the guard of {one['node']} has refused {n} at the door {door!r}"
-        for one in of["counter"] + of["depot"]
+    faults += [
+        f"the guard of {one['node']} has refused {n} at check {door!r}"
+        for one in by_role["counter"] + by_role["depot"]
         for door, n in one["refused"].items()
         if n
     ]
-    look += [
-        f"{count} {what} of {whose} were in {country or 'nowhere'} in the window from {window}"
-        for (window, whose, what, country), count in sorted(listed.items())
+    faults += [
+        f"{count} {what} of {whose} were in {country or 'no country'} in the window from {window}"
+        for (window, whose, what, country), count in sorted(audited.items())
         if whose != country
     ]
     return {
@@ -58,54 +62,54 @@
         "zones": first["zones"] if first is not None else {},
         "processes": [
             {key: one[key] for key in ("node", "role", "policy", "country", "passed", "refused")}
-            for one in of["counter"] + of["depot"]
+            for one in by_role["counter"] + by_role["depot"]
         ],
         "partners": [
             {"node": one["node"], "partner": name, **row}
-            for one in of["counter"]
+            for one in by_role["counter"]
             for name, row in sorted(one["partners"].items())
         ],
         "list": [
             dict(zip(("window", "home", "what", "country"), key)) | {"count": n}
-            for key, n in sorted(listed.items())
+            for key, n in sorted(audited.items())
         ],
-        "signed": {one["node"]: one["list"]["sha256"] for one in of["depot"]},
-        "look": look,
+        "signed": {one["node"]: one["list"]["sha256"] for one in by_role["depot"]},
+        "look": faults,
     }
 
 
 @home.command
 def show(*, at: At = "", json: Json = False) -> int:
-    """The policy in force, who is in which country, what waits, and the list of where copies and runs were.
+    """The policy in force, the country of each process, what waits, and where replicas and runs were.
 
-    Exit code 1: something is not at home, or somebody goes by another policy.
+    Exit code 1: something is not at home, or a process applies another policy.
     """
-    found = picture(answers(at))
-    if told(found, json):
-        return NO if found["look"] else 0
-    print(f"policy {found['policy']}" if found["policy"] else "there is no policy: work may be anywhere")
-    if found["said"] is not None:
-        print(written.dumps(found["said"], indent=1))
-    table("zones", [{"zone": zone, "country": country} for zone, country in sorted(found["zones"].items())])
-    table("processes", found["processes"])
-    table("waiting", found["partners"])
-    table("copies and runs", found["list"])
-    table("signed", [{"depot": node, "sha256": digest} for node, digest in sorted(found["signed"].items())])
-    for line in found["look"]:
+    report = picture(answers(at))
+    if told(report, json):
+        return NO if report["look"] else 0
+    print(f"policy {report['policy']}" if report["policy"] else "no policy: messages may be anywhere")
+    if report["said"] is not None:
+        print(written.dumps(report["said"], indent=1))
+    table("zones", [{"zone": zone, "country": country} for zone, country in sorted(report["zones"].items())])
+    table("processes", report["processes"])
+    table("waiting", report["partners"])
+    table("copies and runs", report["list"])
+    table("signed", [{"depot": node, "sha256": digest} for node, digest in sorted(report["signed"].items())])
+    for line in report["look"]:
         print(f"look: {line}")
-    return NO if found["look"] else 0
+    return NO if report["look"] else 0
 
 
 @home.command
 def check(file: str, /, *, settings: str = "") -> int:
-    """Reads a policy as it would be read, and names what is wrong.
+    """Checks a policy as the controllers would, and names what is wrong.
 
     Parameters
     ----------
     file
         a policy (JSON)
     settings
-        a settings file, for the regions that there are
+        a settings file, for the regions that exist
     """
     from returns.result import Success
 
@@ -117,7 +121,7 @@
         case Success(found):
             print(
                 f"{file}: policy {found.gen}: {len(found.partners)} partners in {len(found.countries)} "
-                "countries" + ("" if zones is not None else "; regions were not looked up (--settings)")
+                "countries" + ("" if zones is not None else "; regions were not checked (--settings)")
             )
             return 0
         case failure:
@@ -126,44 +130,44 @@
 
 @home.command
 def explain(who: str, /, *, at: At = "", json: Json = False) -> int:
-    """Where a partner's work, or one message, may be, where it is, and why it waits.
+    """Where a partner's messages, or one message, may be, where they are, and why they wait.
 
     Parameters
     ----------
     who
         a partner (its host, route or service), or a message's X-Msg-Id
     """
-    found = picture(answers(at))
-    partners = (found["said"] or {}).get("partners", [])
+    report = picture(answers(at))
+    partners = (report["said"] or {}).get("partners", [])
     rule = next((p for p in partners if who in (p.get("host"), p.get("route"), p.get("service"))), None)
     if rule is not None:
-        said: dict[str, Any] = {
+        summary: dict[str, Any] = {
             "partner": rule,
-            "countries": [z for z, c in sorted(found["zones"].items()) if c == rule["home"]],
-            "waiting": [row for row in found["partners"] if row["partner"].partition(" ")[2] == who],
-            "list": [row for row in found["list"] if row["home"] == rule["home"]],
+            "countries": [z for z, c in sorted(report["zones"].items()) if c == rule["home"]],
+            "waiting": [row for row in report["partners"] if row["partner"].partition(" ")[2] == who],
+            "list": [row for row in report["list"] if row["home"] == rule["home"]],
         }
-        if not told(said, json):
+        if not told(summary, json):
             facts(
                 {
                     "home": rule["home"],
-                    "zones": said["countries"],
-                    "while home is short": rule.get("short", "wait"),
+                    "zones": summary["countries"],
+                    "without capacity at home": rule.get("short", "wait"),
                 }
             )
-            table("waiting", said["waiting"])
-            table("copies and runs of its country", said["list"])
+            table("waiting", summary["waiting"])
+            table("copies and runs of its country", summary["list"])
         return 0
     replies = ask_all(everybody(at), f"/message/{quote(who, safe='')}")
     seen = [one for status, one in replies.values() if status == 200]
     if not told(seen, json):
         for one in seen:
-            place = next((p["country"] for p in found["processes"] if p["node"] == one["node"]), "")
-            may = one.get("home") or ("any country" if "home" in one else "not kept once it has ended")
+            place = next((p["country"] for p in report["processes"] if p["node"] == one["node"]), "")
+            may = one.get("home") or ("any country" if "home" in one else "unknown, as it has ended")
             facts(
                 {"node": one["node"], "in": place, "may be in": may, "state": one["state"], "why": one["why"]}
             )
             print()
         if not seen:
-            print("no partner has that name, and nobody that answers knows such a message")
+            print("no partner has that name, and no process that answers has such a message")
     return 0 if seen else NO
--- a/opalwick/post/home/guard.py
+++ b/opalwick/post/home/guard.py
@@ -1,9 +1,11 @@
-"""The last door before a message's octets leave this process: to a worker, to a disk, to another process, to
-an asker. Placement (`intake`, `rounds`, `keeping`, `moving`) has chosen by then; this one does not ask it.
-
-It knows the policy, and of the far side what membership proves: a node's zone as the offices have it and as
-the node says itself; a worker's by its beats, if it has never said another one, stands at that address alone
-and answers there under its own name. What is not proven is abroad. Each refusal is counted and told (907).
+"""The last residency check before a message's bytes leave this process: to a worker, to a disk, to another
+process or to a client. Placement (`intake`, `rounds`, `keeping`, `moving`) has chosen the target by then;
+this check does not depend on it.
+
+It uses the policy and what the directory proves about the target. A node's zone is proven if the controllers
+have the same one as the node itself. A worker's is the one of its heartbeats, if it has never reported
+another one, is alone at its address and answers there under its own name. What is not proven counts as
+abroad. Each refusal is counted and reported (event 907).
 """
 
 from __future__ import annotations
@@ -20,19 +22,24 @@
 
 
 class Guard:
+    """Checks the target's country against a message's home, at each point in `DOORS` ("doors" in events and
+    reports).
+    """
+
     def __init__(
         self, zone: str, settings: Settings, directory: Directory, event: Callable[..., None]
     ) -> None:
-        """`zone`: in which this process began."""
+        """`zone`: the zone in which this process started."""
         self.zone, self.settings, self.directory, self.event = zone, settings, directory, event
         self.policy: Policy | None = None
-        self.conf: Conf | None = None  # by which the policy was read
-        self.at: dict[tuple[str, int], set[str]] = {}  # countries that an address is claimed from
+        self.conf: Conf | None = None  # the configuration that the policy was read from
+        # countries that workers report for each address; "" is an unknown one
+        self.at: dict[tuple[str, int], set[str]] = {}
         self.passed = dict.fromkeys(DOORS, 0)
         self.refused = dict.fromkeys(DOORS, 0)
 
     def learned(self, settings: Settings) -> None:
-        """The configuration, the settings or who is there have changed."""
+        """Applies a change of the configuration, the settings or the directory."""
         if self.settings is not settings or self.conf is not self.directory.conf:
             self.settings, self.conf = settings, self.directory.conf
             self.policy = in_force(self.conf, settings)
@@ -44,45 +51,53 @@
                         "" if worker.disputed else self.policy.country(worker.zone)
                     )
 
-    # ---- what is known
+    # ---- proven countries
 
-    def home(self, letter: Letter, new: bool = False) -> str:
-        """Where its octets may be; empty: anywhere. `new`: it is being taken, and by nobody else's word."""
-        if self.policy is None or letter.home_gen > self.policy.gen:
-            return letter.home
-        if letter.home_gen < self.policy.gen and not new:
-            return letter.home  # taken by an older one: it stays where that has it
-        partner = self.policy.partner(letter)
-        return partner.home if partner is not None else letter.home
+    def home(self, message: Letter, new: bool = False) -> str:
+        """The country that a message must not leave; empty: it may be anywhere. `new`: the message is being
+        accepted, so the policy decides and not an older stamp.
+        """
+        if self.policy is None or message.home_gen > self.policy.gen:
+            return message.home
+        if message.home_gen < self.policy.gen and not new:
+            return message.home  # accepted under an older policy: it stays where that one has it
+        partner = self.policy.partner(message)
+        return partner.home if partner is not None else message.home
 
     @property
     def here(self) -> str:
+        """The country of this process; empty where it is unknown."""
         return self.policy.here(self.zone) if self.policy is not None else ""
 
     def node(self, peer: Hello) -> str:
-        """The country of who is at the other end of a link."""
-        known = self.directory.nodes.get(peer.node)
-        if self.policy is None or (known is not None and known.zone != peer.zone):
+        """The country of the process at the other end of a link; empty where it is not proven."""
+        recorded = self.directory.nodes.get(peer.node)
+        if self.policy is None or (recorded is not None and recorded.zone != peer.zone):
             return ""
         return self.policy.country(peer.zone)
 
     def worker(self, place: tuple[str, int, str]) -> str:
-        """Of the worker that is meant at an address; of a single endpoint, where it has no name."""
+        """The country of a worker at an address, or of a single endpoint where it has no name; empty where it
+        is not proven.
+        """
         if self.policy is None:
             return ""
-        host, port, id = place
-        if not id:
+        host, port, name = place
+        if not name:
             return self.policy.endpoints.get(f"{host}:{port}", "")
-        worker = self.directory.workers.get(id)
+        worker = self.directory.workers.get(name)
         if worker is None or worker.gone or worker.silent or worker.disputed:
             return ""
         country = self.policy.country(worker.zone)
-        alone = self.at.get((host, port)) == {country}
-        return country if alone and (worker.host, worker.port) == (host, port) else ""
+        undisputed = self.at.get((host, port)) == {country}
+        return country if undisputed and (worker.host, worker.port) == (host, port) else ""
 
-    # ---- the doors
+    # ---- checks
 
     def passes(self, door: str, home: str, country: str) -> bool:
+        """Whether a message with this home may go to this country; counts the result and reports a
+        refusal.
+        """
         if not home:
             return True
         (self.passed if home == country else self.refused)[door] += 1
@@ -90,46 +105,53 @@
             self.event(907, door=door, home=home, country=country)
         return home == country
 
-    def delivery(self, letter: Letter, place: tuple[str, int, str]) -> bool:
-        home = self.home(letter)
+    def delivery(self, message: Letter, place: tuple[str, int, str]) -> bool:
+        """Whether the message may be delivered to that worker."""
+        home = self.home(message)
         return not home or self.passes("delivery", home, self.worker(place) if home == self.here else "")
 
-    def met(self, letter: Letter, place: tuple[str, int, str], name: str) -> bool:
-        """Who has answered on a new connection, before the message goes out on it."""
-        home = self.home(letter)
+    def met(self, message: Letter, place: tuple[str, int, str], name: str) -> bool:
+        """Whether the message may go out on a new connection, on which a worker has answered under this
+        name.
+        """
+        home = self.home(message)
         return not home or self.passes("delivery", home, home if name == place[2] else "")
 
-    def must_meet(self, letter: Letter, place: tuple[str, int, str]) -> bool:
-        return bool(place[2] and self.home(letter))
+    def must_meet(self, message: Letter, place: tuple[str, int, str]) -> bool:
+        """Whether a worker's name must be checked on a new connection first."""
+        return bool(place[2] and self.home(message))
 
-    def write(self, letter: Letter, peer: Hello) -> bool:
-        """To a depot, of a message that is being taken."""
-        home = self.home(letter, new=True)
+    def write(self, message: Letter, peer: Hello) -> bool:
+        """Whether a message that is being accepted may be sent to that store."""
+        home = self.home(message, new=True)
         return not home or self.passes("write", home, self.node(peer))
 
-    def keep(self, letter: Letter) -> bool:
-        """Of a message that has come, to this depot's disk. One taken by a stale policy is not kept."""
-        home = self.home(letter, new=True)
+    def keep(self, message: Letter) -> bool:
+        """Whether a message that arrived may be written to this store's disk; not if it was accepted under a
+        stale policy.
+        """
+        home = self.home(message, new=True)
         if not home:
             return True
-        stale = self.policy is not None and letter.home_gen < self.policy.gen and letter.home != home
+        stale = self.policy is not None and message.home_gen < self.policy.gen and message.home != home
         return self.passes("keep", home, "" if stale else self.here)
 
-    def takes(self, letter: Letter) -> bool:
-        """Of a copy that another depot sends here."""
-        home = self.home(letter)
+    def takes(self, message: Letter) -> bool:
+        """Whether a replica from another store may be written here."""
+        home = self.home(message)
         return not home or self.passes("keep", home, self.here)
 
-    def hands(self, door: str, letter: Letter, peer: Hello) -> bool:
-        """From this depot to another, or to a counter."""
-        home = self.home(letter)
+    def hands(self, door: str, message: Letter, peer: Hello) -> bool:
+        """Whether this store may send the message to that store or gateway."""
+        home = self.home(message)
         return not home or self.passes(door, home, self.node(peer))
 
     def tells(self, home: str, country: str) -> bool:
-        """A body, to an asker in that country."""
+        """Whether a body may be sent to a client or gateway in that country."""
         return self.passes("body", home, country)
 
     def status(self) -> dict[str, Any]:
+        """The guard's part of the residency report."""
         return {
             "policy": self.policy.gen if self.policy is not None else 0,
             "country": self.here,
--- a/opalwick/post/home/reading.py
+++ b/opalwick/post/home/reading.py
@@ -1,5 +1,5 @@
-"""The operator's policy, read whole and strictly, as the configuration is; only offices and the command line
-need it. The fields are those of the body; `wait_s` is in seconds.
+"""Reads the operator's policy as a whole and strictly, like the configuration; only controllers and the
+command line need it. The fields are those of the request's body; `wait_s` is in seconds.
 """
 
 from __future__ import annotations
@@ -17,7 +17,8 @@
 from opalwick.post.strict import Strict, Wrong, above, by, decoded, each, filled, from_json
 from opalwick.post.wire_pb2 import Country, Endpoint, Home, Keeper, Node, Partner, Zone
 
-WAIT = 60.0  # s that a message is expected to wait at home at most, if nothing is said: two thirds of 90 s
+# s, the longest expected wait at home if the policy does not set it: two thirds of 90 s
+WAIT = 60.0
 
 
 def _names(value: Any) -> list[str]:
@@ -38,7 +39,7 @@
 
 def _digest(value: Any) -> str:
     if len(text := filled(value)) != 64 or set(text) - set("0123456789abcdef"):
-        raise Wrong("must be a sha256 in 64 small hexadecimal digits")
+        raise Wrong("must be a sha256 in 64 lowercase hexadecimal digits")
     return text
 
 
@@ -104,19 +105,21 @@
 
 
 def digest(key: str) -> str:
-    """Of a keeper's key, as the policy has it."""
+    """The digest of a keeper's key, as the policy has it."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 def check(body: bytes, zones: dict[str, str] | None = None) -> Result[Home, str]:
-    """A Failure is one sentence that names the field. `zones`: each zone's region, where they are known."""
+    """Checks a policy. A Failure is one sentence that names the field. `zones`: each zone's region, where
+    they are known.
+    """
     return from_json(body, lambda given: decoded(_WHOLE, given, "")).bind(
         lambda read: _home(read, body, zones)
     )
 
 
 def _home(read: _Policy, body: bytes, zones: dict[str, str] | None) -> Result[Home, str]:
-    """As offices keep it, where its parts fit together."""
+    """The policy as controllers store it, if its parts are consistent."""
     if read.gen < 1:
         return Failure("gen must be at least 1")
     if why := _faults(read, None if zones is None else set(zones.values())):
@@ -145,46 +148,48 @@
 
 
 def _faults(read: _Policy, regions: set[str] | None) -> str:
-    """What does not fit together; empty where all does."""
+    """The first inconsistency; empty if there is none."""
     for name, ones in (
         ("countries", [c.name for c in read.countries]),
         ("keepers", [k.name for k in read.keepers]),
         ("endpoints", [e.address for e in read.endpoints]),
     ):
-        if two := _repeats(ones):
-            return f"{name}[{two[0]}] and {name}[{two[1]}] have the same name"
-    of: dict[str, str] = {}
+        if pair := _repeats(ones):
+            return f"{name}[{pair[0]}] and {name}[{pair[1]}] have the same name"
+    country_of: dict[str, str] = {}
     for i, country in enumerate(read.countries):
         for j, region in enumerate(country.regions):
             if regions is not None and region not in regions:
                 return f"countries[{i}].regions[{j}] names an unknown region {region!r}"
-            if of.setdefault(region, country.name) != country.name:
-                return f"countries[{i}].regions[{j}]: {region!r} is in {of[region]!r} already"
-    for i, one in enumerate(read.endpoints):
-        if one.region not in of:
-            return f"endpoints[{i}].region names a region {one.region!r} of no country"
+            if country_of.setdefault(region, country.name) != country.name:
+                return f"countries[{i}].regions[{j}]: {region!r} is in {country_of[region]!r} already"
+    for i, place in enumerate(read.endpoints):
+        if place.region not in country_of:
+            return f"endpoints[{i}].region names a region {place.region!r} of no country"
     names = {c.name for c in read.countries}
     for i, p in enumerate(read.partners):
         if sum(x is not None for x in (p.host, p.route, p.service)) != 1:
             return f"partners[{i}] must have one of host, route and service"
         if p.home not in names:
             return f"partners[{i}].home names an unknown country {p.home!r}"
-    if two := _repeats((p.host and p.host.lower(), p.route, p.service) for p in read.partners):
-        return f"partners[{two[0]}] and partners[{two[1]}] are the same"
+    if pair := _repeats((p.host and p.host.lower(), p.route, p.service) for p in read.partners):
+        return f"partners[{pair[0]}] and partners[{pair[1]}] are the same"
     return ""
 
 
-def unkept(home: Home, zones: dict[str, str], depots: Iterable[Node], copies: int) -> str:
-    """Names the partner whose home has too few depots for all copies; empty where each has enough."""
-    of = {region: one.name for one in home.countries for region in one.regions}
-    there: dict[str, int] = {}
-    for depot in depots:
-        country = of.get(zones.get(depot.zone, ""), "")
-        there[country] = there.get(country, 0) + 1
-    for i, one in enumerate(home.partners):
-        if there.get(one.home, 0) < copies:
+def unkept(home: Home, zones: dict[str, str], stores: Iterable[Node], copies: int) -> str:
+    """Returns a sentence that names the partner whose home has too few stores for all replicas; empty if all
+    homes have enough.
+    """
+    country_of = {region: partner.name for partner in home.countries for region in partner.regions}
+    count_in: dict[str, int] = {}
+    for store in stores:
+        country = country_of.get(zones.get(store.zone, ""), "")
+        count_in[country] = count_in.get(country, 0) + 1
+    for i, partner in enumerate(home.partners):
+        if count_in.get(partner.home, 0) < copies:
             return (
-                f"partners[{i}].home: {one.home} has {there.get(one.home, 0)} machines that keep "
-                f"messages, {copies} copies are owed"
+                f"partners[{i}].home: {partner.home} has {count_in.get(partner.home, 0)} stores, "
+                f"{copies} replicas are required"
             )
     return ""
--- a/opalwick/post/home/shelf.py
+++ b/opalwick/post/home/shelf.py
@@ -1,8 +1,9 @@
-"""Messages of one service that wait for a worker at home, while those there have no room. No I/O.
+"""Messages of one service that wait for a worker in their home country, while the workers there have no
+capacity. No I/O.
 
-What has the lowest `prio` goes first (it stands for worth: nothing else tells of it). Among partners of one
-prio each has its turn, so that one with much does not hold up one with little. Of one partner's the oldest
-that can still begin in time goes first, then those that are late (`Waiting`).
+The lowest `prio` goes first (there is no other measure of a message's worth). Partners of one prio take
+turns, so that one with many messages does not delay one with few. Within a partner the oldest message that
+can still start in time goes first, then those that are late (`Waiting`).
 """
 
 from __future__ import annotations
@@ -16,36 +17,39 @@
 
 
 class Shelf:
+    """A queue by prio, then by partners' turns, then by age."""
+
     def __init__(self) -> None:
         self.rows: dict[Rank, Waiting] = {}
-        self.given: dict[str, int] = {}  # turns that a partner has had, while any of its waits
+        self.given: dict[str, int] = {}  # turns that each partner with waiting messages has had
 
     def __len__(self) -> int:
         return sum(map(len, self.rows.values()))
 
     def put(self, prio: int, partner: str, aim_at: float, item: Any) -> None:
+        """Adds an item. `aim_at`: the time by which it should start."""
         if partner not in self.given:
-            # it takes its turn with the others: from nought it would be given all that comes
+            # it joins at the others' level: from 0 it would get every turn for a while
             self.given[partner] = min(self.given.values(), default=0)
         self.rows.setdefault((prio, partner), Waiting()).put(aim_at, item)
 
     def take(self, now: float) -> Any:
-        """The next one; there must be one."""
-        first = min(self.rows, key=lambda rank: (rank[0], self.given[rank[1]], rank[1]))
-        row = self.rows[first]
-        item = row.take(now)
-        self.given[first[1]] += 1
-        if not len(row):
-            del self.rows[first]
-            if all(partner != first[1] for _, partner in self.rows):
-                del self.given[first[1]]
+        """Removes and returns the next item; the queue must not be empty."""
+        rank = min(self.rows, key=lambda rank: (rank[0], self.given[rank[1]], rank[1]))
+        queue = self.rows[rank]
+        item = queue.take(now)
+        self.given[rank[1]] += 1
+        if not len(queue):
+            del self.rows[rank]
+            if all(partner != rank[1] for _, partner in self.rows):
+                del self.given[rank[1]]
         return item
 
     def sift(self, over: Callable[[Any], bool]) -> list[Any]:
-        """Takes out those that need not wait any more."""
-        found = []
-        for row in self.rows.values():
-            found += row.sift(over)
-        self.rows = {rank: row for rank, row in self.rows.items() if len(row)}
+        """Removes and returns the items for which `over` is true."""
+        removed = []
+        for queue in self.rows.values():
+            removed += queue.sift(over)
+        self.rows = {rank: queue for rank, queue in self.rows.items() if len(queue)}
         self.given = {p: n for p, n in self.given.items() if any(p == rank[1] for rank in self.rows)}
-        return found
+        return removed
--- a/tests/test_post_home.py
+++ b/tests/test_post_home.py
@@ -1,5 +1,7 @@
-"""Work stays at home: the policy is checked whole, the guard knows what membership proves, what waits at home
-waits in order, and an address answers under its own name before octets go there."""
+"""Data residency: the policy is checked as a whole, the guard relies on proven countries only, messages that
+wait at home keep their order, and a worker's address must answer under the worker's name before a message
+goes there.
+"""
 
 from __future__ import annotations
 
@@ -112,7 +114,7 @@
         ({"endpoints": [{"address": "x", "region": "r"}]}, "endpoints[0].address must be host:port, not 'x'"),
         (
             {"keepers": [{"name": "k", "sha256": "7"}]},
-            "keepers[0].sha256 must be a sha256 in 64 small hexadecimal digits",
+            "keepers[0].sha256 must be a sha256 in 64 lowercase hexadecimal digits",
         ),
     ],
 )
@@ -120,17 +122,15 @@
     assert check(json.dumps(GOOD | change).encode(), ZONES).failure() == why
 
 
-def test_a_home_without_depots_for_all_copies_is_refused() -> None:
+def test_a_home_without_stores_for_all_replicas_is_refused() -> None:
     home = check(json.dumps(GOOD).encode(), ZONES).unwrap()
     depots = [Node(node=f"d{i}", zone=zone) for i, zone in enumerate("aab")]
     assert unkept(home, ZONES, depots, 1) == ""
-    assert unkept(home, ZONES, depots, 2) == (
-        "partners[1].home: cl has 1 machines that keep messages, 2 copies are owed"
-    )
+    assert unkept(home, ZONES, depots, 2) == ("partners[1].home: cl has 1 stores, 2 replicas are required")
 
 
-def test_whose_a_message_is() -> None:
-    """By its route, else its host, else its service; no partner, no home."""
+def test_which_partner_a_message_belongs_to() -> None:
+    """By its route, else its host, else its service; a message without a partner has no home."""
     policy = Policy(conf(), settings())
     found = [
         policy.partner(one)
@@ -145,7 +145,7 @@
     assert in_force(Conf(gen=3), settings()) is None
 
 
-def test_a_policy_never_goes_back_even_where_the_offices_began_anew() -> None:
+def test_a_policy_is_never_replaced_by_an_older_one_even_if_controllers_start_anew() -> None:
     directory = Directory()
     directory.merge(News(conf=conf()))
     fresh = directory.merge(News(conf=Conf(gen=9)))
@@ -157,7 +157,9 @@
 @pytest.mark.parametrize(
     "given, here", [(settings(), "jo"), (settings(region="s"), ""), (settings("b", "s"), "")]
 )
-def test_a_process_whose_settings_moved_it_is_nowhere_until_it_starts_anew(given: Any, here: str) -> None:
+def test_a_process_whose_settings_moved_it_is_in_no_country_until_its_next_start(
+    given: Any, here: str
+) -> None:
     assert Policy(conf(), given).here("a") == here
 
 
@@ -185,17 +187,17 @@
     def worker(id: str, zone: str, calls: int, **more: Any) -> Worker:
         return Worker(id=id, svc="gate", host="10.0.0.1", port=80, zone=zone, calls=calls, **more)
 
-    assert heard() == ""  # nobody knows it
+    assert heard() == ""  # it is not in the directory
     assert heard(worker("w1", "a", 1)) == "jo"
-    assert heard(worker("w2", "b", 1)) == ""  # its address is claimed from abroad
+    assert heard(worker("w2", "b", 1)) == ""  # another country reports the same address
     assert heard(worker("w2", "b", 2, silent=True)) == "jo"
-    assert heard(worker("w1", "x", 2)) == ""  # a zone that no settings know
-    assert heard(worker("w1", "a", 3)) == ""  # one life has said two places
+    assert heard(worker("w1", "x", 2)) == ""  # a zone that no settings have
+    assert heard(worker("w1", "a", 3)) == ""  # one process has reported two zones
     assert role.guard.worker(("172.20.0.1", 8043, "")) == "cl"
-    assert role.guard.worker(("172.20.0.2", 8043, "")) == ""  # nobody vouches for it
+    assert role.guard.worker(("172.20.0.2", 8043, "")) == ""  # it is not listed in the policy
 
 
-def test_each_door_refuses_counts_and_tells() -> None:
+def test_each_check_refuses_counts_and_reports() -> None:
     role = process(Counter)
     g: Guard = role.guard
     role.directory.merge(
@@ -205,20 +207,21 @@
         )
     )
     role.govern()
-    mine, other = letter(home="jo", home_gen=2), letter("/open/x")
-    assert g.write(mine, Hello(node="d1", zone="a")) and not g.write(mine, Hello(node="d2", zone="b"))
-    assert not g.write(mine, Hello(node="d2", zone="a"))  # it says another zone than offices do
-    assert not g.delivery(mine, ("10.0.0.1", 80, "w1")) and g.delivery(other, ("10.0.0.1", 80, "w1"))
-    assert not g.met(mine, ("10.0.0.1", 80, "w1"), "w9") and not g.must_meet(other, ("10.0.0.1", 80, "w1"))
-    assert not g.hands("move", mine, Hello(node="d2", zone="b")) and not g.tells("jo", "cl")
+    own, other = letter(home="jo", home_gen=2), letter("/open/x")
+    assert g.write(own, Hello(node="d1", zone="a")) and not g.write(own, Hello(node="d2", zone="b"))
+    assert not g.write(own, Hello(node="d2", zone="a"))  # it reports another zone than the controllers
+    assert not g.delivery(own, ("10.0.0.1", 80, "w1")) and g.delivery(other, ("10.0.0.1", 80, "w1"))
+    assert not g.met(own, ("10.0.0.1", 80, "w1"), "w9") and not g.must_meet(other, ("10.0.0.1", 80, "w1"))
+    assert not g.hands("move", own, Hello(node="d2", zone="b")) and not g.tells("jo", "cl")
     assert g.refused == {"delivery": 2, "write": 2, "keep": 0, "move": 1, "assign": 0, "body": 1}
     assert [number for number, _ in role.told] == [907] * 6
-    assert all(set(fields) == {"door", "home", "country"} for _, fields in role.told)  # nobody's ids
-    # whatever placement has stamped, what is being taken goes by the policy; what is older stays where it was
+    # without ids of messages or nodes
+    assert all(set(fields) == {"door", "home", "country"} for _, fields in role.told)
+    # a message that is being accepted follows the policy, whatever its stamp; an older one stays where it was
     assert not g.write(letter(), Hello(node="d2", zone="b")) and g.home(letter(home="cl", home_gen=1)) == "cl"
 
 
-def test_a_run_is_listed_where_it_was_sent_though_its_worker_is_doubtful_by_its_end() -> None:
+def test_a_run_is_audited_where_it_was_sent_though_its_worker_is_disputed_by_its_end() -> None:
     role = process(Counter)
     role.directory.merge(News(workers=[Worker(id="w1", host="10.0.0.1", port=80, zone="a", calls=1)]))
     role.govern()
@@ -245,8 +248,10 @@
         return [word for what, word in self.said if what == kind]
 
 
-def test_a_depot_keeps_nothing_from_an_edge_with_a_stale_policy() -> None:
-    """A woken edge that has not heard of the move: neither the old home's depots nor others take it."""
+def test_a_store_rejects_messages_from_a_gateway_with_a_stale_policy() -> None:
+    """Guards against a resumed gateway that has not received the new policy: neither the stores of the old
+    home nor others store its messages.
+    """
     for stamp, refused in (
         ({"home": "jo", "home_gen": 2}, False),
         ({"home": "cl", "home_gen": 1}, True),
@@ -261,8 +266,8 @@
         assert ("m1" in role.keeping.entries) is not refused
 
 
-def test_a_body_is_told_at_home_alone() -> None:
-    """By the depot, and once more by the counter."""
+def test_a_body_is_sent_at_home_only() -> None:
+    """Checked by the store, and again by the gateway."""
     for zone, abroad in (("a", False), ("b", True)):
         role, link = process(Depot), Link(node="c1", role="counter", zone=zone, life=1)
         role.joined(link)
@@ -273,23 +278,23 @@
         role.heard(link, "ask", Ask(mid="m1", body=True, call=5))
         _, fetches = role.batch()
         role.synced([], fetches, [letter(home="jo", home_gen=2, body=b"octets").SerializeToString()])
-        [told] = link.got("told")
-        assert (told.abroad, told.body) == ((True, b"") if abroad else (False, b"octets"))
+        [answer] = link.got("told")
+        assert (answer.abroad, answer.body) == ((True, b"") if abroad else (False, b"octets"))
     answers: list[int] = []
     call = SimpleNamespace(answer=lambda status, *_: answers.append(status), message=Message(0.0))
-    for counter, told in (
+    for counter, answer in (
         (process(Counter), Told(state=1, body=b"x", home="jo")),
         (process(Counter, "b"), Told(state=1, body=b"x", home="jo")),
         (process(Counter), Told(state=1, abroad=True)),
     ):
-        counter.lookups.show(Lookup(call, "m", Asked("m", ()), True, [], True), told)
+        counter.lookups.show(Lookup(call, "m", Asked("m", ()), True, [], True), answer)
     assert answers == [200, 421, 421]
 
 
-# ---- while home is short
+# ---- while home has no capacity
 
 
-def test_a_shelf_goes_by_prio_then_by_turns_then_by_age() -> None:
+def test_the_queue_goes_by_prio_then_by_turns_then_by_age() -> None:
     shelf = Shelf()
     for prio, partner, aim in ((1, "a", 1), (1, "a", 2), (1, "a", 3), (1, "b", 9), (0, "c", 8), (1, "b", 7)):
         shelf.put(prio, partner, 100.0 + aim, f"{partner}{aim}")
@@ -301,8 +306,10 @@
 
 
 @pytest.mark.parametrize("rate, bound", [(2.0, 5.0), (10.0, 1.0), (4.0, 20.0)])
-def test_retry_after_tells_the_truth(rate: float, bound: float) -> None:
-    """Who comes back then finds no more before it than may wait; who comes much sooner finds more."""
+def test_retry_after_is_when_the_wait_is_within_its_bound(rate: float, bound: float) -> None:
+    """A client that returns then finds no more messages before it than may wait; one that returns much sooner
+    finds more.
+    """
     short, count, now = Short(0.0), 100.0, 10.0
     for i in range(200):
         short.ended("p", now - 5.0 + i / rate) if i / rate < 5.0 else None
@@ -313,17 +320,17 @@
     assert left / rate == pytest.approx(bound, abs=1.0 / rate) and again > 1.0
 
 
-def test_where_nothing_moves_retry_after_is_as_long_again() -> None:
+def test_where_nothing_ends_retry_after_is_the_wait_so_far() -> None:
     short = Short(0.0)
     assert short.wait("p", 50.0) == 0.0
     short.waiting = {"p": (3, 42.0)}
     assert short.again("p", 50.0, 60.0) == 8.0 and short.again("p", 142.0, 60.0) == LONGEST
 
 
-# ---- an address that is another's
+# ---- an address that belongs to another worker
 
 
-def test_octets_go_to_nobody_who_does_not_answer_under_the_workers_name() -> None:
+def test_a_message_goes_only_to_a_worker_that_answers_under_its_name() -> None:
     got: list[bytes] = []
 
     def serve(sock: Any, _: Any) -> None:
@@ -355,16 +362,16 @@
         ).join(2.0)
     server.stop()
     assert ends == [Verdict.ABSENT, Verdict.DONE, Verdict.DONE]
-    # asked on each new connection, and once on a kept one
+    # its name is requested once per connection: on both new ones, not again on the kept one
     assert [b"octets" in data for data in got] == [False, False, True, True]
-    # what the question took is not the worker's any more
+    # the worker's deadline excludes the time that this request took
     assert [b"X-Deadline-Ms: 1000" in data for data in got] == [False, False, False, True]
 
 
-# ---- the list of copies and runs
+# ---- the audit of copies and runs
 
 
-def test_the_list_is_kept_with_the_messages_and_outlives_the_process(tmp_path: Any) -> None:
+def test_the_audit_is_stored_with_the_messages_and_outlives_the_process(tmp_path: Any) -> None:
     disk = Disk(str(tmp_path))
     assert audit.rows(disk.db) == []
     keep = ("keep", ("m1", b"", 0.0, 0.0, 0, 0))
@@ -375,12 +382,12 @@
     again = Disk(str(tmp_path))
     assert audit.rows(again.db) == [(60, "jo", "copies", "jo", 2)]
     again.commit([("audit", (60 + audit.MOST + 60, "jo", "runs", "cl"))])
-    told = audit.signed(audit.rows(again.db))
-    assert told["abroad"] == 1 and [row["what"] for row in told["rows"]] == ["runs"]
-    assert told["sha256"] == hashlib.sha256(json.dumps(told["rows"], sort_keys=True).encode()).hexdigest()
+    report = audit.signed(audit.rows(again.db))
+    assert report["abroad"] == 1 and [row["what"] for row in report["rows"]] == ["runs"]
+    assert report["sha256"] == hashlib.sha256(json.dumps(report["rows"], sort_keys=True).encode()).hexdigest()
 
 
-def test_the_command_line_tells_what_is_not_at_home(capsys: Any, monkeypatch: Any, tmp_path: Any) -> None:
+def test_the_command_line_reports_what_is_not_at_home(capsys: Any, monkeypatch: Any, tmp_path: Any) -> None:
     row = {"window": 60, "home": "jo", "what": "runs", "country": "cl", "count": 2}
     passed = {"delivery": 3}
     found = [
@@ -407,9 +414,9 @@
     monkeypatch.setattr(commands, "answers", lambda at: found)
     assert commands.show(json=True) == 1
     assert json.loads(capsys.readouterr().out)["look"] == [
-        "c goes by policy 1, 2 is the newest",
-        "d is in no country for sure: see its settings",
-        "the guard of c has refused 1 at the door 'delivery'",
+        "c applies policy 1, 2 is the newest",
+        "d has no certain country: check its settings",
+        "the guard of c has refused 1 at check 'delivery'",
         "2 runs of jo were in cl in the window from 60",
     ]
     assert commands.explain("gate", json=True) == 0
