--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -148,7 +148,7 @@
     """A store with so many messages that wait: on its disk, read at its start, and looked at."""
     from opalwick.post.depot.agent import load
     from opalwick.post.depot.disk import Disk
-    from opalwick.post.depot.role import Depot
+    from opalwick.post.depot.role import StoreRole
     from opalwick.post.settings import parse
     from opalwick.post.wire_pb2 import Letter
 
@@ -176,7 +176,7 @@
         on_disk = sum(file.stat().st_size for file in pathlib.Path(folder).iterdir())
         gc.collect()
         before, began = resident(), time.process_time()
-        role = Depot(
+        role = StoreRole(
             parse(
                 f"node=d1\nrole=depot\nserves=disk\nip=10.0.0.1\naz=a\nport_range=7300,7315\n"
                 f"datadir={folder}\n",
@@ -192,9 +192,9 @@
         memory = resident() - before
         role.clock(0.05)
         look = timed(role.tick)
-        role.keeping.peers["disk-zone-b-1"] = 0.0
-        compare = timed(lambda: role.keeping.compare("disk-zone-b-1"))
-        words = sum(send.word.ByteSize() for send in role.keeping.sends[-(count // 500 + 1) :])
+        role.store.peers["disk-zone-b-1"] = 0.0
+        compare = timed(lambda: role.store.start_comparison("disk-zone-b-1"))
+        words = sum(send.word.ByteSize() for send in role.store.sends[-(count // 500 + 1) :])
         return {
             "count": count,
             "memory_bytes_each": memory / count,
--- a/opalwick/lab/post/disks.py
+++ b/opalwick/lab/post/disks.py
@@ -19,7 +19,7 @@
     """The depot's own statements, on a database in memory."""
 
     def __init__(self, name: str) -> None:
-        self.id, self.life, self.rotten = name, 1, 0
+        self.id, self.starts, self.rotten = name, 1, 0
         self.db = sqlite3.connect(":memory:", isolation_level=None, check_same_thread=False)
         self.db.executescript(disk._TABLES)
         self.told: Callable[[Sequence[tuple[str, tuple[Any, ...]]]], None] | None = None
--- a/opalwick/lab/post/roles.py
+++ b/opalwick/lab/post/roles.py
@@ -16,8 +16,8 @@
 from opalwick.post.counter.front import decode, fault, question
 from opalwick.post.counter.item import Start
 from opalwick.post.counter.role import Counter
-from opalwick.post.depot.agent import GATHER, load, on_disk
-from opalwick.post.depot.role import Depot
+from opalwick.post.depot.agent import BATCH_DELAY, load, run_batch
+from opalwick.post.depot.role import StoreRole
 from opalwick.post.office.agent import LOOK, REMEMBER
 from opalwick.post.office.role import Office
 from opalwick.post.settings import Settings
@@ -264,7 +264,7 @@
 
 
 class DepotProc(Proc):
-    role: Depot
+    role: StoreRole
 
     def __init__(self, world: Any, machine: Machine) -> None:
         self.gathering = self.closed = False
@@ -273,21 +273,21 @@
 
     def make(self, settings: Settings, life: int, now: float) -> Any:
         disk = self.machine.disk
-        role = quiet(Depot)(settings, life, now, disk.id)  # type: ignore[call-arg]
+        role = quiet(StoreRole)(settings, life, now, disk.id)  # type: ignore[call-arg]
         load(role, disk, self.since)  # type: ignore[arg-type]
         return role
 
     def perform(self) -> None:
         if self.role.queue and not self.gathering and not self.closed:
             self.gathering = True
-            self.after(GATHER, self.write)
+            self.after(BATCH_DELAY, self.write)
 
     def write(self) -> None:
         writes, fetches = self.role.batch()
         disk, since = self.machine.disk, self.since
         self.machine.on_disk(
             self,
-            lambda: on_disk(disk, since, writes, fetches),
+            lambda: run_batch(disk, since, writes, fetches),
             lambda found: self.written(writes, fetches, found),
         )
 
--- a/opalwick/lab/post/window.py
+++ b/opalwick/lab/post/window.py
@@ -236,7 +236,7 @@
 
         def kept(one: Machine) -> Any:
             role = getattr(one.proc, "role", None)  # real processes do not show what they keep
-            return role.keeping if role is not None else None
+            return role.store if role is not None else None
 
         if (own := kept(machine)) is None:
             return 0
--- a/opalwick/lab/verify/depots.py
+++ b/opalwick/lab/verify/depots.py
@@ -22,9 +22,9 @@
 from opalwick.post.counter.item import Start
 from opalwick.post.counter.role import Counter
 from opalwick.post.counter.routes import Routes
-from opalwick.post.depot.agent import load, on_disk
+from opalwick.post.depot.agent import load, run_batch
 from opalwick.post.depot.records import Fetch, Write
-from opalwick.post.depot.role import Depot
+from opalwick.post.depot.role import StoreRole
 from opalwick.post.message_state import MessageState
 from opalwick.post.settings import Settings, parse
 from opalwick.post.verdict import Verdict
@@ -32,7 +32,7 @@
 from opalwick.routing.reducer import Send
 
 STEP = 0.5  # s: the margin; a lapse is four, a depot that acts is away after three, none stood still for one
-FAR = 4.0  # s: older than this is just old: the longest span in play is SETTLE's double, 3
+FAR = 4.0  # s: older than this is just old: the longest span in play is STARTUP_WAIT's double, 3
 COPIES = 2  # survive.boxes + 1
 RETAIN = 60.0  # s that a message is worth keeping: longer than any history
 CONF = Conf(
@@ -132,7 +132,7 @@
         self.last_mid = letter.mid
 
 
-class Holding(Depot):
+class Holding(StoreRole):
     def event(self, number: int, **fields: Any) -> None: ...
 
 
@@ -338,7 +338,7 @@
                 assert machine.batch is not None
                 batch, machine.batch = machine.batch, None
                 machine.role.clock(new.now)
-                machine.role.synced(*batch, on_disk(machine.disk, 0.0, *batch))  # type: ignore[arg-type]
+                machine.role.synced(*batch, run_batch(machine.disk, 0.0, *batch))  # type: ignore[arg-type]
             case "sends" | "has a success":
                 new.delivers(me, kind)
             case "time":
@@ -452,7 +452,7 @@
         quick = []
         for me in there:
             role = self.at(me).role
-            if me in self.depots and role.keeping.moving.empty:
+            if me in self.depots and role.store.rebalancing.empty:
                 self.complete |= {me}
             for other in self.names:
                 line = role.link(other) if other != me else None
@@ -479,7 +479,7 @@
             role: Any = Holding(SETTINGS[me], machine.life, self.now, machine.disk.id)
             load(role, machine.disk, 0.0)  # type: ignore[arg-type]
             # as offices tell it: who is there
-            role.keeping.expected = {other for other in self.names if other != me}
+            role.store.expected = {other for other in self.names if other != me}
         else:
             role = Taking(SETTINGS[me], machine.life, self.now, 8, bytes)
             role.rounds.chance = StillChance()
@@ -504,7 +504,7 @@
         conf.retiring.extend(sorted(retiring))
         role.directory.merge(News(conf=conf))
         if me in self.depots:
-            role.keeping.ordered((int(conf.gen), int(conf.seq)), set(retiring))
+            role.store.ordered((int(conf.gen), int(conf.seq)), set(retiring))
             return
         role.intake.retiring = set(retiring)
         if role.rounds.routes is None:
@@ -514,7 +514,7 @@
     def ends(self, me: str, how: str) -> None:
         machine = self.at(me)
         if how == "crashes, written" and machine.batch is not None:
-            on_disk(machine.disk, 0.0, *machine.batch)  # type: ignore[arg-type]
+            run_batch(machine.disk, 0.0, *machine.batch)  # type: ignore[arg-type]
         elif how == "loses its disk":
             self.wiped += 1
             machine.disk = Rows(f"{me}-{machine.life}")
@@ -614,8 +614,8 @@
         for me in self.depots:
             machine = self.machines[me]
             if machine.role is not None:
-                for mid in machine.role.keeping.ends:
-                    state = machine.role.keeping.state(mid).state
+                for mid in machine.role.store.ends:
+                    state = machine.role.store.state(mid).state
                     if state == MessageState.COMPLETE and not self.has_end(machine, mid):
                         raise Broken(
                             "early word", f"{me} tells askers that {mid} is complete, not on its disk"
--- a/opalwick/lab/verify/mutants.py
+++ b/opalwick/lab/verify/mutants.py
@@ -43,8 +43,8 @@
 from opalwick.post.counter.intake import Intake
 from opalwick.post.counter.role import Counter
 from opalwick.post.depot import keeping
-from opalwick.post.depot.keeping import Keeping
-from opalwick.post.depot.moving import Moving
+from opalwick.post.depot.keeping import MessageStore
+from opalwick.post.depot.moving import Rebalancing
 from opalwick.post.depot.records import Send, Write
 from opalwick.post.depot.seal import Seal
 from opalwick.post.office import numbers
@@ -261,16 +261,16 @@
     """Words of that kind, which should follow a sync, go out before it."""
 
     def plant(patch: Patch) -> None:
-        effects = Keeping.effects
+        effects = MessageStore.effects
 
-        def sooner(self: Keeping) -> Any:
+        def sooner(self: MessageStore) -> Any:
             writes, sends, fetches = effects(self)
             for i, write in enumerate(writes):
                 sends += [Send(*said) for said in write.then if said[1] == word]
                 writes[i] = Write(write.kind, write.fields, tuple(t for t in write.then if t[1] != word))
             return writes, sends, fetches
 
-        patch(Keeping, "effects", sooner)
+        patch(MessageStore, "effects", sooner)
 
     return plant
 
@@ -287,13 +287,13 @@
 
 @mutant("fence", depot(Fence(sends=1, ends=1, turns=0), *KEPT), "early word")
 def an_end_told_before_the_sync(patch: Patch) -> None:
-    state = Keeping.state
+    state = MessageStore.state
 
-    def told(self: Keeping, mid: str) -> Any:
+    def told(self: MessageStore, mid: str) -> Any:
         self.unsynced.clear()
         return state(self, mid)
 
-    patch(Keeping, "state", told)
+    patch(MessageStore, "state", told)
 
 
 @mutant("fence", depot(Fence(offers=1, turns=0), *SETTLED), "early 202")
@@ -345,44 +345,44 @@
 
 @mutant("fence", depot(Fence(time=3, turns=0), *BACK), "two deliverers")
 def answered_before_the_others_know(patch: Patch) -> None:
-    check = Keeping.check
+    check = MessageStore.check
 
-    def at_once(self: Keeping, node: str) -> None:
-        self.peers_echo = dict.fromkeys(self.peers, self.now + 1.0)
+    def at_once(self: MessageStore, node: str) -> None:
+        self.peer_echoes = dict.fromkeys(self.peers, self.now + 1.0)
         check(self, node)
 
-    patch(Keeping, "check", at_once)
+    patch(MessageStore, "check", at_once)
 
 
 @mutant(
     "fence", depot(Fence(time=3, turns=2), *UNHEARD, *(LATER * 3), ("lets go", "d2", "c1")), "two deliverers"
 )
 def a_lapse_that_is_not_told(patch: Patch) -> None:
-    lapsed = Keeping.lapsed
+    lapsed = MessageStore.lapsed
 
-    def alone(self: Keeping, who: str, silent: bool = False) -> None:
+    def alone(self: MessageStore, who: str, silent: bool = False) -> None:
         lapsed(self, who)
 
-    patch(Keeping, "lapsed", alone)
+    patch(MessageStore, "lapsed", alone)
     # a counter that asked the other depot first would be told by it whose the message is
     patch(Counter, "awaits", lambda self, node, item: False)
 
 
 @mutant("fence", depot(Fence(time=6, cut=1, turns=0), *KEPT), "two deliverers")
 def depots_do_not_tell_whom_they_hear(patch: Patch) -> None:
-    patch(Keeping, "hears", lambda self, node: {})
+    patch(MessageStore, "reports_for", lambda self, node: {})
 
 
 @mutant("fence", depot(Fence(time=2, retire=1, turns=0), *KEPT, names=("d1", "d2", "d3")), "copies")
 def moved_without_an_answer(patch: Patch) -> None:
-    start = Moving.start
+    start = Rebalancing.start
 
-    def at_once(self: Moving, entry: Any, without: str) -> None:
+    def at_once(self: Rebalancing, entry: Any, without: str) -> None:
         start(self, entry, without)
-        if (found := self.on_way.pop(entry.mid, None)) is not None:
-            self.settle(entry, found[2])
+        if (found := self.transfers.pop(entry.mid, None)) is not None:
+            self.complete(entry, found[2])
 
-    patch(Moving, "start", at_once)
+    patch(Rebalancing, "start", at_once)
 
 
 THREE = ("d1", "d2", "d3")
@@ -397,7 +397,7 @@
 
 @mutant("fence", AWAY_ANEW, "copies", "early 202")
 def empty_is_said_without_a_seal(patch: Patch) -> None:
-    patch(Moving, "empty", Moving.drained)
+    patch(Rebalancing, "empty", Rebalancing.drained)
     patch(Seal, "due", lambda self, empty: None)
 
 
@@ -408,13 +408,13 @@
 
 @mutant("fence", AWAY_ANEW, "copies", "early 202")
 def an_older_configuration_lifts_the_seal(patch: Patch) -> None:
-    learned = Seal.learned
+    learned = Seal.apply_order
 
     def any_key(self: Seal, key: Any, retiring: bool) -> bool:
         self.written = (-1, -1) if self.written is not None else None
         return learned(self, key, retiring)
 
-    patch(Seal, "learned", any_key)
+    patch(Seal, "apply_order", any_key)
 
 
 # ---- lease
--- a/opalwick/post/__main__.py
+++ b/opalwick/post/__main__.py
@@ -80,9 +80,9 @@
 
         CounterShell(settings, process).serve()
     elif arguments == ["carrier", "depot"]:
-        from opalwick.post.depot.agent import DepotShell
+        from opalwick.post.depot.agent import StoreShell
 
-        DepotShell(settings, process).serve()
+        StoreShell(settings, process).serve()
     elif arguments == ["postmaster"]:
         from opalwick.post.office.agent import OfficeShell
 
--- a/opalwick/post/counter/lookup.py
+++ b/opalwick/post/counter/lookup.py
@@ -148,7 +148,7 @@
 
     def show_body(self, lookup: Lookup, told: Told) -> None:
         guard = self.gateway.guard
-        if told.abroad or (told.home and not guard.tells(told.home, guard.here)):
+        if told.abroad or (told.home and not guard.permits_body(told.home, guard.own_country)):
             fault(lookup.call, 421, "its bytes are shown at its home alone", LATER)
             return
         if told.state == MessageState.COMPLETE:
--- a/opalwick/post/counter/role.py
+++ b/opalwick/post/counter/role.py
@@ -22,8 +22,8 @@
 from opalwick.post.counter.rounds import PARK, Rounds
 from opalwick.post.depot.keeping import LAPSE, MARGIN
 from opalwick.post.home.guard import Guard
-from opalwick.post.home.policy import named
-from opalwick.post.home.short import Short
+from opalwick.post.home.policy import partner_name
+from opalwick.post.home.short import WaitEstimate
 from opalwick.post.names import Names, RandomOctets, finish
 from opalwick.post.settings import Settings
 from opalwick.post.station import Link, Station
@@ -76,7 +76,7 @@
         self.sure = set[str]()  # depots that have since said whose its messages are
         self.untold: dict[str, None] = {}  # depots that are to be told of all that is delivered here
         self.guard = Guard(self.zone, settings, self.directory, self.event)
-        self.short, self.counted_at = Short(now), -1e9
+        self.short, self.counted_at = WaitEstimate(now), -1e9
         self.abroad = self.turned_home = 0  # refused: not at home here; home is short
         self.stale = set[str]()  # those that said so too long ago, as it came here
         self.mine: set[str] = set()  # the depots that it knows and watches
@@ -220,7 +220,7 @@
             case "end":
                 self.trace(155, message=word.mid, by=node, seal=word.seal)
                 self.rounds.ended_elsewhere(word)
-            case "assign" if word.letter.home and self.guard.home(word.letter) != self.guard.here:
+            case "assign" if word.letter.home and self.guard.home(word.letter) != self.guard.own_country:
                 link.say("refuse", Refuse(mid=word.letter.mid, claim=word.letter.claim))
             case "assign":
                 self.trace(153, message=word.letter.mid, by=node, claim=word.letter.claim)
@@ -255,10 +255,10 @@
     def govern(self) -> None:
         """The policy, who is there, or the settings have changed."""
         before, guard = self.guard.policy, self.guard
-        guard.learned(self.settings)
+        guard.refresh(self.settings)
         if guard.policy is not before:
             self.intake.policy = guard.policy
-            self.rounds.governed(guard.policy, guard.here)
+            self.rounds.governed(guard.policy, guard.own_country)
 
     def news(self, news: News) -> None:
         self.know()
@@ -271,7 +271,7 @@
         self.govern()
         there = self.nodes("counter")
         counters = sorted(node.node for node in there)
-        policy, here = self.guard.policy, self.guard.here
+        policy, here = self.guard.policy, self.guard.own_country
         self.rounds.counters(
             len(counters),
             sum(policy.country(node.zone) == here for node in there) if policy is not None else 0,
@@ -335,13 +335,13 @@
         if partner is None:
             return True
         letter.home, letter.home_gen = partner.home, policy.gen
-        if self.guard.here != partner.home:
+        if self.guard.own_country != partner.home:
             self.abroad += 1
             fault(call, 421, f"this partner's work is taken in {partner.home}", LATER)
             return False
         if why := self.shortage(partner, route):
             self.turned_home += 1
-            again = self.short.again(named(partner), self.now, partner.wait)
+            again = self.short.retry_after(partner_name(partner), self.now, partner.wait)
             fault(call, 503, why, f"Retry-After: {again:.1f}")
             return False
         return True
@@ -359,7 +359,7 @@
                     count, oldest = waiting.get(whose := self.rounds.whose(item), (0, self.now))
                     waiting[whose] = count + 1, min(oldest, item.aim_at)
             self.short.waiting = waiting
-        if self.short.wait(named(partner), self.now) > partner.wait:
+        if self.short.wait(partner_name(partner), self.now) > partner.wait:
             return f"more waits in {partner.home} than can be run within {partner.wait:g} s"
         return ""
 
@@ -378,15 +378,15 @@
     def may_write(self, node: str, word: Keep) -> bool:
         """The last door before a message that is being taken goes to a depot."""
         link = self.link(node) if self.guard.policy is not None else None
-        return link is None or self.guard.write(word.letter, link.peer)
+        return link is None or self.guard.permits_write(word.letter, link.peer)
 
     def must_meet(self, order: Start) -> bool:
         """Whether who answers on a new connection has to say who it is, before the message goes out."""
-        return self.guard.must_meet(order.item.letter, order.place)
+        return self.guard.needs_name_check(order.item.letter, order.place)
 
     def met(self, order: Start, name: str) -> bool:
         """It says that it is that worker."""
-        return self.guard.met(order.item.letter, order.place, name)
+        return self.guard.permits_connection(order.item.letter, order.place, name)
 
     def asked_back(self, call: Call, name: str, body: bool) -> None:
         """A client asks for a message's state, or with `body` for its bytes."""
@@ -489,7 +489,7 @@
             return False
         if item.letter.home:  # as it is proven now: by its end the worker may have gone
             item.sent[order.number] = self.guard.worker(order.place)
-        return self.guard.delivery(item.letter, order.place)
+        return self.guard.permits_delivery(item.letter, order.place)
 
     def ask_permits(self) -> None:
         for svc in list(self.rounds.thirsty):
--- a/opalwick/post/counter/rounds.py
+++ b/opalwick/post/counter/rounds.py
@@ -18,8 +18,8 @@
 from opalwick.post.counter.item import Item, RememberedEnd, Start, Stop, UntoldEnd
 from opalwick.post.counter.routes import Routes
 from opalwick.post.counter.shares import budget, chosen
-from opalwick.post.home.policy import Policy, named
-from opalwick.post.home.shelf import Shelf
+from opalwick.post.home.policy import Policy, partner_name
+from opalwick.post.home.shelf import ResidencyQueue
 from opalwick.post.maintenance.resting import Resting
 from opalwick.post.settings import Settings
 from opalwick.post.verdict import Verdict
@@ -67,7 +67,7 @@
         self.leaving = False
         self.policy: Policy | None = None  # where messages with a home may run
         self.here = ""  # the country that this counter is in
-        self.shelves: dict[str, Shelf] = {}  # by desk: those that wait for a worker at home
+        self.shelves: dict[str, ResidencyQueue] = {}  # by desk: those that wait for a worker at home
         self.sends: list[tuple[str, str, Any]] = []
         self.orders: list[Start | Stop] = []
         counted = ("delivered", "failed", "dead", "unknown", "parked", "turned_away")
@@ -123,7 +123,7 @@
             )
 
         waiting = [item for desk in self.desks.values() for item in desk.queue.sift(moved)]
-        waiting += [item for shelf in self.shelves.values() for item in shelf.sift(moved)]
+        waiting += [item for shelf in self.shelves.values() for item in shelf.remove_where(moved)]
         for item in waiting:
             item.queued = False
             self.at(self.now, item)
@@ -328,7 +328,7 @@
             if self.now - untold.since > 4.0 * REMEMBER:  # its other holders have it, and tell
                 del self.ending[mid]
         for shelf in self.shelves.values():  # those that may wait no longer
-            for item in shelf.sift(lambda item: item.over or item.foreign or item.until <= self.now):
+            for item in shelf.remove_where(lambda item: item.over or item.foreign or item.until <= self.now):
                 item.queued = False
                 self.at(self.now, item)
 
@@ -382,7 +382,7 @@
             self.thirsty[desk.service.name] = None
         elif letter.home and (len(self.shelves.get(item.svc, ())) or desk.bears(self.now) <= 0):
             item.queued = True
-            shelf = self.shelves.setdefault(item.svc, Shelf())
+            shelf = self.shelves.setdefault(item.svc, ResidencyQueue())
             shelf.put(item.route.prio, self.whose(item), item.aim_at + item.route.start, item)
         else:
             self.offer(desk, item)
@@ -391,7 +391,7 @@
         """Its partner, as the policy in force when it came here has it."""
         if not item.partner and item.letter.home:
             partner = self.policy.partner(item.letter) if self.policy is not None else None
-            item.partner = named(partner) if partner is not None else item.letter.home
+            item.partner = partner_name(partner) if partner is not None else item.letter.home
         return item.partner
 
     def routed(self, item: Item) -> bool:
--- a/opalwick/post/depot/agent.py
+++ b/opalwick/post/depot/agent.py
@@ -14,30 +14,32 @@
 from opalwick.post import events
 from opalwick.post.depot.disk import Disk
 from opalwick.post.depot.records import Fetch, Write
-from opalwick.post.depot.role import Depot
+from opalwick.post.depot.role import StoreRole
 from opalwick.post.files import broken, set_aside
 from opalwick.post.home.audit import window
 from opalwick.post.link import Process, Shell
 from opalwick.post.settings import Settings
 from opalwick.post.wire_pb2 import Letter
 
-FAILED = 0.2  # s until a batch that failed on the disk is tried again
+COMMIT_RETRY = 0.2  # s until a batch that failed on the disk is tried again
 # s that a batch waits for further writes: two syncs of a usual disk, a fortieth of a service's aim
-GATHER = 0.002
+BATCH_DELAY = 0.002
 
 
-class DepotShell(Shell):
+class StoreShell(Shell):
     """Runs a store. Raises sqlite3.Error where its disk cannot be opened."""
 
-    role: Depot
+    role: StoreRole
 
     def __init__(self, settings: Settings, process: Process) -> None:
-        self.disk = opened(settings.datadir)
-        self.unix = time.time() - time.monotonic()
-        super().__init__(Depot(settings, int(time.time() * 1000), time.monotonic(), self.disk.id), process)
+        self.disk = open_disk(settings.datadir)
+        self.clock_offset = time.time() - time.monotonic()
+        super().__init__(
+            StoreRole(settings, int(time.time() * 1000), time.monotonic(), self.disk.id), process
+        )
         self.threads = ThreadPool(1)  # a disk that stalls must not stop the heartbeats
         self.queued = Event()
-        load(self.role, self.disk, self.unix)
+        load(self.role, self.disk, self.clock_offset)
 
     def look(self, work: Any) -> Any:  # type: ignore[override]
         """Runs `work` with the disk, in the disk's thread, and returns its result."""
@@ -53,15 +55,15 @@
             if not self.role.queue:
                 self.queued.clear()
                 self.queued.wait()
-            gevent.sleep(GATHER)
+            gevent.sleep(BATCH_DELAY)
             writes, fetches = self.role.batch()
             while True:
                 try:
-                    found = self.threads.apply(on_disk, (self.disk, self.unix, writes, fetches))
+                    found = self.threads.apply(run_batch, (self.disk, self.clock_offset, writes, fetches))
                     break
                 except sqlite3.Error as problem:  # nothing is confirmed, and no later write overtakes it
                     events.say(303, problem=repr(problem), writes=len(writes))
-                    gevent.sleep(FAILED)
+                    gevent.sleep(COMMIT_RETRY)
             self.role.clock(time.monotonic())
             self.guarded(self.role.synced, writes, fetches, found)
             self.settle()
@@ -81,7 +83,7 @@
         self.disk.close()
 
 
-def opened(folder: str) -> Disk:
+def open_disk(folder: str) -> Disk:
     """Opens and checks the disk. A broken file is set aside and replaced by an empty one."""
     try:
         return Disk(folder)
@@ -94,9 +96,9 @@
         return Disk(folder)
 
 
-def load(role: Depot, disk: Disk, unix: float) -> None:
+def load(role: StoreRole, disk: Disk, unix: float) -> None:
     """Restores the role's state from the disk. `unix`: seconds from its clock to unix time."""
-    k = role.keeping
+    k = role.store
     k.seal.loaded(disk.seal())
     for mid, complete, seal, until, holders in disk.ends():
         k.loaded_end(mid, bool(complete), seal, until - unix, tuple(holders.split()))
@@ -118,7 +120,7 @@
     events.say(301, disk=disk.id, messages=len(k.entries), ends=len(k.ends), rotten=disk.rotten)
 
 
-def on_disk(disk: Disk, unix: float, writes: list[Write], fetches: list[Fetch]) -> list[bytes | None]:
+def run_batch(disk: Disk, unix: float, writes: list[Write], fetches: list[Fetch]) -> list[bytes | None]:
     """Runs in the disk's thread: syncs the writes and returns the bytes for each fetch. `unix`: seconds from
     the store's clock to unix time. Raises sqlite3.Error if nothing was written.
     """
--- a/opalwick/post/depot/disk.py
+++ b/opalwick/post/depot/disk.py
@@ -56,10 +56,10 @@
             self.db.executescript(_TABLES)
             for table in ("letters", "ends"):  # rows from before there were checksums are taken as they are
                 add_columns(self.db, table, holders="text not null default ''", sum="integer")
-            self.id, self.life = self.started()
+            self.id, self.starts = self.record_start()
             self.purge()
 
-    def started(self) -> tuple[str, int]:
+    def record_start(self) -> tuple[str, int]:
         """Returns the disk's id, made when the disk was empty, and how often a process has started on it."""
         self.db.execute("begin immediate")
         facts = dict(self.db.execute("select name, value from facts"))
@@ -145,7 +145,7 @@
                 elif kind == "drop":
                     execute("delete from letters where mid = ?", fields)
                 elif kind == "audit":  # window, home, copies or runs, country
-                    audit.note(self.db, fields)
+                    audit.record(self.db, fields)
                 elif kind == "seal":  # generation and changes of a configuration
                     execute("insert or replace into facts values ('seal', ?)", (f"{fields[0]} {fields[1]}",))
                 elif kind == "unseal":
--- a/opalwick/post/depot/keeping.py
+++ b/opalwick/post/depot/keeping.py
@@ -19,7 +19,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from opalwick.post.depot.moving import Moving
+from opalwick.post.depot.moving import Rebalancing
 from opalwick.post.depot.reconciliation import BATCH, Reconciliation
 from opalwick.post.depot.records import Entry, Fetch, KnownEnd, Send, Write
 from opalwick.post.depot.seal import Seal
@@ -48,34 +48,36 @@
 
 LAPSE = 2.0  # s without a heartbeat after which a gateway's lease expires: eight heartbeats
 # s without a gateway's heartbeat, two of them, until other stores are asked whether they receive it
-DEAF = 0.5
+QUERY_AFTER = 0.5
 # s that the others are asked for at least before the lease expires: a heartbeat each way, and one more
-ASKED = 0.75
+QUERY_FOR = 0.75
 MARGIN = 0.5  # s that a gateway stops sooner: two heartbeats in transit, and their age
-AWAY = 1.2  # s without a heartbeat of the acting store until the next replica acts
-SETTLE = 1.5  # s after its start that a store waits for the others' state: gateways connect within 0.8 s
-LEAD = 0.05  # s that a message is assigned before it is due: a network trip and a sync
-STILL = 0.5  # s between two ticks from which this process counts as stalled: ten times the usual interval
-REFUSED = 0.2  # s until a message that a gateway rejected is assigned again, give or take half
-AGAIN = 0.6  # s until an unacknowledged assignment is sent again, to the same gateway
-STEP = 200  # messages assigned in one tick, so that other work gets its turn
+PEER_TIMEOUT = 1.2  # s without a heartbeat of the acting store until the next replica acts
+STARTUP_WAIT = (
+    1.5  # s after its start that a store waits for the others' state: gateways connect within 0.8 s
+)
+ASSIGN_LEAD = 0.05  # s that a message is assigned before it is due: a network trip and a sync
+STALL = 0.5  # s between two ticks from which this process counts as stalled: ten times the usual interval
+REASSIGN_DELAY = 0.2  # s until a message that a gateway rejected is assigned again, give or take half
+ASSIGN_RETRY = 0.6  # s until an unacknowledged assignment is sent again, to the same gateway
+ASSIGN_BATCH = 200  # messages assigned in one tick, so that other work gets its turn
 
 
-class Counter:
+class Gateway:
     """A gateway ("counter" on the wire) as this store sees it."""
 
-    __slots__ = ("given", "heard_at", "leaving", "life", "linked", "node", "ready", "zone")
+    __slots__ = ("assigned", "incarnation", "last_seen", "leaving", "linked", "node", "ready", "zone")
 
     def __init__(self, node: str, incarnation: int, zone: str, now: float) -> None:
-        self.node, self.life, self.zone, self.heard_at = node, incarnation, zone, now
-        self.linked, self.ready, self.leaving, self.given = True, False, False, 0
+        self.node, self.incarnation, self.zone, self.last_seen = node, incarnation, zone, now
+        self.linked, self.ready, self.leaving, self.assigned = True, False, False, 0
 
 
-def untold(number: int, **fields: Any) -> None:
+def ignore_event(number: int, **fields: Any) -> None:
     """Discards an event: the default before the role sets its own."""
 
 
-class Keeping:
+class MessageStore:
     """State of a store. Times are in seconds of this store's clock; sizes are in bytes."""
 
     def __init__(
@@ -92,49 +94,51 @@
         `copies`: replicas of each message; `spread`: in different zones.
         """
         self.node, self.zone, self.now, self.state_s = node, zone, now, state_s
-        self.started = self.ticked = now
-        self.waited = False  # the last tick skipped time-outs, as the process had been stalled
+        self.started_at = self.ticked_at = now
+        self.skipped_timeouts = False  # the last tick skipped time-outs, as the process had been stalled
         self.entries: dict[str, Entry] = {}
         self.ends: dict[str, KnownEnd] = {}  # by message id
         self.owned: dict[str, set[str]] = {}
-        self.counters: dict[str, Counter] = {}
+        self.gateways: dict[str, Gateway] = {}
         # (time, message): when to check that an assignment was acknowledged
-        self.asked: list[tuple[float, str]] = []
+        self.unacknowledged: list[tuple[float, str]] = []
         self.peers: dict[str, float] = {}  # linked stores: when the last heartbeat was received
         self.peers_settled: dict[str, bool] = {}
         # by store: gateway process: when that store received it last
-        self.peers_hear: dict[str, dict[str, float]] = {}
+        self.peer_reports: dict[str, dict[str, float]] = {}
         # by store: the newest timestamp of this one that it has received
-        self.peers_echo: dict[str, float] = {}
+        self.peer_echoes: dict[str, float] = {}
         # by gateway: a whole list that awaits its answer, and since when
-        self.checks: dict[str, tuple[float, Mine]] = {}
+        self.pending_lists: dict[str, tuple[float, Mine]] = {}
         # by store: gateway processes that it receives no heartbeat of
-        self.peers_ask: dict[str, list[str]] = {}
-        self.deaf: dict[str, float] = {}  # owners without a heartbeat here: since when others are asked
+        self.peer_queries: dict[str, list[str]] = {}
+        self.silent_owners: dict[
+            str, float
+        ] = {}  # owners without a heartbeat here: since when others are asked
         # (due, message): those without an owner; may hold some that have one again
         self.waiting: list[tuple[float, str]] = []
         self.expiry: list[tuple[float, str]] = []
         # gateways and stores of the cluster; None until controllers have reported them
         self.expected: set[str] | None = None
         self.reported = set[str]()  # gateways that have listed their messages since the start
-        self.settled, self.awaits = False, set[str]()  # stores whose answer to `have` is awaited
+        self.settled, self.awaited_peers = False, set[str]()  # stores whose answer to `have` is awaited
         self.leaving = False
         self.writes: list[Write] = []
         self.sends: list[Send] = []
         self.fetches: list[Fetch] = []
         self.unsynced = set[str]()  # ends that are not on the disk yet: not reported to anyone
-        self.dead: dict[str, int] = {}  # bytes of each dead message
-        self.room, self.held = room, 0  # bytes: capacity, stored
+        self.dead_sizes: dict[str, int] = {}  # bytes of each dead message
+        self.room, self.stored_bytes = room, 0  # bytes: capacity, stored
         self.policy: Policy | None = None  # data residency rules; None: there are none
         self.seal = Seal()  # whether this store is to be removed and rejects messages
-        self.moving = Moving(self, copies, spread)
+        self.rebalancing = Rebalancing(self, copies, spread)
         self.reconciliation = Reconciliation(self)
         counts = ("kept", "ended", "assigned", "lapsed", "handed", "refused")
         self.figures = dict.fromkeys((*counts, "second_successes", "missed_ends"), 0)
         # Callbacks that the role sets: `number` in the catalogue of events, and the event's fields. `trace`
         # is for events of single messages.
-        self.event: Callable[..., None] = untold
-        self.trace: Callable[..., None] = untold
+        self.event: Callable[..., None] = ignore_event
+        self.trace: Callable[..., None] = ignore_event
 
     def clock(self, now: float) -> None:
         """Sets the time; called before each input."""
@@ -171,19 +175,19 @@
 
     def loaded_dead(self, mid: str, size: int) -> None:
         """Restores a dead message, which takes `size` bytes."""
-        self.dead[mid] = size
-        self.held += size
+        self.dead_sizes[mid] = size
+        self.stored_bytes += size
 
     def add(self, entry: Entry) -> None:
         self.entries[entry.mid] = entry
-        self.held += entry.size
+        self.stored_bytes += entry.size
         heapq.heappush(self.expiry, (entry.until, entry.mid))
         if not entry.owner:
             heapq.heappush(self.waiting, (entry.due, entry.mid))
 
-    def own(self, entry: Entry, process: str, why: str = "") -> None:
+    def set_owner(self, entry: Entry, process: str, why: str = "") -> None:
         """Sets the owner; empty: none. `why`: the reason for having none, for traces."""
-        entry.asked_at = 0.0
+        entry.assigned_at = 0.0
         if entry.owner == process:
             return
         if entry.owner:
@@ -192,23 +196,23 @@
         if process:
             self.owned.setdefault(process, set()).add(entry.mid)
         else:
-            entry.freed_by = why
+            entry.release_reason = why
             heapq.heappush(self.waiting, (entry.due, entry.mid))
 
     # ---- gateways
 
     def counter_up(self, node: str, incarnation: int, zone: str) -> None:
         """A link to that process of a gateway is up."""
-        known = self.counters.get(node)
-        if known is not None and known.life > incarnation:
+        known = self.gateways.get(node)
+        if known is not None and known.incarnation > incarnation:
             return  # a late link of an earlier process
-        if known is None or known.life < incarnation:
+        if known is None or known.incarnation < incarnation:
             # a node starts its next process only after the one before has ended
             if known is not None:
-                self.lapsed(owner(node, known.life))
-            gateway = self.counters[node] = Counter(node, incarnation, zone, self.now)
+                self.lapsed(owner(node, known.incarnation))
+            gateway = self.gateways[node] = Gateway(node, incarnation, zone, self.now)
             # it joins at the others' level: from 0 it would be assigned every message for a while
-            gateway.given = max((c.given for c in self.counters.values()), default=0)
+            gateway.assigned = max((c.assigned for c in self.gateways.values()), default=0)
             for process in [
                 process
                 for process in self.owned
@@ -216,42 +220,42 @@
             ]:
                 self.lapsed(process)
             return
-        known.linked, known.heard_at = True, self.now
+        known.linked, known.last_seen = True, self.now
 
     def counter_down(self, node: str) -> None:
         """The last link to a gateway is down."""
-        if node in self.counters:
-            self.counters[node].linked = False
+        if node in self.gateways:
+            self.gateways[node].linked = False
             self.reported.discard(node)
 
     def counter_pulse(self, node: str, pulse: Pulse) -> None:
         """A heartbeat of a gateway was received."""
-        if (gateway := self.counters.get(node)) is not None:
-            gateway.heard_at, gateway.ready, gateway.leaving = self.now, pulse.ready, pulse.leaving
+        if (gateway := self.gateways.get(node)) is not None:
+            gateway.last_seen, gateway.ready, gateway.leaving = self.now, pulse.ready, pulse.leaving
 
-    def hears(self, node: str) -> dict[str, float]:
+    def reports_for(self, node: str) -> dict[str, float]:
         """Returns, for that store, gateway processes that it receives no heartbeat of and this one does:
         seconds since the last one here.
         """
         return {
             process: self.now - at
-            for process in self.peers_ask.get(node, ())
-            if self.now - (at := self.heard_at(process)) < 10.0
+            for process in self.peer_queries.get(node, ())
+            if self.now - (at := self.last_seen(process)) < 10.0
         }
 
-    def heard_at(self, process: str) -> float:
+    def last_seen(self, process: str) -> float:
         """When the last heartbeat of that gateway process was received here."""
         node, _, incarnation = process.rpartition("/")
-        gateway = self.counters.get(node)
-        return gateway.heard_at if gateway is not None and gateway.life == int(incarnation) else -1e9
+        gateway = self.gateways.get(node)
+        return gateway.last_seen if gateway is not None and gateway.incarnation == int(incarnation) else -1e9
 
     def alive(self, process: str) -> bool:
         """Whether this store or a linked one has a heartbeat of that gateway process within `LAPSE`."""
-        if self.now - self.heard_at(process) < LAPSE:
+        if self.now - self.last_seen(process) < LAPSE:
             return True
         return any(
             self.now - at < LAPSE
-            for peer, reports in self.peers_hear.items()
+            for peer, reports in self.peer_reports.items()
             if peer in self.peers and (at := reports.get(process)) is not None
         )
 
@@ -261,16 +265,16 @@
         replicas are informed before the next heartbeat.
         """
         mids = self.owned.pop(process, set())
-        self.deaf.pop(process, None)
+        self.silent_owners.pop(process, None)
         self.figures["lapsed"] += len(mids)
         for mid in sorted(mids):
             entry = self.entries[mid]
-            entry.owner, entry.asked_at = "", 0.0
-            entry.freed_by = "silent" if silent else "restarted"
-            self.reconciliation.doubt(mid)
+            entry.owner, entry.assigned_at = "", 0.0
+            entry.release_reason = "silent" if silent else "restarted"
+            self.reconciliation.suspect(mid)
             heapq.heappush(self.waiting, (entry.due, mid))
             if silent:
-                entry.claim = entry.taken = entry.claim + 1
+                entry.claim = entry.min_claim = entry.claim + 1
                 msg = Park(
                     mid=mid,
                     claim=entry.claim,
@@ -278,7 +282,7 @@
                     fails=entry.fails,
                     lost=entry.lost,
                 )
-                self.sends += [Send(node, "park", msg) for node in entry.holders if node in self.peers]
+                self.sends += [Send(node, "park", msg) for node in entry.replicas if node in self.peers]
 
     # ---- peer messages of gateways
 
@@ -296,11 +300,11 @@
             return
         if self.leaving:
             return
-        if self.seal.closed or self.held + message.ByteSize() > self.room:
+        if self.seal.closed or self.stored_bytes + message.ByteSize() > self.room:
             self.figures["refused"] += 1
             self.sends.append(Send(node, "kept", Kept(mid=mid, refused=True)))
             return
-        gateway = self.counters.get(node)
+        gateway = self.gateways.get(node)
         entry = Entry(
             mid,
             tuple(message.holders),
@@ -313,7 +317,7 @@
         )
         entry.claim = message.claim
         if gateway is not None and not msg.parked:
-            entry.owner = owner(node, gateway.life)
+            entry.owner = owner(node, gateway.incarnation)
             self.owned.setdefault(entry.owner, set()).add(mid)
         self.add(entry)
         self.figures["kept"] += 1
@@ -324,9 +328,9 @@
                 (confirmation,),
             )
         )
-        self.noted(entry, "copies", self.country(self.zone))
+        self.audit(entry, "copies", self.country(self.zone))
 
-    def noted(self, entry: Entry, what: str, country: str) -> None:
+    def audit(self, entry: Entry, what: str, country: str) -> None:
         """Counts a replica or a run of a message with a home for the residency audit (`home/audit.py`)."""
         if entry.home:
             self.writes.append(Write("audit", (self.now, entry.home, what, country)))
@@ -338,14 +342,14 @@
             self.writes.append(Write("none", (), (confirmation,)))
             self.compare_successes(node, msg)
             return
-        entry, gateway = self.entries.get(msg.mid), self.counters.get(node)
+        entry, gateway = self.entries.get(msg.mid), self.gateways.get(node)
         self.finish(msg.mid, msg.complete, msg.seal, confirmation, waits=msg.until)
-        if entry is not None and gateway is not None and entry.owner != owner(node, gateway.life):
+        if entry is not None and gateway is not None and entry.owner != owner(node, gateway.incarnation):
             # that gateway may lack some of the replicas, or have no link to them
-            self.tell_end(msg.mid, [holder for holder in entry.holders if holder in self.peers])
+            self.send_end(msg.mid, [holder for holder in entry.replicas if holder in self.peers])
         # only the first replica counts the run
-        if entry is not None and msg.complete and self.node in entry.holders[:1]:
-            self.noted(entry, "runs", msg.country)
+        if entry is not None and msg.complete and self.node in entry.replicas[:1]:
+            self.audit(entry, "runs", msg.country)
 
     def compare_successes(self, node: str, msg: End) -> None:
         """Reports two runs of one message that both succeeded, if the answers to both were read."""
@@ -355,12 +359,12 @@
             self.figures["second_successes"] += 1
             self.event(305, message=msg.mid, seal=msg.seal, known=known.seal, by=node)
 
-    def tell_end(self, mid: str, nodes: Iterable[str]) -> None:
+    def send_end(self, mid: str, nodes: Iterable[str]) -> None:
         """Sends the end of a message to these nodes."""
         for node in nodes:
-            self.send(node, "end", self.end_of(mid))
+            self.send(node, "end", self.end_message(mid))
 
-    def end_of(self, mid: str) -> End:
+    def end_message(self, mid: str) -> End:
         """The end as a peer message to other stores, with the seconds that a replica of the message may wait
         anywhere.
         """
@@ -384,10 +388,10 @@
             if all(node != owner_node for node, *_ in then):
                 self.send(owner_node, "end", End(mid=mid, complete=complete, seal=seal))
         if entry is not None and complete:
-            self.held -= entry.size
+            self.stored_bytes -= entry.size
         elif entry is not None:
-            self.dead[mid] = entry.size  # its bytes can still be requested
-        holders = entry.holders if entry is not None else ()
+            self.dead_sizes[mid] = entry.size  # its bytes can still be requested
+        holders = entry.replicas if entry is not None else ()
         self.ends[mid] = KnownEnd(complete, seal, until, holders)
         self.unsynced.add(mid)
         heapq.heappush(self.expiry, (until, mid))
@@ -403,7 +407,7 @@
             elif write.kind == "seal":
                 self.seal.synced(write.fields)  # type: ignore[arg-type]
 
-    def seals(self, key: tuple[int, int]) -> None:
+    def write_seal(self, key: tuple[int, int]) -> None:
         """Writes the seal: nothing is left here and nothing is accepted any more. Reported once it is on the
         disk.
         """
@@ -411,8 +415,8 @@
 
     def ordered(self, key: tuple[int, int], retiring: set[str]) -> None:
         """Handles a configuration: its key, and the stores that it removes; may include this one."""
-        self.moving.retiring = retiring
-        if self.seal.learned(key, self.node in retiring):
+        self.rebalancing.retiring = retiring
+        if self.seal.apply_order(key, self.node in retiring):
             self.writes.append(Write("unseal", ()))
 
     def tried(self, node: str, msg: Tried) -> None:
@@ -426,20 +430,20 @@
         """A gateway returns a message, to be delivered once it is due; or a store has freed it from a gateway
         whose lease expired.
         """
-        entry, gateway = self.entries.get(msg.mid), self.counters.get(node)
+        entry, gateway = self.entries.get(msg.mid), self.gateways.get(node)
         if node in self.peers and entry is not None:
             if msg.claim < entry.claim or (msg.claim == entry.claim and entry.owner):
                 return
-            entry.taken = msg.claim
+            entry.min_claim = msg.claim
         if entry is None or (
             msg.claim < entry.claim
-            and (gateway is None or entry.asked_at or entry.owner != owner(node, gateway.life))
+            and (gateway is None or entry.assigned_at or entry.owner != owner(node, gateway.incarnation))
         ):
             return
         entry.due, entry.claim = self.now + msg.due, max(entry.claim, msg.claim)
         entry.fails, entry.lost = max(entry.fails, msg.fails), max(entry.lost, msg.lost)
         if entry.owner:
-            self.own(entry, "", "parked")
+            self.set_owner(entry, "", "parked")
         else:
             heapq.heappush(self.waiting, (entry.due, entry.mid))
         self.writes.append(Write("tried", (entry.mid, entry.due, entry.fails, entry.lost)))
@@ -452,13 +456,13 @@
         without a link to this one; a void claim loses in any case. The gateway is informed of the messages
         that it has lost.
         """
-        if (gateway := self.counters.get(node)) is None:
+        if (gateway := self.gateways.get(node)) is None:
             return
-        gone = self.claimed(node, msg)
+        gone = self.resolve_claims(node, msg)
         if msg.whole:
             self.reported.add(node)
-            self.unlisted(owner(node, gateway.life), set(msg.mids))
-            self.checks[node] = self.now, msg
+            self.free_unlisted(owner(node, gateway.incarnation), set(msg.mids))
+            self.pending_lists[node] = self.now, msg
             self.check(node)
         elif gone or msg.ask:
             agreed = [mid for mid in msg.mids if mid not in self.ends and mid not in gone] if msg.ask else []
@@ -469,23 +473,23 @@
         Until then a store that had no heartbeat of that gateway may free its messages on old information;
         its report of that arrives before its echo.
         """
-        since, msg = self.checks[node]
+        since, msg = self.pending_lists[node]
         if msg.mids and any(
-            self.peers_echo.get(peer, -1e9) <= since
+            self.peer_echoes.get(peer, -1e9) <= since
             for peer, heard_at in self.peers.items()
-            if self.now - heard_at < AWAY
+            if self.now - heard_at < PEER_TIMEOUT
         ):
             return
-        del self.checks[node]
-        gone = self.claimed(node, msg, take=False)
+        del self.pending_lists[node]
+        gone = self.resolve_claims(node, msg, take=False)
         self.sends.append(Send(node, "checked", Checked(gone=gone, number=msg.number)))
 
-    def claimed(self, node: str, msg: Mine, take: bool = True) -> list[str]:
+    def resolve_claims(self, node: str, msg: Mine, take: bool = True) -> list[str]:
         """Returns the listed messages that are not the gateway's. `take`: it becomes the owner of the others;
         false where the list has waited here for a while, as the gateway may have returned some of them
         since.
         """
-        process = owner(node, self.counters[node].life)
+        process = owner(node, self.gateways[node].incarnation)
         gone: list[str] = []
         for mid, claim in zip(msg.mids, msg.claims):
             entry = self.entries.get(mid)
@@ -493,51 +497,51 @@
                 if mid in self.ends:  # it lacks the report of the end
                     end = self.ends[mid]
                     self.send(node, "end", End(mid=mid, complete=end.complete, seal=end.seal))
-            elif claim >= entry.taken and (entry.owner in ("", process) or not self.alive(entry.owner)):
+            elif claim >= entry.min_claim and (entry.owner in ("", process) or not self.alive(entry.owner)):
                 if entry.owner not in ("", process):
-                    self.tell_gone(entry.owner, mid)
+                    self.send_gone(entry.owner, mid)
                 if take or entry.owner:
                     entry.claim = max(entry.claim, claim)
-                    self.own(entry, process)
+                    self.set_owner(entry, process)
             else:
                 gone.append(mid)
         return gone
 
-    def unlisted(self, process: str, listed: set[str]) -> None:
+    def free_unlisted(self, process: str, listed: set[str]) -> None:
         """Frees messages that it owns here and does not list: its report of returning them was lost with a
         link.
         """
         for mid in sorted(self.owned.get(process, set()) - listed):
-            if not self.entries[mid].asked_at:  # else the assignment may still be in transit
-                self.own(self.entries[mid], "", "unlisted")
-                self.reconciliation.doubt(mid)
+            if not self.entries[mid].assigned_at:  # else the assignment may still be in transit
+                self.set_owner(self.entries[mid], "", "unlisted")
+                self.reconciliation.suspect(mid)
                 # should it still have the message, it does not begin another attempt
-                self.tell_gone(process, mid)
+                self.send_gone(process, mid)
 
-    def tell_gone(self, process: str, mid: str) -> None:
+    def send_gone(self, process: str, mid: str) -> None:
         """Informs a gateway process that a message is no longer its own."""
         node, _, incarnation = process.rpartition("/")
-        if (gateway := self.counters.get(node)) is not None and gateway.life == int(incarnation):
+        if (gateway := self.gateways.get(node)) is not None and gateway.incarnation == int(incarnation):
             self.send(node, "checked", Checked(gone=[mid]))
 
     def refuse(self, node: str, msg: Refuse) -> None:
         """A gateway rejects an assignment, or returns a message because another store reported another
         owner.
         """
-        entry, gateway = self.entries.get(msg.mid), self.counters.get(node)
-        if entry is None or gateway is None or entry.owner != owner(node, gateway.life):
+        entry, gateway = self.entries.get(msg.mid), self.gateways.get(node)
+        if entry is None or gateway is None or entry.owner != owner(node, gateway.incarnation):
             return
-        if msg.claim == entry.claim or not entry.asked_at:  # else it refers to an earlier assignment
-            entry.due = max(entry.due, self.now + self.pause(entry))
-            self.own(entry, "", "refused")
+        if msg.claim == entry.claim or not entry.assigned_at:  # else it refers to an earlier assignment
+            entry.due = max(entry.due, self.now + self.reassign_delay(entry))
+            self.set_owner(entry, "", "refused")
 
-    def pause(self, entry: Entry) -> float:
+    def reassign_delay(self, entry: Entry) -> float:
         """Seconds until a rejected message is assigned again. It differs from the other replicas' delays:
         otherwise two stores without a link to each other would have each other's gateway reject it for
         ever.
         """
         fraction = zlib.crc32(f"{entry.mid}/{entry.claim}/{self.node}".encode()) / 2**32
-        return REFUSED * (0.5 + fraction)
+        return REASSIGN_DELAY * (0.5 + fraction)
 
     def holders(self, node: str, msg: Holders) -> None:
         """The accepting gateway or another store names the replicas; a store that is not among them drops its
@@ -549,14 +553,14 @@
         if self.node not in msg.holders:
             self.drop(entry)
             return
-        entry.holders = tuple(msg.holders)
-        self.writes.append(Write("holders", (entry.mid, " ".join(entry.holders))))
+        entry.replicas = tuple(msg.holders)
+        self.writes.append(Write("holders", (entry.mid, " ".join(entry.replicas))))
 
     def drop(self, entry: Entry) -> None:
         """Deletes this store's replica."""
-        self.own(entry, "")
+        self.set_owner(entry, "")
         del self.entries[entry.mid]
-        self.held -= entry.size
+        self.stored_bytes -= entry.size
         self.writes.append(Write("drop", (entry.mid,)))
 
     # ---- queries
@@ -570,10 +574,10 @@
             return Told(state=MessageState.PENDING)
         return Told(state=MessageState.UNKNOWN if self.settled else MessageState.UNSURE)
 
-    def holders_of(self, mid: str) -> tuple[str, ...]:
+    def replicas_of(self, mid: str) -> tuple[str, ...]:
         """Stores that have the message, or had it when it ended; empty where it is unknown."""
         known = self.entries.get(mid) or self.ends.get(mid)
-        return known.holders if known is not None else ()
+        return known.replicas if known is not None else ()
 
     # ---- other stores
 
@@ -586,13 +590,13 @@
     def depot_up(self, node: str, zone: str = "", disk: str = "") -> None:
         """A link to a store is up. `disk`: id of its disk."""
         self.peers[node] = self.now
-        self.moving.up(node, zone, disk)
-        self.compare(node)
+        self.rebalancing.up(node, zone, disk)
+        self.start_comparison(node)
 
-    def compare(self, node: str) -> None:
+    def start_comparison(self, node: str) -> None:
         """Sends that store the pending messages that it has as well; it answers with what differs there."""
-        self.awaits.add(node)
-        pending = sorted(mid for mid, entry in self.entries.items() if node in entry.holders)
+        self.awaited_peers.add(node)
+        pending = sorted(mid for mid, entry in self.entries.items() if node in entry.replicas)
         for at in range(0, max(1, len(pending)), BATCH):
             part = pending[at : at + BATCH]
             self.sends.append(Send(node, "have", Have(pending=part, last=at + BATCH >= len(pending))))
@@ -600,27 +604,27 @@
     def depot_down(self, node: str) -> None:
         """The link to a store is down."""
         self.peers.pop(node, None)
-        self.peers_hear.pop(node, None)
-        self.peers_ask.pop(node, None)
-        self.peers_echo.pop(node, None)
+        self.peer_reports.pop(node, None)
+        self.peer_queries.pop(node, None)
+        self.peer_echoes.pop(node, None)
         self.peers_settled.pop(node, None)
-        self.awaits.discard(node)
-        self.moving.down(node)
+        self.awaited_peers.discard(node)
+        self.rebalancing.down(node)
 
     def depot_pulse(self, node: str, pulse: Pulse) -> None:
         """A heartbeat of a store was received."""
         if node in self.peers:
             self.peers[node] = self.now
             self.peers_settled[node] = pulse.settled and not pulse.leaving
-            self.peers_hear[node] = {process: self.now - age for process, age in pulse.edges.items()}
-            self.peers_ask[node] = list(pulse.deaf)
-            self.peers_echo[node] = pulse.echo
-            for gateway in list(self.checks):
+            self.peer_reports[node] = {process: self.now - age for process, age in pulse.edges.items()}
+            self.peer_queries[node] = list(pulse.deaf)
+            self.peer_echoes[node] = pulse.echo
+            for gateway in list(self.pending_lists):
                 self.check(gateway)
 
     def have(self, node: str, msg: Have) -> None:
         """Answers another store's list of pending messages that should be here as well."""
-        ends = [self.end_of(mid) for mid in msg.pending if mid in self.ends]
+        ends = [self.end_message(mid) for mid in msg.pending if mid in self.ends]
         if msg.ends:
             if ends:
                 self.send(node, "differ", Differ(ends=ends))
@@ -629,7 +633,7 @@
         drop = [
             mid
             for mid in msg.pending
-            if (entry := self.entries.get(mid)) is not None and node not in entry.holders
+            if (entry := self.entries.get(mid)) is not None and node not in entry.replicas
         ]
         self.sends.append(Send(node, "differ", Differ(ends=ends, lack=lack, last=msg.last, drop=drop)))
 
@@ -637,7 +641,9 @@
         """Handles the differences that a store reports: ends, replicas that it lacks, replicas to drop."""
         for end in msg.ends:
             if end.mid not in self.ends:
-                if not msg.last and node not in self.awaits:  # not part of the comparison on a new link
+                if (
+                    not msg.last and node not in self.awaited_peers
+                ):  # not part of the comparison on a new link
                     self.figures["missed_ends"] += 1
                     self.event(306, message=end.mid, by=node)
                 self.finish(end.mid, end.complete, end.seal, waits=end.until)
@@ -648,7 +654,7 @@
             if mid in self.entries:
                 self.fetches.append(Fetch(mid, ("hand", node)))
         if msg.last:
-            self.awaits.discard(node)
+            self.awaited_peers.discard(node)
 
     def rotten(self, mid: str) -> None:
         """The message's bytes on this disk are corrupted: this replica is lost, and requested again from the
@@ -657,7 +663,7 @@
         entry = self.entries.get(mid)
         if entry is not None:
             self.drop(entry)
-            for node in entry.holders:
+            for node in entry.replicas:
                 if node != self.node:
                     self.send(node, "differ", Differ(lack=[mid]))
 
@@ -669,14 +675,14 @@
             mid = message.mid
             then = ((node, "kept", Kept(mid=mid)),) if msg.answer else ()
             if mid in self.ends:
-                self.tell_end(mid, [node])
+                self.send_end(mid, [node])
             elif (known := self.entries.get(mid)) is not None:
-                known.holders = tuple(message.holders)
+                known.replicas = tuple(message.holders)
                 if process and message.claim >= known.claim and not known.owner:
                     known.claim = message.claim
-                    self.own(known, process)
-                self.writes.append(Write("holders", (mid, " ".join(known.holders)), then))
-            elif msg.answer and (self.seal.closed or self.held + message.ByteSize() > self.room):
+                    self.set_owner(known, process)
+                self.writes.append(Write("holders", (mid, " ".join(known.replicas)), then))
+            elif msg.answer and (self.seal.closed or self.stored_bytes + message.ByteSize() > self.room):
                 self.send(node, "kept", Kept(mid=mid, refused=True))
             elif self.seal.written is not None:
                 continue  # a sealed disk takes no replicas
@@ -711,16 +717,18 @@
                         then,
                     )
                 )
-                self.noted(entry, "copies", self.country(self.zone))
+                self.audit(entry, "copies", self.country(self.zone))
 
     # ---- time
 
-    def acts(self, entry: Entry) -> bool:
+    def is_acting(self, entry: Entry) -> bool:
         """Whether this store assigns the message: it is the first of its replicas that is available."""
-        for holder in entry.holders:
+        for holder in entry.replicas:
             if holder == self.node:
                 return True
-            if self.now - self.peers.get(holder, -1e9) < AWAY and self.peers_settled.get(holder, False):
+            if self.now - self.peers.get(holder, -1e9) < PEER_TIMEOUT and self.peers_settled.get(
+                holder, False
+            ):
                 return False
         return True  # it is here, though it is not listed as a replica and no listed one is available
 
@@ -728,44 +736,50 @@
         """Handles all that is due by the time that `clock` set."""
         # After a stall, heartbeats of the others may lie here unread. They are read before the next tick,
         # which applies the time-outs; a store that is always slow applies them at every second tick.
-        elapsed, self.ticked = self.now - self.ticked, self.now
-        self.waited = stalled = elapsed > STILL and not self.waited
-        if stalled and elapsed > AWAY and self.settled:
+        elapsed, self.ticked_at = self.now - self.ticked_at, self.now
+        self.skipped_timeouts = stalled = elapsed > STALL and not self.skipped_timeouts
+        if stalled and elapsed > PEER_TIMEOUT and self.settled:
             # other stores have acted in its place, and peer messages may have been lost with links: as after
             # a start
-            self.settled, self.started = False, self.now
+            self.settled, self.started_at = False, self.now
             for node in self.peers:
-                self.compare(node)
+                self.start_comparison(node)
         if not self.settled:
             # all expected nodes have reported, or so much time has passed that the missing ones count as
             # absent
             all_reported = self.expected is not None and self.expected <= self.reported | set(self.peers)
-            age = self.now - self.started
-            self.settled = (not self.awaits and (all_reported or age >= SETTLE)) or age >= 2.0 * SETTLE
+            age = self.now - self.started_at
+            self.settled = (
+                not self.awaited_peers and (all_reported or age >= STARTUP_WAIT)
+            ) or age >= 2.0 * STARTUP_WAIT
         for process in list(self.owned):
-            if not self.owned[process] or self.now - self.heard_at(process) < DEAF:
-                self.deaf.pop(process, None)
+            if not self.owned[process] or self.now - self.last_seen(process) < QUERY_AFTER:
+                self.silent_owners.pop(process, None)
                 if not self.owned[process]:
                     del self.owned[process]
             elif (
-                self.now - self.deaf.setdefault(process, self.now) >= ASKED
+                self.now - self.silent_owners.setdefault(process, self.now) >= QUERY_FOR
                 and not self.alive(process)
                 and self.settled
                 and not stalled
             ):
                 self.lapsed(process, silent=True)
-        for counter in list(self.checks):
+        for counter in list(self.pending_lists):
             self.check(counter)
         self.reconciliation.tick()
         while self.expiry and self.expiry[0][0] <= self.now:
             self.expire(heapq.heappop(self.expiry)[1])
         if not self.leaving and not stalled:
-            self.moving.tick()
+            self.rebalancing.tick()
         if self.settled and not self.leaving and not stalled:
-            while self.asked and self.asked[0][0] <= self.now:
-                entry = self.entries.get(heapq.heappop(self.asked)[1])
-                if entry is not None and entry.asked_at and self.now - entry.asked_at >= AGAIN - 1e-6:
-                    self.ask(entry)
+            while self.unacknowledged and self.unacknowledged[0][0] <= self.now:
+                entry = self.entries.get(heapq.heappop(self.unacknowledged)[1])
+                if (
+                    entry is not None
+                    and entry.assigned_at
+                    and self.now - entry.assigned_at >= ASSIGN_RETRY - 1e-6
+                ):
+                    self.send_assignment(entry)
             self.assign()
 
     def expire(self, mid: str) -> None:
@@ -775,30 +789,30 @@
                 self.finish(mid, False, "")
         elif (end := self.ends.get(mid)) is not None and end.until <= self.now:
             del self.ends[mid]
-            self.moving.ends_done.discard(mid)
-            self.held -= self.dead.pop(mid, 0)
+            self.rebalancing.moved_ends.discard(mid)
+            self.stored_bytes -= self.dead_sizes.pop(mid, 0)
             self.writes.append(Write("forget", (mid,)))
 
     def assign(self) -> None:
         """Assigns messages that are due and have no owner."""
         later: list[tuple[float, str]] = []
-        remaining = STEP
-        candidates: list[Counter] | None = None
-        by_country = dict[str, list[Counter]]()  # by country
-        while self.waiting and remaining and self.waiting[0][0] <= self.now + LEAD:
+        remaining = ASSIGN_BATCH
+        candidates: list[Gateway] | None = None
+        by_country = dict[str, list[Gateway]]()  # by country
+        while self.waiting and remaining and self.waiting[0][0] <= self.now + ASSIGN_LEAD:
             due, mid = heapq.heappop(self.waiting)
             entry = self.entries.get(mid)
             if entry is None or entry.owner or entry.due > due + 1e-6:
                 continue
-            if not self.acts(entry):
+            if not self.is_acting(entry):
                 later.append((self.now + 0.25, mid))
                 entry.due = max(entry.due, self.now + 0.25) if entry.due > self.now else entry.due
                 continue
             if candidates is None:
-                candidates = self.takers()
+                candidates = self.candidates()
             if entry.home:
                 if entry.home not in by_country:
-                    by_country[entry.home] = self.takers(entry.home)
+                    by_country[entry.home] = self.candidates(entry.home)
                 if not (eligible := by_country[entry.home]):  # it waits, without holding up others
                     later.append((self.now + 0.25, mid))
                     continue
@@ -809,34 +823,34 @@
                 later.append((self.now + 0.25, mid))
                 continue
             remaining -= 1
-            chosen = min(eligible, key=lambda c: c.given)
-            chosen.given += 1
+            chosen = min(eligible, key=lambda c: c.assigned)
+            chosen.assigned += 1
             entry.claim += 1
-            self.own(entry, owner(chosen.node, chosen.life))
-            self.ask(entry)
+            self.set_owner(entry, owner(chosen.node, chosen.incarnation))
+            self.send_assignment(entry)
         for item in later:
             heapq.heappush(self.waiting, item)
 
-    def ask(self, entry: Entry) -> None:
+    def send_assignment(self, entry: Entry) -> None:
         """Sends an assignment to its owner and waits for the acknowledgement."""
-        entry.asked_at = self.now
-        heapq.heappush(self.asked, (self.now + AGAIN, entry.mid))
+        entry.assigned_at = self.now
+        heapq.heappush(self.unacknowledged, (self.now + ASSIGN_RETRY, entry.mid))
         self.fetches.append(Fetch(entry.mid, ("assign", entry.owner, entry.claim)))
 
     def country(self, zone: str) -> str:
         return self.policy.country(zone) if self.policy is not None else ""
 
-    def takers(self, home: str = "") -> list[Counter]:
+    def candidates(self, home: str = "") -> list[Gateway]:
         """Gateways that may be assigned a message: those of this zone, where there are any. `home`: only
         those in that country.
         """
         available = [
             c
-            for c in self.counters.values()
+            for c in self.gateways.values()
             if c.linked
             and c.ready
             and not c.leaving
-            and self.now - c.heard_at < 1.0
+            and self.now - c.last_seen < 1.0
             and (not home or self.country(c.zone) == home)
         ]
         return [c for c in available if c.zone == self.zone] or available
@@ -847,18 +861,18 @@
         if why[0] == "dead" and message is not None and mid in self.ends:
             for target in why[1]:  # first its bytes, then its end
                 self.send(target, "hand", Hand(letters=[message]))
-            self.moving.say_end(mid, why[1])
+            self.rebalancing.send_end(mid, why[1])
             return
         if entry is None or message is None:
             return
         message.due, message.until = max(0.0, entry.due - self.now), max(0.0, entry.until - self.now)
         message.fails, message.lost, message.claim = entry.fails, entry.lost, entry.claim
         del message.holders[:]
-        message.holders.extend(entry.holders)
+        message.holders.extend(entry.replicas)
         if why[0] == "assign":
             if (entry.owner, entry.claim) == why[1:]:
                 self.figures["assigned"] += 1
-                self.trace(352, message=mid, to=entry.owner, claim=entry.claim, why=entry.freed_by)
+                self.trace(352, message=mid, to=entry.owner, claim=entry.claim, why=entry.release_reason)
                 self.sends.append(Send(why[1].rpartition("/")[0], "assign", Assign(letter=message)))
         elif why[0] == "hand":
             self.sends.append(Send(why[1], "hand", Hand(letters=[message], owners=[entry.owner])))
--- a/opalwick/post/depot/messages.py
+++ b/opalwick/post/depot/messages.py
@@ -14,7 +14,7 @@
 from opalwick.post.wire_pb2 import Holders
 
 
-class Messages(Protocol):
+class StoreState(Protocol):
     """The state of a store. Times are in seconds of its clock."""
 
     node: str
@@ -24,7 +24,7 @@
     entries: dict[str, Entry]  # pending messages, by id
     ends: dict[str, KnownEnd]  # by message id
     unsynced: set[str]  # ends that are not on the disk yet
-    dead: dict[str, int]  # bytes of each dead message
+    dead_sizes: dict[str, int]  # bytes of each dead message
     peers: dict[str, float]  # linked stores: when the last heartbeat of each was received
     peers_settled: dict[str, bool]
     seal: Seal
@@ -33,7 +33,7 @@
         """The country that a zone is in; empty where it is unknown."""
         ...
 
-    def acts(self, entry: Entry) -> bool:
+    def is_acting(self, entry: Entry) -> bool:
         """Whether this store is the one among the message's replicas that assigns it."""
         ...
 
@@ -43,7 +43,7 @@
         """Requests the message's bytes from the disk, for this reason."""
         ...
 
-    def tell_end(self, mid: str, nodes: Iterable[str]) -> None:
+    def send_end(self, mid: str, nodes: Iterable[str]) -> None:
         """Sends how the message ended to these nodes."""
         ...
 
@@ -51,6 +51,6 @@
         """Handles that node's list of the stores that have a replica from now on."""
         ...
 
-    def seals(self, key: Any) -> None:
+    def write_seal(self, key: Any) -> None:
         """Writes the seal to the disk."""
         ...
--- a/opalwick/post/depot/moving.py
+++ b/opalwick/post/depot/moving.py
@@ -12,18 +12,18 @@
 from collections import deque
 from typing import Any, NamedTuple
 
-from opalwick.post.depot.messages import Messages
+from opalwick.post.depot.messages import StoreState
 from opalwick.post.depot.records import Entry
 from opalwick.post.wire_pb2 import Holders
 
-AT_ONCE = 64  # transfers in progress at once: a few hundred kilobytes, a tenth of a second of a disk
-AGAIN = 2.0  # s until an unanswered transfer is tried again, perhaps to another store
+MAX_TRANSFERS = 64  # transfers in progress at once: a few hundred kilobytes, a tenth of a second of a disk
+TRANSFER_RETRY = 2.0  # s until an unanswered transfer is tried again, perhaps to another store
 # s that a store is away until its replicas are restored elsewhere: over twice its slowest restart
-REPAIR = 8.0
+REPAIR_AFTER = 8.0
 # s without a heartbeat after which a store counts as replaced, if a store that is new to the cluster has
 # come; soon, as a further store may be lost once the new one has had its time to fill
-REPLACED = 1.2
-LOOK = 0.5  # s between scans for replicas to move
+REPLACED_AFTER = 1.2
+SCAN_INTERVAL = 0.5  # s between scans for replicas to move
 
 
 class Transfer(NamedTuple):
@@ -31,66 +31,72 @@
 
     target: str
     since: float  # s, this store's clock
-    holders: tuple[str, ...]  # stores that have the message once the transfer is done
+    replicas: tuple[str, ...]  # stores that have the message once the transfer is done
 
 
-class Moving:
+class Rebalancing:
     """Transfers of replicas and ends from this store to others."""
 
-    def __init__(self, store: Messages, copies: int, spread: bool) -> None:
-        self.k, self.copies, self.spread = store, copies, spread
+    def __init__(self, store: StoreState, copies: int, spread: bool) -> None:
+        self.store, self.copies, self.spread = store, copies, spread
         self.retiring = set[str]()  # stores that are to be removed; may include this one
         self.zones: dict[str, str] = {}  # by store
         self.away_since: dict[str, float] = {}  # stores that were linked and are not: since when
-        self.came: dict[str, float] = {}  # stores that have connected for the first time: when
+        self.newcomers: dict[str, float] = {}  # stores that have connected for the first time: when
         self.disks: dict[str, str] = {}
-        self.on_way: dict[str, Transfer] = {}  # by message id
-        self.ends: dict[str, set[str]] = {}  # ends in transfer: the stores that have not confirmed them
-        self.ends_since: dict[str, float] = {}
-        self.ends_done = set[str]()
+        self.transfers: dict[str, Transfer] = {}  # by message id
+        self.end_transfers: dict[
+            str, set[str]
+        ] = {}  # ends in transfer: the stores that have not confirmed them
+        self.end_transfers_since: dict[str, float] = {}
+        self.moved_ends = set[str]()
         self.todo: deque[str] = deque()
-        self.look_at = 0.0
+        self.next_scan = 0.0
         self.figures = {"moved": 0, "repaired": 0}
 
     # ---- membership
 
     def up(self, node: str, zone: str, disk: str) -> None:
         """A link to a store is up. One that comes back with another disk is sent the ends that it had."""
-        if node not in self.zones and self.k.settled:
-            self.came[node] = self.k.now
+        if node not in self.zones and self.store.settled:
+            self.newcomers[node] = self.store.now
         self.zones[node] = zone
         self.away_since.pop(node, None)
         known, self.disks[node] = self.disks.get(node), disk
         if known is not None and known != disk:  # it lost its disk, and with it all ends
-            for mid, end in self.k.ends.items():
-                if node in end.holders:
-                    self.k.tell_end(mid, [node])
+            for mid, end in self.store.ends.items():
+                if node in end.replicas:
+                    self.store.send_end(mid, [node])
 
     def down(self, node: str) -> None:
         """The link to a store is down."""
-        self.away_since[node] = self.k.now
+        self.away_since[node] = self.store.now
 
-    def able(self) -> list[str]:
+    def available(self) -> list[str]:
         """Stores that can take a replica."""
-        k = self.k
+        k = self.store
         return [
             node
             for node, received_at in k.peers.items()
             if k.now - received_at < 1.0 and k.peers_settled.get(node, False) and node not in self.retiring
         ]
 
-    def at(self, node: str) -> str:
+    def country_of(self, node: str) -> str:
         """The country that a store is in, by the data residency policy; empty where it is unknown."""
-        return self.k.country(self.zones.get(node, "") if node != self.k.node else self.k.zone)
+        return self.store.country(self.zones.get(node, "") if node != self.store.node else self.store.zone)
 
     def choose(self, mid: str, holders: tuple[str, ...], count: int = 1, home: str = "") -> list[str]:
         """Returns up to `count` stores for a further replica, the best first: in a zone without one (if
         replicas need not be spread: in a zone with one), then by a hash that is the same at all stores.
         `home`: only stores in that country.
         """
-        zones = {self.zones.get(node, "") if node != self.k.node else self.k.zone for node in holders}
+        zones = {self.zones.get(node, "") if node != self.store.node else self.store.zone for node in holders}
         return sorted(
-            (node for node in self.able() if node not in holders and (not home or self.at(node) == home)),
+            (
+                node
+                for node in self.available()
+                if node not in holders and (not home or self.country_of(node) == home)
+            ),
             key=lambda node: (
                 (self.zones.get(node) in zones) == self.spread,
                 zlib.crc32(f"{mid}/{node}".encode()),
@@ -101,131 +107,137 @@
 
     def tick(self) -> None:
         """Starts transfers, and drops those that were not answered in time."""
-        k = self.k
-        if not k.settled or k.now < self.look_at:
+        k = self.store
+        if not k.settled or k.now < self.next_scan:
             return
-        self.look_at = k.now + LOOK
-        for mid in [mid for mid, transfer in self.on_way.items() if k.now - transfer.since > AGAIN]:
-            del self.on_way[mid]
+        self.next_scan = k.now + SCAN_INTERVAL
+        for mid in [
+            mid for mid, transfer in self.transfers.items() if k.now - transfer.since > TRANSFER_RETRY
+        ]:
+            del self.transfers[mid]
         for mid in [
-            mid for mid, since in self.ends_since.items() if k.now - since > AGAIN and mid in self.ends
+            mid
+            for mid, since in self.end_transfers_since.items()
+            if k.now - since > TRANSFER_RETRY and mid in self.end_transfers
         ]:
-            del self.ends[mid]  # sent again by the next scan, perhaps to another store
+            del self.end_transfers[mid]  # sent again by the next scan, perhaps to another store
         if k.node in self.retiring:
-            for entry in sorted(k.entries.values(), key=lambda e: e.until)[: 4 * AT_ONCE]:
+            for entry in sorted(k.entries.values(), key=lambda e: e.until)[: 4 * MAX_TRANSFERS]:
                 self.start(entry, k.node)
             self.move_ends()
             if (key := k.seal.due(self.drained)) is not None:
-                k.seals(key)
+                k.write_seal(key)
             return
-        gone = self.gone()
+        gone = self.lost_stores()
         if gone:
             for entry in sorted(k.entries.values(), key=lambda e: e.until):
-                lost = next((node for node in entry.holders if node in gone), None)
-                if lost is not None and k.acts(entry):
+                lost = next((node for node in entry.replicas if node in gone), None)
+                if lost is not None and k.is_acting(entry):
                     self.start(entry, lost)
 
-    def gone(self) -> set[str]:
+    def lost_stores(self) -> set[str]:
         """Stores that are taken to be lost with their replicas."""
-        k = self.k
-        self.came = {node: since for node, since in self.came.items() if k.now - since < REPAIR}
-        gone = {node for node, since in self.away_since.items() if k.now - since > REPAIR}
-        if self.came:
+        k = self.store
+        self.newcomers = {
+            node: since for node, since in self.newcomers.items() if k.now - since < REPAIR_AFTER
+        }
+        gone = {node for node, since in self.away_since.items() if k.now - since > REPAIR_AFTER}
+        if self.newcomers:
             last_seen = self.away_since | k.peers
-            gone |= {node for node, since in last_seen.items() if k.now - since > REPLACED}
+            gone |= {node for node, since in last_seen.items() if k.now - since > REPLACED_AFTER}
         return gone
 
     def start(self, entry: Entry, without: str) -> None:
         """Starts moving a replica away from the store `without`."""
-        if entry.mid in self.on_way or len(self.on_way) >= AT_ONCE:
+        if entry.mid in self.transfers or len(self.transfers) >= MAX_TRANSFERS:
             return
-        left = tuple(node for node in entry.holders if node != without)
-        target = self.choose(entry.mid, entry.holders, home=entry.home)
+        left = tuple(node for node in entry.replicas if node != without)
+        target = self.choose(entry.mid, entry.replicas, home=entry.home)
         # the other replicas may be enough, where the gateway replaced a store that did not answer
         if target or len(left) >= self.copies:
             holders = left if len(left) >= self.copies else (*left, target[0])
             if holders == left:
-                self.settle(entry, holders)
+                self.complete(entry, holders)
                 return
-            self.on_way[entry.mid] = Transfer(target[0], self.k.now, holders)
-            self.k.fetch(entry.mid, ("move", target[0], holders))
+            self.transfers[entry.mid] = Transfer(target[0], self.store.now, holders)
+            self.store.fetch(entry.mid, ("move", target[0], holders))
 
     def move_ends(self) -> None:
         """Of a store that is to be removed: sends each end, and a dead message's bytes, until enough others
         have it.
         """
-        for mid, end in list(self.k.ends.items()):
-            if mid in self.ends_done or mid in self.ends or mid in self.k.unsynced:
+        for mid, end in list(self.store.ends.items()):
+            if mid in self.moved_ends or mid in self.end_transfers or mid in self.store.unsynced:
                 continue
-            if len(self.ends) >= 4 * AT_ONCE:
+            if len(self.end_transfers) >= 4 * MAX_TRANSFERS:
                 break
-            others = [node for node in end.holders if node != self.k.node and node in self.able()]
+            others = [node for node in end.replicas if node != self.store.node and node in self.available()]
             # an end does not say whose message it was: if all replicas were in one country, it stays there
-            countries = {self.at(node) for node in end.holders}
+            countries = {self.country_of(node) for node in end.replicas}
             home = countries.pop() if len(countries) == 1 else ""
-            targets = others + self.choose(mid, end.holders, max(0, self.copies - len(others)), home)
+            targets = others + self.choose(mid, end.replicas, max(0, self.copies - len(others)), home)
             if not targets:
                 continue
-            self.ends[mid], self.ends_since[mid] = set(targets), self.k.now
-            if mid in self.k.dead:
-                self.k.fetch(mid, ("dead", tuple(targets)))
+            self.end_transfers[mid], self.end_transfers_since[mid] = set(targets), self.store.now
+            if mid in self.store.dead_sizes:
+                self.store.fetch(mid, ("dead", tuple(targets)))
             else:
-                self.say_end(mid, targets)
+                self.send_end(mid, targets)
 
-    def say_end(self, mid: str, targets: Any) -> None:
+    def send_end(self, mid: str, targets: Any) -> None:
         """Sends an end to these stores."""
-        self.k.tell_end(mid, targets)
+        self.store.send_end(mid, targets)
 
     # ---- answers
 
     def kept(self, node: str, mid: str, refused: bool) -> None:
         """A store has answered a transfer."""
-        transfer = self.on_way.get(mid)
+        transfer = self.transfers.get(mid)
         if transfer is None or transfer.target != node:
             return
-        del self.on_way[mid]
-        if 2 * len(self.on_way) < AT_ONCE:
-            self.look_at = self.k.now  # starts further transfers without waiting for the next scan
-        entry = self.k.entries.get(mid)
+        del self.transfers[mid]
+        if 2 * len(self.transfers) < MAX_TRANSFERS:
+            self.next_scan = self.store.now  # starts further transfers without waiting for the next scan
+        entry = self.store.entries.get(mid)
         if entry is not None and not refused:
-            self.settle(entry, transfer.holders)
-        elif mid in self.k.ends and not refused:  # the message ended during the transfer
-            self.k.tell_end(mid, [node])
+            self.complete(entry, transfer.replicas)
+        elif mid in self.store.ends and not refused:  # the message ended during the transfer
+            self.store.send_end(mid, [node])
 
-    def settle(self, entry: Entry, holders: tuple[str, ...]) -> None:
+    def complete(self, entry: Entry, holders: tuple[str, ...]) -> None:
         """Sends the new list of replicas to all stores that are or were on it, and to the owner."""
         msg = Holders(mid=entry.mid, holders=holders)
-        for node in dict.fromkeys((*entry.holders, *holders)):
-            if node != self.k.node:
-                self.k.send(node, "holders", msg)
+        for node in dict.fromkeys((*entry.replicas, *holders)):
+            if node != self.store.node:
+                self.store.send(node, "holders", msg)
         if entry.owner:
-            self.k.send(entry.owner.rpartition("/")[0], "holders", msg)
-        self.figures["moved" if self.k.node not in holders else "repaired"] += 1
-        self.k.holders(self.k.node, msg)
+            self.store.send(entry.owner.rpartition("/")[0], "holders", msg)
+        self.figures["moved" if self.store.node not in holders else "repaired"] += 1
+        self.store.holders(self.store.node, msg)
 
     def ended(self, node: str, mid: str) -> None:
         """A store has confirmed an end."""
-        missing = self.ends.get(mid)
+        missing = self.end_transfers.get(mid)
         if missing is not None:
             missing.discard(node)
             if not missing:
-                del self.ends[mid], self.ends_since[mid]
-                self.ends_done.add(mid)
+                del self.end_transfers[mid], self.end_transfers_since[mid]
+                self.moved_ends.add(mid)
 
     @property
     def empty(self) -> bool:
         """This store is to be removed, all that it has is elsewhere too, and its disk is sealed against
         more.
         """
-        return self.drained and self.k.seal.written is not None
+        return self.drained and self.store.seal.written is not None
 
     @property
     def drained(self) -> bool:
         """This store is to be removed, and all that it has is elsewhere too."""
         return (
-            self.k.node in self.retiring
-            and self.k.settled
-            and not self.k.entries
-            and not self.on_way
-            and all(mid in self.ends_done for mid in self.k.ends)
+            self.store.node in self.retiring
+            and self.store.settled
+            and not self.store.entries
+            and not self.transfers
+            and all(mid in self.moved_ends for mid in self.store.ends)
         )
--- a/opalwick/post/depot/reconciliation.py
+++ b/opalwick/post/depot/reconciliation.py
@@ -10,62 +10,62 @@
 
 from collections.abc import Iterable
 
-from opalwick.post.depot.messages import Messages
+from opalwick.post.depot.messages import StoreState
 from opalwick.post.depot.records import Entry
 from opalwick.post.wire_pb2 import Have
 
 OVERDUE = 3.0  # s after a message was due until the other replicas are asked whether it has ended
-SCAN = 1.0  # s between scans for such messages
-SCANNED = 200  # messages per scan: some microseconds each
+SCAN_INTERVAL = 1.0  # s between scans for such messages
+SCAN_SIZE = 200  # messages per scan: some microseconds each
 BATCH = 500  # message ids in one peer message
 
 
 class Reconciliation:
     """Finds the messages to compare and requests their state from the other replicas."""
 
-    def __init__(self, store: Messages) -> None:
-        self.keeping = store
-        self.doubted: dict[str, None] = {}  # messages to compare at the next tick
-        self.scan_at = store.now
+    def __init__(self, store: StoreState) -> None:
+        self.store = store
+        self.suspects: dict[str, None] = {}  # messages to compare at the next tick
+        self.next_scan = store.now
         self.unscanned: list[str] = []  # ids of messages that the current scan has yet to check
 
-    def doubt(self, mid: str) -> None:
+    def suspect(self, mid: str) -> None:
         """Marks a message that has lost its owner: another replica may have its end."""
-        self.doubted[mid] = None
+        self.suspects[mid] = None
 
     def tick(self) -> None:
         """Sends the comparisons that are due."""
-        if self.doubted:
-            self.ask_about(self.doubted)
-            self.doubted.clear()
-        if self.keeping.settled and self.scan_at <= self.keeping.now:
-            self.scan_at = self.keeping.now + SCAN
-            self.ask_about(self.overdue())
+        if self.suspects:
+            self.query(self.suspects)
+            self.suspects.clear()
+        if self.store.settled and self.next_scan <= self.store.now:
+            self.next_scan = self.store.now + SCAN_INTERVAL
+            self.query(self.overdue())
 
-    def ask_about(self, mids: Iterable[str]) -> None:
+    def query(self, mids: Iterable[str]) -> None:
         """Requests what the other replicas of these messages have of them."""
         asked: dict[str, list[str]] = {}
         for mid in mids:
-            for node in self.others_that_keep(mid):
+            for node in self.other_replicas(mid):
                 asked.setdefault(node, []).append(mid)
         for node, pending in asked.items():
             for at in range(0, len(pending), BATCH):
-                self.keeping.send(node, "have", Have(pending=pending[at : at + BATCH], ends=True))
+                self.store.send(node, "have", Have(pending=pending[at : at + BATCH], ends=True))
 
-    def others_that_keep(self, mid: str) -> list[str]:
+    def other_replicas(self, mid: str) -> list[str]:
         """The linked stores that have the message as well; none if it has ended here."""
-        entry = self.keeping.entries.get(mid)
+        entry = self.store.entries.get(mid)
         if entry is None:
             return []
-        return [node for node in entry.holders if node != self.keeping.node and node in self.keeping.peers]
+        return [node for node in entry.replicas if node != self.store.node and node in self.store.peers]
 
     def overdue(self) -> list[str]:
         """Ids of overdue messages in the next part of all pending ones."""
         if not self.unscanned:
-            self.unscanned = list(self.keeping.entries)
-        part = self.unscanned[-SCANNED:]
-        del self.unscanned[-SCANNED:]
-        return [mid for mid in part if self.is_overdue(self.keeping.entries.get(mid))]
+            self.unscanned = list(self.store.entries)
+        part = self.unscanned[-SCAN_SIZE:]
+        del self.unscanned[-SCAN_SIZE:]
+        return [mid for mid in part if self.is_overdue(self.store.entries.get(mid))]
 
     def is_overdue(self, entry: Entry | None) -> bool:
-        return entry is not None and entry.due + OVERDUE <= self.keeping.now
+        return entry is not None and entry.due + OVERDUE <= self.store.now
--- a/opalwick/post/depot/records.py
+++ b/opalwick/post/depot/records.py
@@ -9,18 +9,18 @@
     """A pending message. Times are in seconds of this store's clock."""
 
     __slots__ = (
-        "asked_at",
+        "assigned_at",
         "claim",
         "due",
         "fails",
-        "freed_by",
-        "holders",
         "home",
         "lost",
         "mid",
+        "min_claim",
         "owner",
+        "release_reason",
+        "replicas",
         "size",
-        "taken",
         "until",
     )
 
@@ -37,11 +37,11 @@
     ) -> None:
         """`size`: bytes on the disk. `home`: the country that the message must not leave; empty: any."""
         self.size, self.home = size, home
-        self.mid, self.holders, self.due, self.until = mid, holders, due, until
+        self.mid, self.replicas, self.due, self.until = mid, holders, due, until
         self.claim, self.owner, self.fails, self.lost = 0, "", fails, lost
-        self.taken = 0  # claims below this are void: their gateway's lease expired
-        self.asked_at = 0.0  # when it was assigned to its owner, if that has not acknowledged it; else 0
-        self.freed_by = ""  # why it has no owner, for traces; empty: it never had one here
+        self.min_claim = 0  # claims below this are void: their gateway's lease expired
+        self.assigned_at = 0.0  # when it was assigned to its owner, if that has not acknowledged it; else 0
+        self.release_reason = ""  # why it has no owner, for traces; empty: it never had one here
 
 
 class KnownEnd(NamedTuple):
@@ -50,7 +50,7 @@
     complete: bool  # else it is dead (ended without a success)
     seal: str  # completion token of the answer that reported the success
     until: float  # s, this store's clock: when the record of the end expires
-    holders: tuple[str, ...]  # stores that had a replica of the message
+    replicas: tuple[str, ...]  # stores that had a replica of the message
 
 
 class Write(NamedTuple):
--- a/opalwick/post/depot/role.py
+++ b/opalwick/post/depot/role.py
@@ -10,7 +10,7 @@
 import math
 from typing import Any
 
-from opalwick.post.depot.keeping import Keeping
+from opalwick.post.depot.keeping import MessageStore
 from opalwick.post.depot.records import Fetch, Write
 from opalwick.post.files import ROTTEN
 from opalwick.post.home.guard import Guard
@@ -21,12 +21,14 @@
 from opalwick.post.wire_pb2 import Hand, Hello, Kept, Letter, News, Pulse, Told
 
 # share of the disk that messages may take: sqlite's pages, its log and freed space take as much again
-ROOM = 0.4
-LEAST = 0.02  # s of a batch in progress from which heartbeats report it: a usual one takes a tenth of it
-LEAVE = 0.4  # s from SIGTERM to the end: what arrives in the meantime is synced and answered
+CAPACITY_SHARE = 0.4
+MIN_REPORTED_DELAY = (
+    0.02  # s of a batch in progress from which heartbeats report it: a usual one takes a tenth of it
+)
+SHUTDOWN_GRACE = 0.4  # s from SIGTERM to the end: what arrives in the meantime is synced and answered
 
 
-class Depot(Station):
+class StoreRole(Station):
     """The store of one node ("depot" on the wire)."""
 
     role = "depot"
@@ -35,25 +37,27 @@
         """`disk`: id of the disk."""
         super().__init__(settings, life, now)
         self.disk = disk
-        self.keeping = Keeping(
+        self.store = MessageStore(
             self.node,
             self.zone,
             now,
             settings.bounds.state,
-            ROOM * settings.disk_mb * 1e6 if settings.disk_mb else math.inf,
+            CAPACITY_SHARE * settings.disk_mb * 1e6 if settings.disk_mb else math.inf,
             settings.survive.boxes + 1,
             settings.survive.spread,
         )
-        self.keeping.trace, self.keeping.event = self.trace, self.event
+        self.store.trace, self.store.event = self.trace, self.event
         self.guard = Guard(self.zone, settings, self.directory, self.event)
         self.queue: list[Write | Fetch] = []
-        self.disk_since: float | None = None  # when the batch that is being written was taken; None: none is
-        self.told = set[str]()  # controllers that have sent the whole directory to this process
-        self.left_at = 0.0  # when the shutdown began; 0: it has not
+        self.batch_since: float | None = None  # when the batch that is being written was taken; None: none is
+        self.reporting_controllers = set[
+            str
+        ]()  # controllers that have sent the whole directory to this process
+        self.leaving_since = 0.0  # when the shutdown began; 0: it has not
 
     def clock(self, now: float) -> None:
         self.now = now
-        self.keeping.clock(now)
+        self.store.clock(now)
 
     def hello(self) -> Hello:
         hello = super().hello()
@@ -64,23 +68,23 @@
         """The heartbeat for that link. To other stores it lists the gateways that this one receives no
         heartbeat of, and reports those that they listed.
         """
-        k = self.keeping
-        delay = 0.0 if self.disk_since is None else self.now - self.disk_since
+        k = self.store
+        delay = 0.0 if self.batch_since is None else self.now - self.batch_since
         pulse = Pulse(
             settled=k.settled,
             leaving=k.leaving,
-            empty=k.moving.empty,
-            behind=delay if delay >= LEAST else 0.0,
+            empty=k.rebalancing.empty,
+            behind=delay if delay >= MIN_REPORTED_DELAY else 0.0,
         )
         if link.peer.role == "depot":
-            pulse.edges.update(k.hears(link.peer.node))
-            pulse.deaf.extend(k.deaf)
+            pulse.edges.update(k.reports_for(link.peer.node))
+            pulse.deaf.extend(k.silent_owners)
         return pulse
 
     # ---- links and peer messages
 
     def up(self, link: Link) -> None:
-        k, peer = self.keeping, link.peer
+        k, peer = self.store, link.peer
         if peer.role == "counter":
             k.counter_up(peer.node, peer.life, peer.zone)
         elif peer.role == "depot":
@@ -90,15 +94,15 @@
         if link.peer.node in self.links:
             return
         if link.peer.role == "counter":
-            self.keeping.counter_down(link.peer.node)
+            self.store.counter_down(link.peer.node)
         elif link.peer.role == "depot":
-            self.keeping.depot_down(link.peer.node)
+            self.store.depot_down(link.peer.node)
 
     def heard(self, link: Link, kind: str, msg: Any) -> None:
-        k, node = self.keeping, link.peer.node
+        k, node = self.store, link.peer.node
         if kind == "news" and msg.whole:
-            self.told.add(node)
-        if link.peer.role == "counter" and self.is_of_earlier_life(link):
+            self.reporting_controllers.add(node)
+        if link.peer.role == "counter" and self.is_from_earlier_process(link):
             if kind in ("mine", "refuse"):
                 return
             if kind == "keep":  # its gateway process is gone, so it has no owner
@@ -110,34 +114,34 @@
                 k.depot_pulse(node, msg)
             case "ask", _:
                 self.answer(link, msg)
-            case "keep", _ if msg.letter.mid not in k.entries and not self.guard.keep(msg.letter):
+            case "keep", _ if msg.letter.mid not in k.entries and not self.guard.permits_storing(msg.letter):
                 link.say("kept", Kept(mid=msg.letter.mid, refused=True))
             case "hand", "depot":
-                k.hand(node, self.let_in(link, msg))
+                k.hand(node, self.filter_replicas(link, msg))
             case (("keep" | "end" | "tried" | "park" | "mine" | "refuse" | "holders"), _):
-                self.trace_word(node, kind, msg)
+                self.trace_peer_message(node, kind, msg)
                 getattr(k, kind)(node, msg)
             case "kept", "depot":
-                k.moving.kept(node, msg.mid, msg.refused)
+                k.rebalancing.kept(node, msg.mid, msg.refused)
             case "ended", "depot":
-                k.moving.ended(node, msg.mid)
+                k.rebalancing.ended(node, msg.mid)
             case (("have" | "differ"), "depot"):
                 getattr(k, kind)(node, msg)
             case _:
                 super().heard(link, kind, msg)
 
-    def is_of_earlier_life(self, link: Link) -> bool:
+    def is_from_earlier_process(self, link: Link) -> bool:
         """Whether a later process of that gateway is known; peer messages of the earlier one may still be
         unread.
         """
-        counter = self.keeping.counters.get(link.peer.node)
-        return counter is not None and counter.life > link.peer.life
+        counter = self.store.gateways.get(link.peer.node)
+        return counter is not None and counter.incarnation > link.peer.life
 
-    def trace_word(self, node: str, kind: str, msg: Any) -> None:
+    def trace_peer_message(self, node: str, kind: str, msg: Any) -> None:
         """Writes the trace event of a peer message about one stored message, with its owner until then."""
         if kind in ("keep", "mine", "tried"):
             return
-        entry = self.keeping.entries.get(msg.mid)
+        entry = self.store.entries.get(msg.mid)
         self.trace(
             351,
             message=msg.mid,
@@ -147,14 +151,14 @@
             seal=getattr(msg, "seal", ""),
             owner=entry.owner if entry is not None else "",
             known=entry.claim if entry is not None else -1,
-            ended=msg.mid in self.keeping.ends,
+            ended=msg.mid in self.store.ends,
         )
 
-    def let_in(self, link: Link, msg: Hand) -> Hand:
+    def filter_replicas(self, link: Link, msg: Hand) -> Hand:
         """Drops the replicas that data residency does not permit here, and rejects them where an answer is
         expected.
         """
-        permitted = [message for message in msg.letters if self.guard.takes(message)]
+        permitted = [message for message in msg.letters if self.guard.permits_replica(message)]
         if len(permitted) == len(msg.letters):
             return msg
         for message in msg.letters:
@@ -169,29 +173,29 @@
 
     def govern(self) -> None:
         """Applies a change of the data residency policy, the directory or the settings."""
-        self.guard.learned(self.settings)
-        self.keeping.policy = self.guard.policy
+        self.guard.refresh(self.settings)
+        self.store.policy = self.guard.policy
 
     def news(self, news: News) -> None:
         """Applies a directory update. Of two stores the one whose name comes first connects to the other."""
         if news.HasField("conf"):
-            self.keeping.ordered((int(news.conf.gen), int(news.conf.seq)), set(news.conf.retiring))
+            self.store.ordered((int(news.conf.gen), int(news.conf.seq)), set(news.conf.retiring))
         self.govern()
         for node in self.nodes("depot"):
             if node.node > self.node:
                 self.want(node.ip)
         controllers = self.nodes("office")
         # a majority is needed, as a single controller may have lost its disk
-        if 2 * sum(node.node in self.told for node in controllers) > len(controllers):
-            self.keeping.expected = {
+        if 2 * sum(node.node in self.reporting_controllers for node in controllers) > len(controllers):
+            self.store.expected = {
                 node.node for node in self.nodes("counter") + self.nodes("depot") if node.node != self.node
             }
 
     def answer(self, link: Link, msg: Any) -> None:
         """Answers a request for a message's state or body."""
-        told = self.keeping.state(msg.mid)
+        told = self.store.state(msg.mid)
         if msg.tags and told.state in FOUND:
-            if not is_name_of(msg.tags, self.keeping.holders_of(msg.mid)):
+            if not is_name_of(msg.tags, self.store.replicas_of(msg.mid)):
                 told = Told(state=MessageState.UNSURE)  # another name, or its replicas have moved since
         told.call = msg.call
         if msg.body and told.state in WITH_BODY:
@@ -202,48 +206,48 @@
     # ---- the disk
 
     def settle(self) -> None:
-        writes, sends, fetches = self.keeping.effects()
+        writes, sends, fetches = self.store.effects()
         for node, kind, msg in sends:
-            if kind not in ("hand", "assign") or self.may_leave(node, kind, msg):
+            if kind not in ("hand", "assign") or self.may_send(node, kind, msg):
                 self.say(node, kind, msg)
         self.queue += writes
         self.queue += fetches
 
-    def may_leave(self, node: str, kind: str, msg: Any) -> bool:
+    def may_send(self, node: str, kind: str, msg: Any) -> bool:
         """The last data residency check before a message's bytes leave this process."""
         link = self.link(node)
         if link is None:
             return True
         door, messages = ("move", msg.letters) if kind == "hand" else ("assign", [msg.letter])
-        return all([self.guard.hands(door, message, link.peer) for message in messages])
+        return all([self.guard.permits_transfer(door, message, link.peer) for message in messages])
 
     def batch(self) -> tuple[list[Write], list[Fetch]]:
         """Takes all writes and fetches that wait for the disk."""
         waiting, self.queue = self.queue, []
-        self.disk_since = self.now
+        self.batch_since = self.now
         return [w for w in waiting if isinstance(w, Write)], [f for f in waiting if isinstance(f, Fetch)]
 
     def synced(self, writes: list[Write], fetches: list[Fetch], found: list[bytes | None]) -> None:
         """The batch is on the disk; `found`: the bytes of each fetch, None where there are none."""
-        self.disk_since = None
-        self.keeping.synced(writes)
+        self.batch_since = None
+        self.store.synced(writes)
         for write in writes:
             for node, kind, msg in write.then:
                 self.say(node, kind, msg)
         for fetch, data in zip(fetches, found):
             if data == ROTTEN:
-                self.keeping.rotten(fetch.mid)
+                self.store.rotten(fetch.mid)
             message = Letter.FromString(data) if data else None
             if fetch.why[0] != "told":
-                self.keeping.fetched(fetch.mid, fetch.why, message)
+                self.store.fetched(fetch.mid, fetch.why, message)
                 continue
             _, link, call = fetch.why
             # the present state: it may have ended since, and its bytes may be gone with the same batch
-            told = self.keeping.state(fetch.mid)
+            told = self.store.state(fetch.mid)
             told.call = call
             if message is not None:
                 told.home = self.guard.home(message)
-                if self.guard.tells(told.home, self.guard.node(link.peer) if told.home else ""):
+                if self.guard.permits_body(told.home, self.guard.node(link.peer) if told.home else ""):
                     told.body = message.body
                 else:
                     told.abroad = True
@@ -254,12 +258,12 @@
     # ---- time
 
     def tick(self) -> None:
-        self.keeping.tick()
+        self.store.tick()
 
     def leave(self) -> None:
         """Begins the shutdown: no new messages are stored, and other stores assign in its place."""
-        self.left_at = self.now
-        self.keeping.leaving = True
+        self.leaving_since = self.now
+        self.store.leaving = True
         for links in self.links.values():
             for link in links:
                 link.say("pulse", self.beat(link))
@@ -269,14 +273,14 @@
         """Whether the shutdown is complete: all accepted messages are on the disk and confirmed, and no write
         is in progress in a thread that would go on with a closed disk.
         """
-        answered = not self.queue and self.disk_since is None
-        return bool(self.left_at) and self.now - self.left_at >= LEAVE and answered
+        answered = not self.queue and self.batch_since is None
+        return bool(self.leaving_since) and self.now - self.leaving_since >= SHUTDOWN_GRACE and answered
 
     def figures(self) -> dict[str, Any]:
-        k = self.keeping
+        k = self.store
         return {
             **k.figures,
-            **k.moving.figures,
+            **k.rebalancing.figures,
             "pending": len(k.entries),
             "ends": len(k.ends),
             "settled": k.settled,
--- a/opalwick/post/depot/seal.py
+++ b/opalwick/post/depot/seal.py
@@ -16,24 +16,24 @@
     """The order to remove this store, and its record on the disk."""
 
     def __init__(self) -> None:
-        self.ordered: Key | None = None  # the newest configuration, if it removes this store
+        self.retire_order: Key | None = None  # the newest configuration, if it removes this store
         self.written: Key | None = None  # the configuration whose order is recorded on the disk
-        self.on_way = False  # the write of the seal is in progress
+        self.writing = False  # the write of the seal is in progress
 
     @property
     def closed(self) -> bool:
         """Whether new messages are refused."""
-        return self.ordered is not None or self.written is not None
+        return self.retire_order is not None or self.written is not None
 
     def loaded(self, key: Key | None) -> None:
         """Restores the seal from the disk at the start."""
         self.written = key
 
-    def learned(self, key: Key, retiring: bool) -> bool:
+    def apply_order(self, key: Key, retiring: bool) -> bool:
         """Handles a configuration, which removes this store or not. Returns True if the seal is to be lifted,
         because a configuration newer than the one that gave the order took it back.
         """
-        self.ordered = key if retiring else None
+        self.retire_order = key if retiring else None
         if retiring or self.written is None or key <= self.written:
             return False
         self.written = None
@@ -43,13 +43,13 @@
         """Returns the key to write if the store is empty and the seal is neither on the disk nor being
         written; the caller must write it.
         """
-        if not empty or self.ordered is None or self.written is not None or self.on_way:
+        if not empty or self.retire_order is None or self.written is not None or self.writing:
             return None
-        self.on_way = True
-        return self.ordered
+        self.writing = True
+        return self.retire_order
 
     def synced(self, key: Key) -> None:
         """The seal was synced to the disk."""
-        self.on_way = False
-        if self.ordered is not None:  # else the order was taken back during the write
+        self.writing = False
+        if self.retire_order is not None:  # else the order was taken back during the write
             self.written = key
--- a/opalwick/post/depot/status.py
+++ b/opalwick/post/depot/status.py
@@ -11,36 +11,36 @@
 from opalwick.post.depot.disk import Row
 from opalwick.post.depot.keeping import LAPSE
 from opalwick.post.depot.records import Entry
-from opalwick.post.depot.role import Depot
+from opalwick.post.depot.role import StoreRole
 from opalwick.post.home.audit import rows as rows_of
-from opalwick.post.home.audit import signed
+from opalwick.post.home.audit import with_digest
 from opalwick.post.names import kept_by
 from opalwick.post.wire_pb2 import Letter, Route
 
-NOW = frozenset(("pending", "ends", "settled"))
+GAUGES = frozenset(("pending", "ends", "settled"))
 PAGE = 100  # dead messages in one answer at most
-SCAN = 1000  # dead messages read for one answer at most
-STEP = 50  # read in one turn of the disk's thread: delays a batch by a millisecond
+MAX_READ = 1000  # dead messages read for one answer at most
+READ_STEP = 50  # read in one turn of the disk's thread: delays a batch by a millisecond
 
 
-def status(role: Depot) -> dict[str, Any]:
+def status(role: StoreRole) -> dict[str, Any]:
     """The answer to a request for the store's status."""
-    k, now = role.keeping, role.now
+    k, now = role.store, role.now
     unowned = [entry for entry in k.entries.values() if not entry.owner]
     due = [now - entry.due for entry in k.entries.values() if entry.due <= now]
     return {
-        "retiring": sorted(k.moving.retiring),
-        "empty": k.moving.empty,
-        "moving": len(k.moving.on_way),
+        "retiring": sorted(k.rebalancing.retiring),
+        "empty": k.rebalancing.empty,
+        "moving": len(k.rebalancing.transfers),
         "disk": role.disk,
         "settled": k.settled,
         "leaving": k.leaving,
-        "awaits": sorted(k.awaits),
+        "awaits": sorted(k.awaited_peers),
         "unheard": sorted((k.expected or set()) - k.reported - set(k.peers)),
         "pending": len(k.entries),
         "ends": len(k.ends),
         "dead": sum(not end.complete for end in k.ends.values()),
-        "octets": k.held,
+        "octets": k.stored_bytes,
         "room": int(k.room) if math.isfinite(k.room) else None,
         "disk_queue": len(role.queue),
         "owners": {
@@ -54,69 +54,69 @@
         "counters": [
             {
                 "node": c.node,
-                "life": c.life,
+                "life": c.incarnation,
                 "zone": c.zone,
-                "age": now - c.heard_at,
+                "age": now - c.last_seen,
                 "linked": c.linked,
                 "ready": c.ready,
                 "leaving": c.leaving,
             }
-            for c in k.counters.values()
+            for c in k.gateways.values()
         ],
         "peers": [
             {
                 "node": node,
                 "age": now - at,
                 "settled": k.peers_settled.get(node, False),
-                "hears": sum(now - heard < LAPSE for heard in k.peers_hear.get(node, {}).values()),
+                "hears": sum(now - heard < LAPSE for heard in k.peer_reports.get(node, {}).values()),
             }
             for node, at in sorted(k.peers.items())
         ],
     }
 
 
-def home(role: Depot, look: Any) -> dict[str, Any]:
+def home(role: StoreRole, look: Any) -> dict[str, Any]:
     """The data residency report: this process's country, the guard's counts, stored messages by home, and the
     audit list of its disk.
     """
     kept: dict[str, int] = {}
-    for entry in role.keeping.entries.values():
+    for entry in role.store.entries.values():
         if entry.home:
             kept[entry.home] = kept.get(entry.home, 0) + 1
-    return role.guard.status() | {"kept": kept, "list": signed(look(lambda disk: rows_of(disk.db)))}
+    return role.guard.status() | {"kept": kept, "list": with_digest(look(lambda disk: rows_of(disk.db)))}
 
 
 # ---- one message
 
 
-def why(role: Depot, entry: Entry) -> str:
+def why(role: StoreRole, entry: Entry) -> str:
     """Why the message has not ended, as far as this store can say."""
-    k = role.keeping
+    k = role.store
     if entry.owner:
         if not k.alive(entry.owner):
             return (
                 f"{entry.owner} delivers it, but no store receives its heartbeats: it is assigned again next"
             )
-        if entry.asked_at:
+        if entry.assigned_at:
             return f"it was assigned to {entry.owner}, which has not acknowledged it yet"
         return f"{entry.owner} delivers it: ask there"
     if entry.due > role.now:
         return f"it is due in {entry.due - role.now:.2f} s"
-    if not k.acts(entry):
-        first = next((h for h in entry.holders if h != role.node), "")
+    if not k.is_acting(entry):
+        first = next((h for h in entry.replicas if h != role.node), "")
         return f"{first} has it too, comes before this store in its list of replicas and assigns it"
     if k.leaving:
         return "this store is shutting down: the next replica assigns it"
     if not k.settled:
         return "this store has just started and is still comparing its state with the other stores"
-    if not k.takers():
+    if not k.candidates():
         return "no gateway is ready and in contact with this store"
     return "it is assigned next"
 
 
-def message(role: Depot, name: str) -> dict[str, Any] | None:
+def message(role: StoreRole, name: str) -> dict[str, Any] | None:
     """The report on one message by its name; None: it is not here."""
-    k, mid = role.keeping, kept_by(name)
+    k, mid = role.store, kept_by(name)
     if (end := k.ends.get(mid)) is not None:
         return {
             "id": mid,
@@ -133,8 +133,8 @@
         "why": why(role, entry),
         "owner": entry.owner,
         "claim": entry.claim,
-        "depots": list(entry.holders),
-        "acts": k.acts(entry),
+        "depots": list(entry.replicas),
+        "acts": k.is_acting(entry),
         "fails": entry.fails,
         "lost": entry.lost,
         "octets": entry.size,
@@ -154,7 +154,7 @@
     return [Row._make(row) for row in found if row is not None]
 
 
-def routed(role: Depot, message: Letter) -> Route | None:
+def route_of(role: StoreRole, message: Letter) -> Route | None:
     """The route that the message would take by the present configuration."""
     conf = role.directory.conf
     if conf is None:
@@ -174,10 +174,10 @@
     return ", or ".join(causes)
 
 
-def summary(role: Depot, row: Row) -> dict[str, Any]:
+def summary(role: StoreRole, row: Row) -> dict[str, Any]:
     """The report on one dead message, without its body."""
     message = Letter.FromString(row.letter)
-    route = routed(role, message)
+    route = route_of(role, message)
     return {
         "id": row.mid,
         "rid": message.rid,
@@ -188,19 +188,19 @@
         "fails": row.fails,
         "lost": row.lost,
         "cause": cause(row, route),
-        "told_for": role.keeping.ends[row.mid].until - role.now if row.mid in role.keeping.ends else 0.0,
+        "told_for": role.store.ends[row.mid].until - role.now if row.mid in role.store.ends else 0.0,
     }
 
 
-def dead(role: Depot, look: Any, route: str = "", after: str = "") -> dict[str, Any]:
+def dead(role: StoreRole, look: Any, route: str = "", after: str = "") -> dict[str, Any]:
     """Dead messages of a route (empty: of all routes), by id, after the id `after`. `more`: there may be
     further ones after `last`.
     """
-    names = sorted(mid for mid, end in role.keeping.ends.items() if not end.complete and mid > after)
+    names = sorted(mid for mid, end in role.store.ends.items() if not end.complete and mid > after)
     found: list[dict[str, Any]] = []
     last, read = after, 0
-    while read < min(len(names), SCAN) and len(found) < PAGE:
-        part = names[read : read + STEP]
+    while read < min(len(names), MAX_READ) and len(found) < PAGE:
+        part = names[read : read + READ_STEP]
         here = {row.mid: row for row in look(lambda disk, part=part: rows(disk, part))}
         for mid in part:
             if len(found) >= PAGE:
@@ -213,10 +213,10 @@
     return {"node": role.node, "dead": found, "last": last, "more": read < len(names)}
 
 
-def dead_one(role: Depot, look: Any, name: str) -> dict[str, Any] | None:
+def dead_one(role: StoreRole, look: Any, name: str) -> dict[str, Any] | None:
     """The report on one dead message with its fields and body; None: it is not here or not dead."""
     mid = kept_by(name)
-    end = role.keeping.ends.get(mid)
+    end = role.store.ends.get(mid)
     if end is None or end.complete or not (found := look(lambda disk: rows(disk, [mid]))):
         return None
     message = Letter.FromString(found[0].letter)
@@ -233,9 +233,9 @@
 # ---- metrics
 
 
-def metrics(role: Depot) -> list[Any]:
+def metrics(role: StoreRole) -> list[Any]:
     """The store's metrics: name, whether it is a counter, help text, and samples (labels, value)."""
-    k, now = role.keeping, role.now
+    k, now = role.store, role.now
     due = [entry.due for entry in k.entries.values() if entry.due <= now]
     return [
         (
@@ -256,7 +256,7 @@
             "Messages that ended without a success and are still on record.",
             [({}, sum(not end.complete for end in k.ends.values()))],
         ),
-        ("kept_octets", False, "Bytes of the messages on the disk.", [({}, k.held)]),
+        ("kept_octets", False, "Bytes of the messages on the disk.", [({}, k.stored_bytes)]),
         (
             "owned",
             False,
--- a/opalwick/post/home/audit.py
+++ b/opalwick/post/home/audit.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 WINDOW = 60  # s; one day of a small site is a few thousand rows
-MOST = 7 * 86400  # s until rows are deleted: a week, for operators who check once a week
+RETENTION = 7 * 86400  # s until rows are deleted: a week, for operators who check once a week
 
 _TABLE = """create table if not exists audit (window integer, home text, what text, country text,
  count integer, primary key (window, home, what, country)) without rowid"""
@@ -24,7 +24,7 @@
     return int(unix // WINDOW) * WINDOW
 
 
-def note(db: sqlite3.Connection, fields: tuple[Any, ...]) -> None:
+def record(db: sqlite3.Connection, fields: tuple[Any, ...]) -> None:
     """Counts one more: `fields` are window, home, `copies` or `runs`, country. Part of the caller's
     transaction.
     """
@@ -32,7 +32,7 @@
     new_window = db.execute("select 1 from audit where window = ? limit 1", fields[:1]).fetchone() is None
     db.execute("insert into audit values (?, ?, ?, ?, 1) on conflict do update set count = count + 1", fields)
     if new_window:
-        db.execute("delete from audit where window < ?", (fields[0] - MOST,))
+        db.execute("delete from audit where window < ?", (fields[0] - RETENTION,))
 
 
 def rows(db: sqlite3.Connection) -> list[tuple[int, str, str, str, int]]:
@@ -42,7 +42,7 @@
     return db.execute("select window, home, what, country, count from audit order by 1, 2, 3, 4").fetchall()
 
 
-def signed(rows: list[tuple[int, str, str, str, int]]) -> dict[str, Any]:
+def with_digest(rows: list[tuple[int, str, str, str, int]]) -> dict[str, Any]:
     """The rows with a digest, which shows whether two reports are the same. `abroad`: the count of those that
     were not at home.
     """
--- a/opalwick/post/home/commands.py
+++ b/opalwick/post/home/commands.py
@@ -15,7 +15,7 @@
 home = App(name="home", help="Where partners' messages may be, and where they are.")
 
 
-def answers(at: str) -> list[dict[str, Any]]:
+def reports(at: str) -> list[dict[str, Any]]:
     """The residency report of each process that answers. Raises Problem if none does."""
     reports = [report for status, report in ask_all(everybody(at), "/home").values() if status == 200]
     if not reports:
@@ -23,7 +23,7 @@
     return reports
 
 
-def picture(reports: list[dict[str, Any]]) -> dict[str, Any]:
+def combined(reports: list[dict[str, Any]]) -> dict[str, Any]:
     """One report from all processes' reports; `look` lists what should not be so."""
     by_role = {
         role: [one for one in reports if one["role"] == role] for role in ("office", "counter", "depot")
@@ -84,7 +84,7 @@
 
     Exit code 1: something is not at home, or a process applies another policy.
     """
-    report = picture(answers(at))
+    report = combined(reports(at))
     if told(report, json):
         return NO if report["look"] else 0
     print(f"policy {report['policy']}" if report["policy"] else "no policy: messages may be anywhere")
@@ -137,7 +137,7 @@
     who
         a partner (its host, route or service), or a message's X-Msg-Id
     """
-    report = picture(answers(at))
+    report = combined(reports(at))
     partners = (report["said"] or {}).get("partners", [])
     rule = next((p for p in partners if who in (p.get("host"), p.get("route"), p.get("service"))), None)
     if rule is not None:
--- a/opalwick/post/home/guard.py
+++ b/opalwick/post/home/guard.py
@@ -34,20 +34,20 @@
         self.policy: Policy | None = None
         self.conf: Conf | None = None  # the configuration that the policy was read from
         # countries that workers report for each address; "" is an unknown one
-        self.at: dict[tuple[str, int], set[str]] = {}
+        self.countries_at: dict[tuple[str, int], set[str]] = {}
         self.passed = dict.fromkeys(DOORS, 0)
         self.refused = dict.fromkeys(DOORS, 0)
 
-    def learned(self, settings: Settings) -> None:
+    def refresh(self, settings: Settings) -> None:
         """Applies a change of the configuration, the settings or the directory."""
         if self.settings is not settings or self.conf is not self.directory.conf:
             self.settings, self.conf = settings, self.directory.conf
             self.policy = in_force(self.conf, settings)
         if self.policy is not None:
-            self.at = {}
+            self.countries_at = {}
             for worker in self.directory.workers.values():
                 if not (worker.gone or worker.silent):
-                    self.at.setdefault((worker.host, worker.port), set()).add(
+                    self.countries_at.setdefault((worker.host, worker.port), set()).add(
                         "" if worker.disputed else self.policy.country(worker.zone)
                     )
 
@@ -65,9 +65,9 @@
         return partner.home if partner is not None else message.home
 
     @property
-    def here(self) -> str:
+    def own_country(self) -> str:
         """The country of this process; empty where it is unknown."""
-        return self.policy.here(self.zone) if self.policy is not None else ""
+        return self.policy.own_country(self.zone) if self.policy is not None else ""
 
     def node(self, peer: Hello) -> str:
         """The country of the process at the other end of a link; empty where it is not proven."""
@@ -89,7 +89,7 @@
         if worker is None or worker.gone or worker.silent or worker.disputed:
             return ""
         country = self.policy.country(worker.zone)
-        undisputed = self.at.get((host, port)) == {country}
+        undisputed = self.countries_at.get((host, port)) == {country}
         return country if undisputed and (worker.host, worker.port) == (host, port) else ""
 
     # ---- checks
@@ -105,28 +105,30 @@
             self.event(907, door=door, home=home, country=country)
         return home == country
 
-    def delivery(self, message: Letter, place: tuple[str, int, str]) -> bool:
+    def permits_delivery(self, message: Letter, place: tuple[str, int, str]) -> bool:
         """Whether the message may be delivered to that worker."""
         home = self.home(message)
-        return not home or self.passes("delivery", home, self.worker(place) if home == self.here else "")
+        return not home or self.passes(
+            "delivery", home, self.worker(place) if home == self.own_country else ""
+        )
 
-    def met(self, message: Letter, place: tuple[str, int, str], name: str) -> bool:
+    def permits_connection(self, message: Letter, place: tuple[str, int, str], name: str) -> bool:
         """Whether the message may go out on a new connection, on which a worker has answered under this
         name.
         """
         home = self.home(message)
         return not home or self.passes("delivery", home, home if name == place[2] else "")
 
-    def must_meet(self, message: Letter, place: tuple[str, int, str]) -> bool:
+    def needs_name_check(self, message: Letter, place: tuple[str, int, str]) -> bool:
         """Whether a worker's name must be checked on a new connection first."""
         return bool(place[2] and self.home(message))
 
-    def write(self, message: Letter, peer: Hello) -> bool:
+    def permits_write(self, message: Letter, peer: Hello) -> bool:
         """Whether a message that is being accepted may be sent to that store."""
         home = self.home(message, new=True)
         return not home or self.passes("write", home, self.node(peer))
 
-    def keep(self, message: Letter) -> bool:
+    def permits_storing(self, message: Letter) -> bool:
         """Whether a message that arrived may be written to this store's disk; not if it was accepted under a
         stale policy.
         """
@@ -134,19 +136,19 @@
         if not home:
             return True
         stale = self.policy is not None and message.home_gen < self.policy.gen and message.home != home
-        return self.passes("keep", home, "" if stale else self.here)
+        return self.passes("keep", home, "" if stale else self.own_country)
 
-    def takes(self, message: Letter) -> bool:
+    def permits_replica(self, message: Letter) -> bool:
         """Whether a replica from another store may be written here."""
         home = self.home(message)
-        return not home or self.passes("keep", home, self.here)
+        return not home or self.passes("keep", home, self.own_country)
 
-    def hands(self, door: str, message: Letter, peer: Hello) -> bool:
+    def permits_transfer(self, door: str, message: Letter, peer: Hello) -> bool:
         """Whether this store may send the message to that store or gateway."""
         home = self.home(message)
         return not home or self.passes(door, home, self.node(peer))
 
-    def tells(self, home: str, country: str) -> bool:
+    def permits_body(self, home: str, country: str) -> bool:
         """Whether a body may be sent to a client or gateway in that country."""
         return self.passes("body", home, country)
 
@@ -154,7 +156,7 @@
         """The guard's part of the residency report."""
         return {
             "policy": self.policy.gen if self.policy is not None else 0,
-            "country": self.here,
+            "country": self.own_country,
             "passed": self.passed,
             "refused": self.refused,
         }
--- a/opalwick/post/home/policy.py
+++ b/opalwick/post/home/policy.py
@@ -35,7 +35,7 @@
         region = self.zones.get(zone, "")
         return self.countries.get(region, "") if self.settings.zones.get(zone, region) == region else ""
 
-    def here(self, zone: str) -> str:
+    def own_country(self, zone: str) -> str:
         """The country of this process, which started in that zone. Empty, until the next start, if its
         settings have moved it since or contradict themselves.
         """
@@ -57,7 +57,7 @@
     return Policy(conf, settings) if conf is not None and conf.home.gen else None
 
 
-def named(partner: Partner) -> str:
+def partner_name(partner: Partner) -> str:
     """The partner's name with its kind, as in `route r1`."""
     return next(
         f"{kind} {value}"
--- a/opalwick/post/home/reading.py
+++ b/opalwick/post/home/reading.py
@@ -18,7 +18,7 @@
 from opalwick.post.wire_pb2 import Country, Endpoint, Home, Keeper, Node, Partner, Zone
 
 # s, the longest expected wait at home if the policy does not set it: two thirds of 90 s
-WAIT = 60.0
+DEFAULT_WAIT = 60.0
 
 
 def _names(value: Any) -> list[str]:
@@ -65,7 +65,7 @@
     route: str | None = by(_optional, default=None)
     service: str | None = by(_optional, default=None)
     short: str = by(_short, default="wait")
-    wait_s: float = by(above, default=WAIT)
+    wait_s: float = by(above, default=DEFAULT_WAIT)
 
     class Config(Strict):
         pass
@@ -104,7 +104,7 @@
 _WHOLE = BasicDecoder(_Policy)
 
 
-def digest(key: str) -> str:
+def key_digest(key: str) -> str:
     """The digest of a keeper's key, as the policy has it."""
     return hashlib.sha256(key.encode()).hexdigest()
 
@@ -177,7 +177,7 @@
     return ""
 
 
-def unkept(home: Home, zones: dict[str, str], stores: Iterable[Node], copies: int) -> str:
+def too_few_stores(home: Home, zones: dict[str, str], stores: Iterable[Node], copies: int) -> str:
     """Returns a sentence that names the partner whose home has too few stores for all replicas; empty if all
     homes have enough.
     """
--- a/opalwick/post/home/shelf.py
+++ b/opalwick/post/home/shelf.py
@@ -16,40 +16,40 @@
 Rank = tuple[int, str]  # prio, partner
 
 
-class Shelf:
+class ResidencyQueue:
     """A queue by prio, then by partners' turns, then by age."""
 
     def __init__(self) -> None:
-        self.rows: dict[Rank, Waiting] = {}
-        self.given: dict[str, int] = {}  # turns that each partner with waiting messages has had
+        self.queues: dict[Rank, Waiting] = {}
+        self.turns: dict[str, int] = {}  # turns that each partner with waiting messages has had
 
     def __len__(self) -> int:
-        return sum(map(len, self.rows.values()))
+        return sum(map(len, self.queues.values()))
 
     def put(self, prio: int, partner: str, aim_at: float, item: Any) -> None:
         """Adds an item. `aim_at`: the time by which it should start."""
-        if partner not in self.given:
+        if partner not in self.turns:
             # it joins at the others' level: from 0 it would get every turn for a while
-            self.given[partner] = min(self.given.values(), default=0)
-        self.rows.setdefault((prio, partner), Waiting()).put(aim_at, item)
+            self.turns[partner] = min(self.turns.values(), default=0)
+        self.queues.setdefault((prio, partner), Waiting()).put(aim_at, item)
 
     def take(self, now: float) -> Any:
         """Removes and returns the next item; the queue must not be empty."""
-        rank = min(self.rows, key=lambda rank: (rank[0], self.given[rank[1]], rank[1]))
-        queue = self.rows[rank]
+        rank = min(self.queues, key=lambda rank: (rank[0], self.turns[rank[1]], rank[1]))
+        queue = self.queues[rank]
         item = queue.take(now)
-        self.given[rank[1]] += 1
+        self.turns[rank[1]] += 1
         if not len(queue):
-            del self.rows[rank]
-            if all(partner != rank[1] for _, partner in self.rows):
-                del self.given[rank[1]]
+            del self.queues[rank]
+            if all(partner != rank[1] for _, partner in self.queues):
+                del self.turns[rank[1]]
         return item
 
-    def sift(self, over: Callable[[Any], bool]) -> list[Any]:
+    def remove_where(self, over: Callable[[Any], bool]) -> list[Any]:
         """Removes and returns the items for which `over` is true."""
         removed = []
-        for queue in self.rows.values():
+        for queue in self.queues.values():
             removed += queue.sift(over)
-        self.rows = {rank: queue for rank, queue in self.rows.items() if len(queue)}
-        self.given = {p: n for p, n in self.given.items() if any(p == rank[1] for rank in self.rows)}
+        self.queues = {rank: queue for rank, queue in self.queues.items() if len(queue)}
+        self.turns = {p: n for p, n in self.turns.items() if any(p == rank[1] for rank in self.queues)}
         return removed
--- a/opalwick/post/home/short.py
+++ b/opalwick/post/home/short.py
@@ -10,17 +10,17 @@
 
 from collections import deque
 
-LOOK = 5.0  # s over which ends are counted: a few dozen jobs of a slow service
-LEAST = 0.5  # s, the least Retry-After: sooner the client is back before anything has changed
+RATE_WINDOW = 5.0  # s over which ends are counted: a few dozen jobs of a slow service
+MIN_RETRY_AFTER = 0.5  # s, the least Retry-After: sooner the client is back before anything has changed
 # s, the longest Retry-After where nothing ends: there is no estimate, and a further try costs little
-LONGEST = 30.0
+MAX_RETRY_AFTER = 30.0
 
 
-class Short:
+class WaitEstimate:
     """Estimates of waiting times by partner."""
 
     def __init__(self, now: float) -> None:
-        self.born = now
+        self.started_at = now
         self.ends: dict[str, deque[float]] = {}  # by partner
         # by partner: how many wait, and since when the oldest does
         self.waiting: dict[str, tuple[int, float]] = {}
@@ -34,9 +34,9 @@
         ends = self.ends.get(partner)
         if not ends:
             return 0.0
-        while ends and ends[0] < now - LOOK:
+        while ends and ends[0] < now - RATE_WINDOW:
             ends.popleft()
-        return len(ends) / max(0.5, min(LOOK, now - self.born))
+        return len(ends) / max(0.5, min(RATE_WINDOW, now - self.started_at))
 
     def wait(self, partner: str, now: float) -> float:
         """Seconds that one more message would wait: the number of waiting ones at the present rate; where
@@ -48,9 +48,9 @@
         rate = self.rate(partner, now)
         return count / rate if rate else now - oldest
 
-    def again(self, partner: str, now: float, bound: float) -> float:
+    def retry_after(self, partner: str, now: float, bound: float) -> float:
         """Seconds until a rejected client should try again: by then the estimate is within the bound."""
         wait = self.wait(partner, now)
         if self.rate(partner, now):
-            return max(LEAST, wait - bound)
-        return min(LONGEST, max(LEAST, wait))
+            return max(MIN_RETRY_AFTER, wait - bound)
+        return min(MAX_RETRY_AFTER, max(MIN_RETRY_AFTER, wait))
--- a/opalwick/post/office/role.py
+++ b/opalwick/post/office/role.py
@@ -19,7 +19,7 @@
 from opalwick.post.directory import empty
 from opalwick.post.home.policy import in_force
 from opalwick.post.home.reading import check as check_home
-from opalwick.post.home.reading import digest, unkept
+from opalwick.post.home.reading import key_digest, too_few_stores
 from opalwick.post.names import owner
 from opalwick.post.office import numbers
 from opalwick.post.office.duties import Duties
@@ -402,7 +402,7 @@
             answer(422, b"zones: the office that took it and the primary have them in other regions")
             return
         depots = [node for node in self.nodes("depot") if node.node not in newest.retiring]
-        if why := unkept(home, self.settings.zones, depots, self.settings.survive.boxes + 1):
+        if why := too_few_stores(home, self.settings.zones, depots, self.settings.survive.boxes + 1):
             answer(422, why.encode())
             return
         newest.home.CopyFrom(home)
@@ -596,7 +596,7 @@
             case Success(home):
                 scheme, _, key = message.headers.get(b"authorization", b"").partition(b" ")
                 if scheme.lower() == b"bearer":
-                    home.by = digest(key.strip().decode("latin-1"))
+                    home.by = key_digest(key.strip().decode("latin-1"))
                 self.at_primary("home", home.SerializeToString(), lambda s, b: self.told_home(call, s, b))
             case failure:
                 raise Malformed(400, failure.failure())
--- a/opalwick/post/replay.py
+++ b/opalwick/post/replay.py
@@ -23,7 +23,7 @@
     "intake": ("counter.intake", "Intake"),
     "rounds": ("counter.rounds", "Rounds"),
     "ceilings": ("counter.ceilings", "Ceilings"),
-    "keeping": ("depot.keeping", "Keeping"),
+    "keeping": ("depot.keeping", "MessageStore"),
     "views": ("office.views", "Views"),
     "duties": ("office.duties", "Duties"),
     "registry": ("office.registry", "Registry"),
--- a/tests/post_cluster.py
+++ b/tests/post_cluster.py
@@ -12,7 +12,7 @@
 
 from opalwick.post.counter.item import Start
 from opalwick.post.counter.role import Counter
-from opalwick.post.depot.role import Depot
+from opalwick.post.depot.role import StoreRole
 from opalwick.post.settings import Settings, parse
 from opalwick.post.verdict import Verdict
 from opalwick.post.wire_pb2 import Conf, Envelope, Letter, News, Node, Route, Service, Worker
@@ -83,7 +83,7 @@
     # ---- processes and links
 
     def start_depot(self, node: str, number: int) -> None:
-        depot = Depot(settings(node, "depot", number), int(self.now), self.now, f"disk of {node}")
+        depot = StoreRole(settings(node, "depot", number), int(self.now), self.now, f"disk of {node}")
         self.join(node, depot)
 
     def start_counter(self, node: str, number: int) -> None:
@@ -149,7 +149,7 @@
                 if isinstance(order, Start):
                     self.send(node, order)
 
-    def sync(self, node: str, depot: Depot) -> None:
+    def sync(self, node: str, depot: StoreRole) -> None:
         writes, fetches = depot.batch()
         disk = self.letters[node]
         for write in writes:
@@ -177,9 +177,9 @@
     def holders(self, mid: str) -> tuple[str, ...]:
         """The depots that keep it, the one that acts first."""
         found = {
-            role.keeping.entries[mid].holders
+            role.store.entries[mid].replicas
             for role in self.roles.values()
-            if role.role == "depot" and mid in role.keeping.entries
+            if role.role == "depot" and mid in role.store.entries
         }
         assert len(found) == 1
         return tuple(found.pop())
--- a/tests/test_lab_post.py
+++ b/tests/test_lab_post.py
@@ -23,7 +23,7 @@
 from opalwick.lab.post.run import history, hunt, play, run, shrink
 from opalwick.lab.post.strangers import KINDS as STRANGE
 from opalwick.lab.post.world import World
-from opalwick.post.depot.keeping import Keeping
+from opalwick.post.depot.keeping import MessageStore
 from opalwick.post.wire_pb2 import End
 
 SHORT = 'title = "short"\nlength = "5 s"\nafter = "6 s"\n'
@@ -260,14 +260,14 @@
 @pytest.fixture
 def forgetful(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
     """Depots that take each third message for dead as it comes."""
-    keep = Keeping.keep
+    keep = MessageStore.keep
 
-    def kept(self: Keeping, node: str, word: Any) -> None:
+    def kept(self: MessageStore, node: str, word: Any) -> None:
         keep(self, node, word)
         if crc32(word.letter.mid.encode()) % 3 == 0:
             self.end(node, End(mid=word.letter.mid))
 
-    monkeypatch.setattr(Keeping, "keep", kept)
+    monkeypatch.setattr(MessageStore, "keep", kept)
     yield
 
 
--- a/tests/test_lab_post_home.py
+++ b/tests/test_lab_post_home.py
@@ -22,8 +22,8 @@
 from opalwick.lab.post.workers import request
 from opalwick.post.counter.intake import Intake
 from opalwick.post.counter.rounds import Rounds
-from opalwick.post.depot.keeping import Keeping
-from opalwick.post.depot.moving import Moving
+from opalwick.post.depot.keeping import MessageStore
+from opalwick.post.depot.moving import Rebalancing
 from opalwick.post.home.guard import Guard
 
 SMALL = {
@@ -229,15 +229,15 @@
 
 
 def repairs(patch: pytest.MonkeyPatch) -> None:
-    choose = Moving.choose
+    choose = Rebalancing.choose
     patch.setattr(
-        Moving, "choose", lambda self, mid, holders, count=1, home="": choose(self, mid, holders, count)
+        Rebalancing, "choose", lambda self, mid, holders, count=1, home="": choose(self, mid, holders, count)
     )
 
 
 def takers(patch: pytest.MonkeyPatch) -> None:
-    found = Keeping.takers
-    patch.setattr(Keeping, "takers", lambda self, home="": found(self))
+    found = MessageStore.candidates
+    patch.setattr(MessageStore, "candidates", lambda self, home="": found(self))
 
 
 def dispatch(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_lab_post_mutants.py
+++ b/tests/test_lab_post_mutants.py
@@ -16,10 +16,10 @@
 from opalwick.post.counter.role import Counter
 from opalwick.post.counter.rounds import Rounds
 from opalwick.post.depot import keeping
-from opalwick.post.depot.keeping import Keeping
-from opalwick.post.depot.moving import Moving
+from opalwick.post.depot.keeping import MessageStore
+from opalwick.post.depot.moving import Rebalancing
 from opalwick.post.depot.records import Send, Write
-from opalwick.post.depot.role import Depot
+from opalwick.post.depot.role import StoreRole
 from opalwick.post.directory import Directory
 from opalwick.post.message_state import FOUND, MessageState
 from opalwick.post.office import numbers
@@ -58,9 +58,9 @@
     """Words of that kind, which should follow a sync, go out before it."""
 
     def plant(patch: pytest.MonkeyPatch) -> None:
-        effects = Keeping.effects
+        effects = MessageStore.effects
 
-        def sooner(self: Keeping) -> Any:
+        def sooner(self: MessageStore) -> Any:
             writes, sends, fetches = effects(self)
             for i, write in enumerate(writes):
                 now = [said for said in write.then if said[1] == word]
@@ -70,7 +70,7 @@
                 )
             return writes, sends, fetches
 
-        patch.setattr(Keeping, "effects", sooner)
+        patch.setattr(MessageStore, "effects", sooner)
 
     return plant
 
@@ -97,15 +97,15 @@
         self.copies = self.intake.copies = 1
 
     patch.setattr(Counter, "__init__", alone)
-    patch.setattr(Keeping, "depot_up", lambda self, node, *_: self.peers.__setitem__(node, self.now))
+    patch.setattr(MessageStore, "depot_up", lambda self, node, *_: self.peers.__setitem__(node, self.now))
 
 
 @mutant("depots = 4\ndelayed = 0.7\n" + fault("emptied", 2.0, of=["depot-0"]), "COPIES")
 def emptied_without_handing_over(patch: pytest.MonkeyPatch) -> None:
-    def start(self: Moving, entry: Any, without: str) -> None:
-        self.k.drop(entry)
+    def start(self: Rebalancing, entry: Any, without: str) -> None:
+        self.store.drop(entry)
 
-    patch.setattr(Moving, "start", start)
+    patch.setattr(Rebalancing, "start", start)
 
 
 @mutant(SLOW_DEPOTS + fault("kill", 3.0, of=["depot"], part=1.0, size=0.4), "AGAIN")
@@ -148,7 +148,7 @@
 
 @mutant('rate = 20.0\nlength = "3 s"', "AGAIN", "TWICE", "RECOVER")
 def assigned_without_a_lapse(patch: pytest.MonkeyPatch) -> None:
-    for name, span in (("LAPSE", 0.1), ("DEAF", 0.0), ("ASKED", 0.0)):
+    for name, span in (("LAPSE", 0.1), ("QUERY_AFTER", 0.0), ("QUERY_FOR", 0.0)):
         patch.setattr(keeping, name, span)
 
 
@@ -221,15 +221,15 @@
 
 @mutant("poison = 0.4\nasks = 1.0\nafter = '1 s'", "MIXED")
 def a_dead_message_has_no_body(patch: pytest.MonkeyPatch) -> None:
-    def answer(self: Depot, link: Any, word: Any) -> None:
-        told: Told = self.keeping.state(word.mid)
+    def answer(self: StoreRole, link: Any, word: Any) -> None:
+        told: Told = self.store.state(word.mid)
         told.call = word.call
         if word.body and told.state == MessageState.PENDING:
             self.queue.append(keeping.Fetch(word.mid, ("told", link, word.call)))
         else:
             link.say("told", told)
 
-    patch.setattr(Depot, "answer", answer)
+    patch.setattr(StoreRole, "answer", answer)
 
 
 @mutant('rate = 40.0\nlength = "8 s"', "CEILING")
@@ -307,14 +307,14 @@
 @mutant("", "MIXED")
 def stores_compare_a_piece_of_a_name(patch: pytest.MonkeyPatch) -> None:
     """Whoever writes the rest as it should be sees the message of that number."""
-    state = Keeping.state
+    state = MessageStore.state
 
-    def by_number(keeping: Keeping, mid: str) -> Told:
+    def by_number(keeping: MessageStore, mid: str) -> Told:
         pieces = mid.split(".")[:3]
         known = [one for one in [*keeping.entries, *keeping.ends] if one.split(".")[:3] == pieces]
         return state(keeping, known[0] if known else mid)
 
-    patch.setattr(Keeping, "state", by_number)
+    patch.setattr(MessageStore, "state", by_number)
 
 
 @mutant("asks = 1.0\nrate = 40.0\n" + fault("wipe", 1.5, of=["depot-0"], size=0.3), "LOST")
--- a/tests/test_lab_post_window.py
+++ b/tests/test_lab_post_window.py
@@ -12,7 +12,7 @@
 from opalwick.lab.post.window import served
 from opalwick.lab.post.world import World
 from opalwick.post.counter.rounds import Rounds
-from opalwick.post.depot.moving import Moving
+from opalwick.post.depot.moving import Rebalancing
 
 DAY = """title = "small"
 length = "{length} s"
@@ -169,8 +169,8 @@
 
 
 def test_a_depot_that_says_too_early_that_it_is_empty_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Moving, "empty", property(lambda self: self.k.node in self.retiring))
-    monkeypatch.setattr(Moving, "tick", lambda self: None)
+    monkeypatch.setattr(Rebalancing, "empty", property(lambda self: self.store.node in self.retiring))
+    monkeypatch.setattr(Rebalancing, "tick", lambda self: None)
     world = play(day(length=6, top='delayed = 0.9\ndelay = "12 s"'), 3)
     assert world.crew.figures()["few_copies"] > 0
 
--- a/tests/test_post_disk.py
+++ b/tests/test_post_disk.py
@@ -13,10 +13,10 @@
 import pytest
 from test_post_roles import SETTINGS
 
-from opalwick.post.depot.agent import opened
+from opalwick.post.depot.agent import open_disk
 from opalwick.post.depot.disk import Disk
 from opalwick.post.depot.records import Fetch
-from opalwick.post.depot.role import Depot
+from opalwick.post.depot.role import StoreRole
 from opalwick.post.files import ROTTEN
 from opalwick.post.office.disk import Disk as OfficeDisk
 from opalwick.post.office.views import Stored
@@ -54,7 +54,7 @@
     counts.
     """
     disk = Disk(str(folder / "new" / "folder"))
-    name, starts = disk.id, disk.life
+    name, starts = disk.id, disk.starts
     disk.commit([*KEEPS, ("tried", ("m1", 12.0, 2, 1)), ("end", ("m2", 1, "s2", 210.0, "d1 d2"))])
     disk.commit(
         [
@@ -67,13 +67,13 @@
     )
     disk.close()
     disk = Disk(str(folder / "new" / "folder"))
-    assert lines(disk) == snapshot and (disk.id, disk.life) == (name, starts + 1)
+    assert lines(disk) == snapshot and (disk.id, disk.starts) == (name, starts + 1)
     assert disk.letter("m3") == b"octets 3" and disk.letter("m2") is None
     disk.commit([("forget", ("m3",)), ("forget", ("m9",)), ("drop", ("m1",))])
     assert lines(disk) == "end m2 1 s2 210.0 d1 d2" and disk.letter("m3") is None
     disk.close()
     other = Disk(str(folder / "empty"))
-    assert other.id != name and other.life == starts and lines(other) == ""
+    assert other.id != name and other.starts == starts and lines(other) == ""
     other.close()
 
 
@@ -122,14 +122,14 @@
     disk.db.execute("update ends set complete = 1 where mid = 'm2'")
     assert disk.letter("m1") == ROTTEN and disk.letter("m3") == b"octets 3" and disk.rotten == 1
     disk.close()
-    disk = opened(str(folder))
+    disk = open_disk(str(folder))
     assert lines(disk) == "letter m3 octets 3 due=10.0 until=90.0 fails=0 lost=0" and disk.rotten == 2
     disk.close()
 
 
 def test_a_corrupted_replica_is_requested_from_the_others() -> None:
-    depot = Depot(parse(SETTINGS, "here"), 1, 0.0, "x")
-    k = depot.keeping
+    depot = StoreRole(parse(SETTINGS, "here"), 1, 0.0, "x")
+    k = depot.store
     k.keep("c1", Keep(letter=Letter(mid="m1", holders=["d1", "d2"], until=90.0), parked=True))
     depot.settle()
     writes, _ = depot.batch()
@@ -143,7 +143,7 @@
 
 def test_a_broken_file_is_set_aside_and_a_controller_is_a_learner_then(folder) -> None:
     """Even if its settings allow a first start: it may have voted."""
-    for make, name in ((opened, "depot"), (OfficeDisk, "office")):
+    for make, name in ((open_disk, "depot"), (OfficeDisk, "office")):
         disk = make(str(folder))
         if name == "office":
             disk.save(Stored(4, b"view", True, b"conf", False))
@@ -168,16 +168,16 @@
     """The connection to the broken file must be closed before the new one is made: closing it later would
     remove the write-ahead log of the new file.
     """
-    disk = opened(str(folder))
+    disk = open_disk(str(folder))
     disk.commit(KEEPS)
     disk.close()
     path = folder / "depot.sqlite3"
     path.write_bytes(path.read_bytes()[:4096] + b"\xff" * (path.stat().st_size - 4096))
-    disk = opened(str(folder))
+    disk = open_disk(str(folder))
     disk.commit(KEEPS[:1])
     gc.collect()
     assert (folder / "depot.sqlite3.broken").exists() and (folder / "depot.sqlite3-wal").exists()
     disk.close()
-    disk = opened(str(folder))
+    disk = open_disk(str(folder))
     assert [row.mid for row in disk.letters()] == ["m1"]
     disk.close()
--- a/tests/test_post_events.py
+++ b/tests/test_post_events.py
@@ -12,7 +12,7 @@
 
 from opalwick.post import events
 from opalwick.post.counter.role import Counter
-from opalwick.post.depot.role import Depot
+from opalwick.post.depot.role import StoreRole
 from opalwick.post.office.role import Office
 from opalwick.post.settings import parse
 
@@ -21,7 +21,7 @@
 SETTINGS = "node=n\nrole=x\nip=127.0.0.1\naz=a\nport_range=7300,7315\nzones.a=r\nseeds=127.0.0.1:1\n"
 ROLES = {
     "counter": lambda: Counter(parse(SETTINGS, ""), 1, 0.0, 8),
-    "depot": lambda: Depot(parse(SETTINGS, ""), 1, 0.0, "d"),
+    "depot": lambda: StoreRole(parse(SETTINGS, ""), 1, 0.0, "d"),
     "office": lambda: Office(parse(SETTINGS, ""), 1, 0.0, None),
 }
 
--- a/tests/test_post_home.py
+++ b/tests/test_post_home.py
@@ -22,14 +22,14 @@
 from opalwick.post.counter.lookup import Lookup
 from opalwick.post.counter.role import Counter
 from opalwick.post.depot.disk import Disk
-from opalwick.post.depot.role import Depot
+from opalwick.post.depot.role import StoreRole
 from opalwick.post.directory import Directory
 from opalwick.post.home import audit, commands
 from opalwick.post.home.guard import Guard
 from opalwick.post.home.policy import Policy, in_force
-from opalwick.post.home.reading import check, unkept
-from opalwick.post.home.shelf import Shelf
-from opalwick.post.home.short import LONGEST, Short
+from opalwick.post.home.reading import check, too_few_stores
+from opalwick.post.home.shelf import ResidencyQueue
+from opalwick.post.home.short import MAX_RETRY_AFTER, WaitEstimate
 from opalwick.post.names import Asked
 from opalwick.post.settings import parse
 from opalwick.post.verdict import Verdict
@@ -125,8 +125,10 @@
 def test_a_home_without_stores_for_all_replicas_is_refused() -> None:
     home = check(json.dumps(GOOD).encode(), ZONES).unwrap()
     depots = [Node(node=f"d{i}", zone=zone) for i, zone in enumerate("aab")]
-    assert unkept(home, ZONES, depots, 1) == ""
-    assert unkept(home, ZONES, depots, 2) == ("partners[1].home: cl has 1 stores, 2 replicas are required")
+    assert too_few_stores(home, ZONES, depots, 1) == ""
+    assert too_few_stores(home, ZONES, depots, 2) == (
+        "partners[1].home: cl has 1 stores, 2 replicas are required"
+    )
 
 
 def test_which_partner_a_message_belongs_to() -> None:
@@ -160,7 +162,7 @@
 def test_a_process_whose_settings_moved_it_is_in_no_country_until_its_next_start(
     given: Any, here: str
 ) -> None:
-    assert Policy(conf(), given).here("a") == here
+    assert Policy(conf(), given).own_country("a") == here
 
 
 # ---- the guard
@@ -208,17 +210,28 @@
     )
     role.govern()
     own, other = letter(home="jo", home_gen=2), letter("/open/x")
-    assert g.write(own, Hello(node="d1", zone="a")) and not g.write(own, Hello(node="d2", zone="b"))
-    assert not g.write(own, Hello(node="d2", zone="a"))  # it reports another zone than the controllers
-    assert not g.delivery(own, ("10.0.0.1", 80, "w1")) and g.delivery(other, ("10.0.0.1", 80, "w1"))
-    assert not g.met(own, ("10.0.0.1", 80, "w1"), "w9") and not g.must_meet(other, ("10.0.0.1", 80, "w1"))
-    assert not g.hands("move", own, Hello(node="d2", zone="b")) and not g.tells("jo", "cl")
+    assert g.permits_write(own, Hello(node="d1", zone="a")) and not g.permits_write(
+        own, Hello(node="d2", zone="b")
+    )
+    assert not g.permits_write(
+        own, Hello(node="d2", zone="a")
+    )  # it reports another zone than the controllers
+    assert not g.permits_delivery(own, ("10.0.0.1", 80, "w1")) and g.permits_delivery(
+        other, ("10.0.0.1", 80, "w1")
+    )
+    assert not g.permits_connection(own, ("10.0.0.1", 80, "w1"), "w9") and not g.needs_name_check(
+        other, ("10.0.0.1", 80, "w1")
+    )
+    assert not g.permits_transfer("move", own, Hello(node="d2", zone="b")) and not g.permits_body("jo", "cl")
     assert g.refused == {"delivery": 2, "write": 2, "keep": 0, "move": 1, "assign": 0, "body": 1}
     assert [number for number, _ in role.told] == [907] * 6
     # without ids of messages or nodes
     assert all(set(fields) == {"door", "home", "country"} for _, fields in role.told)
     # a message that is being accepted follows the policy, whatever its stamp; an older one stays where it was
-    assert not g.write(letter(), Hello(node="d2", zone="b")) and g.home(letter(home="cl", home_gen=1)) == "cl"
+    assert (
+        not g.permits_write(letter(), Hello(node="d2", zone="b"))
+        and g.home(letter(home="cl", home_gen=1)) == "cl"
+    )
 
 
 def test_a_run_is_audited_where_it_was_sent_though_its_worker_is_disputed_by_its_end() -> None:
@@ -259,17 +272,17 @@
         ({"home": "jo", "home_gen": 9}, False),
         ({"home": "cl", "home_gen": 9}, True),
     ):
-        role, link = process(Depot), Link(node="c1", role="counter", zone="a", life=1)
+        role, link = process(StoreRole), Link(node="c1", role="counter", zone="a", life=1)
         role.joined(link)
         role.heard(link, "keep", Keep(letter=letter(**stamp)))
         assert [word.refused for word in link.got("kept")] == [True] * refused
-        assert ("m1" in role.keeping.entries) is not refused
+        assert ("m1" in role.store.entries) is not refused
 
 
 def test_a_body_is_sent_at_home_only() -> None:
     """Checked by the store, and again by the gateway."""
     for zone, abroad in (("a", False), ("b", True)):
-        role, link = process(Depot), Link(node="c1", role="counter", zone=zone, life=1)
+        role, link = process(StoreRole), Link(node="c1", role="counter", zone=zone, life=1)
         role.joined(link)
         role.heard(link, "keep", Keep(letter=letter(home="jo", home_gen=2, body=b"octets")))
         role.settle()
@@ -295,14 +308,14 @@
 
 
 def test_the_queue_goes_by_prio_then_by_turns_then_by_age() -> None:
-    shelf = Shelf()
+    shelf = ResidencyQueue()
     for prio, partner, aim in ((1, "a", 1), (1, "a", 2), (1, "a", 3), (1, "b", 9), (0, "c", 8), (1, "b", 7)):
         shelf.put(prio, partner, 100.0 + aim, f"{partner}{aim}")
     assert [shelf.take(0.0) for _ in range(len(shelf))] == ["c8", "a1", "b7", "a2", "b9", "a3"]
     for partner, aim in (("a", 1), ("a", 2), ("b", 3)):
         shelf.put(1, partner, aim, f"{partner}{aim}")
-    assert shelf.sift(lambda item: item == "a1") == ["a1"] and len(shelf) == 2
-    assert not shelf.given.keys() - {"a", "b"}
+    assert shelf.remove_where(lambda item: item == "a1") == ["a1"] and len(shelf) == 2
+    assert not shelf.turns.keys() - {"a", "b"}
 
 
 @pytest.mark.parametrize("rate, bound", [(2.0, 5.0), (10.0, 1.0), (4.0, 20.0)])
@@ -310,21 +323,23 @@
     """A client that returns then finds no more messages before it than may wait; one that returns much sooner
     finds more.
     """
-    short, count, now = Short(0.0), 100.0, 10.0
+    short, count, now = WaitEstimate(0.0), 100.0, 10.0
     for i in range(200):
         short.ended("p", now - 5.0 + i / rate) if i / rate < 5.0 else None
     short.waiting = {"p": (int(count), 0.0)}
     assert short.wait("p", now) > bound
-    again = short.again("p", now, bound)
+    again = short.retry_after("p", now, bound)
     left = count - again * rate
     assert left / rate == pytest.approx(bound, abs=1.0 / rate) and again > 1.0
 
 
 def test_where_nothing_ends_retry_after_is_the_wait_so_far() -> None:
-    short = Short(0.0)
+    short = WaitEstimate(0.0)
     assert short.wait("p", 50.0) == 0.0
     short.waiting = {"p": (3, 42.0)}
-    assert short.again("p", 50.0, 60.0) == 8.0 and short.again("p", 142.0, 60.0) == LONGEST
+    assert (
+        short.retry_after("p", 50.0, 60.0) == 8.0 and short.retry_after("p", 142.0, 60.0) == MAX_RETRY_AFTER
+    )
 
 
 # ---- an address that belongs to another worker
@@ -381,8 +396,8 @@
     disk.close()
     again = Disk(str(tmp_path))
     assert audit.rows(again.db) == [(60, "jo", "copies", "jo", 2)]
-    again.commit([("audit", (60 + audit.MOST + 60, "jo", "runs", "cl"))])
-    report = audit.signed(audit.rows(again.db))
+    again.commit([("audit", (60 + audit.RETENTION + 60, "jo", "runs", "cl"))])
+    report = audit.with_digest(audit.rows(again.db))
     assert report["abroad"] == 1 and [row["what"] for row in report["rows"]] == ["runs"]
     assert report["sha256"] == hashlib.sha256(json.dumps(report["rows"], sort_keys=True).encode()).hexdigest()
 
@@ -411,7 +426,7 @@
             "list": {"rows": [row], "sha256": "x"},
         },
     ]
-    monkeypatch.setattr(commands, "answers", lambda at: found)
+    monkeypatch.setattr(commands, "reports", lambda at: found)
     assert commands.show(json=True) == 1
     assert json.loads(capsys.readouterr().out)["look"] == [
         "c applies policy 1, 2 is the newest",
--- a/tests/test_post_keeping.py
+++ b/tests/test_post_keeping.py
@@ -7,7 +7,7 @@
 import pytest
 from post_helper import Player, letter, word
 
-from opalwick.post.depot.keeping import LAPSE, STILL, Keeping
+from opalwick.post.depot.keeping import LAPSE, STALL, MessageStore
 from opalwick.post.depot.records import Fetch, Write
 from opalwick.post.wire_pb2 import Hand, Keep, Letter, Pulse
 
@@ -22,7 +22,11 @@
 
     def __init__(self, script: str = "", room: float = 1e9) -> None:
         super().__init__()
-        self.k, self.pulses, self.stalled = Keeping("d1", "n", 0.0, 120.0, room), dict[str, Pulse](), False
+        self.k, self.pulses, self.stalled = (
+            MessageStore("d1", "n", 0.0, 120.0, room),
+            dict[str, Pulse](),
+            False,
+        )
         self.queue: list[Write | Fetch] = []
         self.letters, self.ends = dict[str, tuple](), dict[str, tuple]()
         self.play(script)
@@ -62,7 +66,7 @@
         self.k.leaving = True
 
     def do_restarts(self, me: str) -> None:
-        self.k, self.queue, self.pulses = Keeping("d1", "n", self.now, 120.0), [], {}
+        self.k, self.queue, self.pulses = MessageStore("d1", "n", self.now, 120.0), [], {}
         for end in self.ends.values():
             self.k.loaded_end(*end)
         for mid, octets, *rest in self.letters.values():
@@ -175,7 +179,7 @@
     no attempt.
     """
     d = Store(READY)
-    d.k.counters["c1"].given = int(held == "c2")
+    d.k.gateways["c1"].assigned = int(held == "c2")
     d.play(f"2.00 c1 keep m1 parked; {held} mine mids=m1 claims=1\n2.10 {other} mine mids=m1 claims=2 ask")
     assert d.k.entries["m1"].owner.startswith(held + "/")
     answers = [(node, list(msg.gone), list(msg.agreed)) for _, node, kind, msg in d.said if kind == "checked"]
@@ -337,7 +341,7 @@
         == snapshot
     )
     assert {msg.mid for _, _, kind, msg in d.said if kind == "kept" and msg.refused} == {"m3", "m5"}
-    assert d.k.ends == {} == d.ends and d.letters == {} and d.k.held == 0
+    assert d.k.ends == {} == d.ends and d.letters == {} and d.k.stored_bytes == 0
 
 
 def test_a_stall_is_not_taken_for_the_others_silence() -> None:
@@ -363,11 +367,11 @@
     new either.
     """
     d = Store(f"{READY}\n2.00 c1 keep m1; c1 silent")
-    d.STEP = STILL + 0.1
+    d.STEP = STALL + 0.1
     d.until(20.0)
-    assert d.k.entries["m1"].owner != "c1/7" and not d.k.deaf
-    d.k.peers_ask["d2"] = ["c1/7"]
-    assert d.k.hears("d2").get("c1/7", 9.0) > LAPSE
+    assert d.k.entries["m1"].owner != "c1/7" and not d.k.silent_owners
+    d.k.peer_queries["d2"] = ["c1/7"]
+    assert d.k.reports_for("d2").get("c1/7", 9.0) > LAPSE
 
 
 def test_other_stores_are_asked_before_the_lease_of_a_gateway_expires() -> None:
@@ -375,14 +379,14 @@
     applies time-outs.
     """
     d = Store(f"{READY}\n2.00 c1 keep m1; c1 silent\n2.60 d2 pulses settled")
-    assert list(d.k.deaf) == ["c1/7"]
-    d.k.deaf.clear()
+    assert list(d.k.silent_owners) == ["c1/7"]
+    d.k.silent_owners.clear()
     d.now += 3.0
     d.until(d.now + 0.5)
-    assert list(d.k.deaf) == ["c1/7"] and d.k.entries["m1"].owner == "c1/7"
+    assert list(d.k.silent_owners) == ["c1/7"] and d.k.entries["m1"].owner == "c1/7"
     d.play(f"{d.now + 0.1} d2 pulses settled edges=c1/7:0.1")
     d.until(d.now + 4.0)
     assert d.k.entries["m1"].owner == "c1/7"
     d.do_pulses("d2", "settled")  # d2 receives no heartbeat of it any more
     d.until(d.now + 2.1)
-    assert d.k.entries["m1"].owner != "c1/7" and not d.k.deaf
+    assert d.k.entries["m1"].owner != "c1/7" and not d.k.silent_owners
--- a/tests/test_post_moving.py
+++ b/tests/test_post_moving.py
@@ -5,7 +5,7 @@
 import pytest
 from post_helper import Net
 
-from opalwick.post.depot.keeping import Keeping
+from opalwick.post.depot.keeping import MessageStore
 from opalwick.post.depot.records import Write
 from opalwick.post.wire_pb2 import End, Keep, Letter, Pulse
 
@@ -17,14 +17,14 @@
 
     def __init__(self, names: str = "d1 d2 d3 d4", seed: int = 0) -> None:
         super().__init__(seed, (0.001, 0.003))
-        self.k: dict[str, Keeping] = {}
+        self.k: dict[str, MessageStore] = {}
         self.letters: dict[str, dict[str, Letter]] = {}
         self.told: list[tuple[str, str]] = []  # sent to the gateway: kind, message
         for name in names.split():
             self.start(name)
 
     def start(self, name: str) -> None:
-        k = self.k[name] = Keeping(name, ZONES[name], self.now, 120.0)
+        k = self.k[name] = MessageStore(name, ZONES[name], self.now, 120.0)
         self.letters[name] = {}
         k.counter_up("c1", 1, "a")
         for other in self.k:
@@ -38,7 +38,7 @@
         for k in self.k.values():
             k.depot_down(name)
 
-    def tick(self, name: str, k: Keeping) -> None:
+    def tick(self, name: str, k: MessageStore) -> None:
         if self.k.get(name) is k:
             k.clock(self.now)
             k.counter_pulse("c1", Pulse(ready=True))
@@ -54,14 +54,14 @@
             return
         k.clock(self.now)
         if kind == "kept":
-            k.moving.kept(sender, msg.mid, msg.refused)
+            k.rebalancing.kept(sender, msg.mid, msg.refused)
         elif kind == "ended":
-            k.moving.ended(sender, msg.mid)
+            k.rebalancing.ended(sender, msg.mid)
         else:
             getattr(k, kind)(sender, msg)
         self.settle(name, k)
 
-    def settle(self, name: str, k: Keeping) -> None:
+    def settle(self, name: str, k: MessageStore) -> None:
         while any(found := k.effects()):
             writes, sends, fetches = found
             for write in writes:
@@ -104,11 +104,11 @@
         d.hears(name, "c1", "end", End(mid="m3", complete=False))
     for k in d.k.values():
         k.ordered((1, 1), {"d1"})
-    assert not d.k["d1"].moving.empty
+    assert not d.k["d1"].rebalancing.empty
     for _ in range(400):
         d.until(d.now + 0.02)
         assert all(len(d.copies(f"m{n}")) >= 2 for n in range(4, 200))
-    assert d.k["d1"].moving.empty and not d.k["d1"].entries
+    assert d.k["d1"].rebalancing.empty and not d.k["d1"].entries
     d.gone("d1")
     assert all(len(d.copies(f"m{n}")) == 2 for n in range(4, 200))
     for mid, complete in (("m1", True), ("m3", False)):
@@ -131,7 +131,7 @@
     d.start("d1")
     d.letters["d1"] = disk
     for mid, entry in lost.entries.items():
-        d.k["d1"].loaded(mid, entry.holders, entry.due, entry.until, 0, 0, 10)
+        d.k["d1"].loaded(mid, entry.replicas, entry.due, entry.until, 0, 0, 10)
     for other in ("d2", "d3"):
         d.k["d1"].depot_up(other, ZONES[other], "disk")
     d.until(20.0)
@@ -152,7 +152,7 @@
     d.until(4.0 + 4.5)  # the time that a new machine has until the next loss
     assert all(len(d.copies(f"m{n}")) == 2 for n in range(600))
     d.until(12.0)
-    assert sum(k.moving.figures["repaired"] for k in d.k.values()) == 400
+    assert sum(k.rebalancing.figures["repaired"] for k in d.k.values()) == 400
 
 
 def test_a_replica_that_moves_keeps_its_owner() -> None:
@@ -167,5 +167,5 @@
         for k in d.k.values():
             k.ordered((1, seq), {retiring})
         d.until(d.now + 3.0)
-    assert d.copies("m") == ["d1", "d3"] and d.k["d3"].acts(d.k["d3"].entries["m"])
+    assert d.copies("m") == ["d1", "d3"] and d.k["d3"].is_acting(d.k["d3"].entries["m"])
     assert [kind for kind, _ in d.told] == ["kept", "kept", "holders", "holders"]
--- a/tests/test_post_names.py
+++ b/tests/test_post_names.py
@@ -140,5 +140,5 @@
         assert cluster.ask("c2", other, body=True).status in NOT_SHOWN
     assert cluster.ask("c2", name.replace("zz", "zy")).status == 404
     for node in (first, second):  # it was moved since: whether the name was given out is not known here
-        cluster.roles[node].keeping.entries["1c.k3f9a2.zz"].holders = (first, third)
+        cluster.roles[node].store.entries["1c.k3f9a2.zz"].replicas = (first, third)
     assert cluster.ask("c2", name).status == 503
--- a/tests/test_post_roles.py
+++ b/tests/test_post_roles.py
@@ -8,7 +8,7 @@
 
 from opalwick.post.beats import Beat
 from opalwick.post.counter.role import Counter
-from opalwick.post.depot.role import Depot
+from opalwick.post.depot.role import StoreRole
 from opalwick.post.office.role import Office
 from opalwick.post.settings import parse
 from opalwick.post.wire_pb2 import Ask, Checked, Conf, End, Hello, Keep, Letter, Pulse
@@ -41,7 +41,7 @@
     complete: bool, state: int, body: bytes
 ) -> None:
     """Found by a hunt (MIXED): asked for while pending, ended in the same batch: an empty body as 200."""
-    depot, link = Depot(parse(SETTINGS, "here"), 1, 0.0, "x"), Spy("counter")
+    depot, link = StoreRole(parse(SETTINGS, "here"), 1, 0.0, "x"), Spy("counter")
     depot.joined(link)
     letter = Letter(mid="m.1.1", body=b"octets", holders=["d1"], until=90.0)
     depot.heard(link, "keep", Keep(letter=letter))
@@ -58,7 +58,7 @@
 
 def test_a_depot_does_not_end_while_a_batch_is_on_its_way_to_a_slow_disk() -> None:
     """Found by a soak: its thread went on with a disk that was closed, and the process ended with a fault."""
-    depot, link = Depot(parse(SETTINGS, "here"), 1, 0.0, "x"), Spy("counter")
+    depot, link = StoreRole(parse(SETTINGS, "here"), 1, 0.0, "x"), Spy("counter")
     depot.clock(1.0)
     depot.joined(link)
     depot.heard(link, "keep", Keep(letter=Letter(mid="m.1.1", holders=["d1"], until=90.0)))
--- a/tests/test_post_safety.py
+++ b/tests/test_post_safety.py
@@ -14,7 +14,7 @@
 from opalwick.post.counter.agent import CounterShell
 from opalwick.post.counter.role import Counter
 from opalwick.post.depot.disk import Disk
-from opalwick.post.depot.role import Depot
+from opalwick.post.depot.role import StoreRole
 from opalwick.post.office.role import Office
 from opalwick.post.settings import parse
 from opalwick.post.wire_pb2 import (
@@ -268,22 +268,22 @@
     disk.close()
     disk = Disk(str(tmp_path))
     assert disk.seal() == (7, 2)
-    depot, link, peer = Depot(parse(DEPOT, "here"), 2, 0.0, disk.id), Spy("counter"), Spy("depot", "d2")
-    depot.keeping.seal.loaded(disk.seal())
+    depot, link, peer = StoreRole(parse(DEPOT, "here"), 2, 0.0, disk.id), Spy("counter"), Spy("depot", "d2")
+    depot.store.seal.loaded(disk.seal())
     depot.joined(link)
     depot.joined(peer)
     letter = Letter(mid="m.1.1", body=b"x", holders=["d1", "d2"], until=90.0)
     depot.heard(link, "keep", Keep(letter=letter))
     depot.heard(peer, "hand", Hand(letters=[letter]))
     depot.settle()
-    assert not depot.keeping.entries and not depot.queue
+    assert not depot.store.entries and not depot.queue
     assert [word.refused for kind, word in link.said if kind == "kept"] == [True]
     office_link = Spy("office", "o1")
     depot.joined(office_link)
     for gen, seq, sealed in ((7, 1, True), (7, 2, True), (7, 3, False)):  # the order was taken back
         depot.hear(office_link, "news", News(conf=Conf(gen=gen, seq=seq), whole=True))
         depot.settle()
-        assert (depot.keeping.seal.written is not None) is sealed
+        assert (depot.store.seal.written is not None) is sealed
     disk.commit([(write.kind, write.fields) for write in depot.batch()[0]])
     assert disk.seal() is None
     disk.close()
--- a/tests/test_post_twice.py
+++ b/tests/test_post_twice.py
@@ -42,7 +42,7 @@
     cluster.run(0.1)
     first, second = cluster.holders(mid)
     for node in ("c1", "c3"):  # the two choose different counters
-        cluster.roles[second].keeping.counters[node].given = 19
+        cluster.roles[second].store.gateways[node].assigned = 19
     cluster.part(first, second)
     before = list(cluster.began[mid])
     if not moved:
@@ -123,14 +123,14 @@
     mid = cluster.accepted("c1")
     cluster.run(0.1)
     first, _ = cluster.holders(mid)
-    keeping = cluster.roles[first].keeping
+    keeping = cluster.roles[first].store
     target = next(node for node in ("d1", "d2", "d3") if node not in cluster.holders(mid))
-    keeping.moving.on_way[mid] = Transfer(target, cluster.now, (first, target))
+    keeping.rebalancing.transfers[mid] = Transfer(target, cluster.now, (first, target))
     keeping.fetch(mid, ("move", target, (first, target)))
     cluster.settle(first)
     cluster.answer(mid)
     cluster.read()
-    assert mid in cluster.roles[target].keeping.ends
+    assert mid in cluster.roles[target].store.ends
 
 
 def test_words_of_an_earlier_life_of_a_counter_are_no_claim_of_the_later_one() -> None:
@@ -139,6 +139,6 @@
     later = Hello(node="c1", role="counter", zone="b", life=old.peer.life + 1)
     depot.joined(SimpleNamespace(peer=later, heard_at=cluster.now, say=lambda kind, word: None))
     depot.heard(old, "keep", Keep(letter=Letter(mid="m", holders=["d1", "d2"], due=9.0, until=90.0)))
-    assert depot.keeping.entries["m"].owner == ""
+    assert depot.store.entries["m"].owner == ""
     depot.heard(old, "mine", Mine(mids=["m"], claims=[7]))
-    assert depot.keeping.entries["m"].owner == ""
+    assert depot.store.entries["m"].owner == ""
