--- a/opalwick/post/depot/keeping.py
+++ b/opalwick/post/depot/keeping.py
@@ -155,7 +155,7 @@
     def loaded(
         self,
         mid: str,
-        holders: tuple[str, ...],
+        replicas: tuple[str, ...],
         due: float,
         until: float,
         fails: int,
@@ -164,13 +164,13 @@
         home: str = "",
     ) -> None:
         """Restores a pending message of `size` bytes."""
-        self.add(Entry(mid, holders, due, until, fails, lost, size, home))
+        self.add(Entry(mid, replicas, due, until, fails, lost, size, home))
 
     def loaded_end(
-        self, mid: str, complete: bool, seal: str, until: float, holders: tuple[str, ...] = ()
+        self, mid: str, complete: bool, seal: str, until: float, replicas: tuple[str, ...] = ()
     ) -> None:
         """Restores the record of an end."""
-        self.ends[mid] = KnownEnd(complete, seal, until, holders)
+        self.ends[mid] = KnownEnd(complete, seal, until, replicas)
         heapq.heappush(self.expiry, (until, mid))
 
     def loaded_dead(self, mid: str, size: int) -> None:
@@ -203,13 +203,13 @@
 
     def counter_up(self, node: str, incarnation: int, zone: str) -> None:
         """A link to that process of a gateway is up."""
-        known = self.gateways.get(node)
-        if known is not None and known.incarnation > incarnation:
+        current = self.gateways.get(node)
+        if current is not None and current.incarnation > incarnation:
             return  # a late link of an earlier process
-        if known is None or known.incarnation < incarnation:
+        if current is None or current.incarnation < incarnation:
             # a node starts its next process only after the one before has ended
-            if known is not None:
-                self.lapsed(owner(node, known.incarnation))
+            if current is not None:
+                self.lapsed(owner(node, current.incarnation))
             gateway = self.gateways[node] = Gateway(node, incarnation, zone, self.now)
             # it joins at the others' level: from 0 it would be assigned every message for a while
             gateway.assigned = max((c.assigned for c in self.gateways.values()), default=0)
@@ -220,7 +220,7 @@
             ]:
                 self.lapsed(process)
             return
-        known.linked, known.last_seen = True, self.now
+        current.linked, current.last_seen = True, self.now
 
     def counter_down(self, node: str) -> None:
         """The last link to a gateway is down."""
@@ -346,7 +346,7 @@
         self.finish(msg.mid, msg.complete, msg.seal, confirmation, waits=msg.until)
         if entry is not None and gateway is not None and entry.owner != owner(node, gateway.incarnation):
             # that gateway may lack some of the replicas, or have no link to them
-            self.send_end(msg.mid, [holder for holder in entry.replicas if holder in self.peers])
+            self.send_end(msg.mid, [replica for replica in entry.replicas if replica in self.peers])
         # only the first replica counts the run
         if entry is not None and msg.complete and self.node in entry.replicas[:1]:
             self.audit(entry, "runs", msg.country)
@@ -391,13 +391,13 @@
             self.stored_bytes -= entry.size
         elif entry is not None:
             self.dead_sizes[mid] = entry.size  # its bytes can still be requested
-        holders = entry.replicas if entry is not None else ()
-        self.ends[mid] = KnownEnd(complete, seal, until, holders)
+        replicas = entry.replicas if entry is not None else ()
+        self.ends[mid] = KnownEnd(complete, seal, until, replicas)
         self.unsynced.add(mid)
         heapq.heappush(self.expiry, (until, mid))
         self.figures["ended"] += 1
-        self.trace(353, message=mid, complete=complete, seal=seal, holders=",".join(holders))
-        self.writes.append(Write("end", (mid, int(complete), seal, until, " ".join(holders)), then))
+        self.trace(353, message=mid, complete=complete, seal=seal, holders=",".join(replicas))
+        self.writes.append(Write("end", (mid, int(complete), seal, until, " ".join(replicas)), then))
 
     def synced(self, writes: list[Write]) -> None:
         """These writes are on the disk."""
@@ -641,9 +641,8 @@
         """Handles the differences that a store reports: ends, replicas that it lacks, replicas to drop."""
         for end in msg.ends:
             if end.mid not in self.ends:
-                if (
-                    not msg.last and node not in self.awaited_peers
-                ):  # not part of the comparison on a new link
+                # not part of the comparison on a new link
+                if not msg.last and node not in self.awaited_peers:
                     self.figures["missed_ends"] += 1
                     self.event(306, message=end.mid, by=node)
                 self.finish(end.mid, end.complete, end.seal, waits=end.until)
@@ -723,12 +722,10 @@
 
     def is_acting(self, entry: Entry) -> bool:
         """Whether this store assigns the message: it is the first of its replicas that is available."""
-        for holder in entry.replicas:
-            if holder == self.node:
+        for node in entry.replicas:
+            if node == self.node:
                 return True
-            if self.now - self.peers.get(holder, -1e9) < PEER_TIMEOUT and self.peers_settled.get(
-                holder, False
-            ):
+            if self.now - self.peers.get(node, -1e9) < PEER_TIMEOUT and self.peers_settled.get(node, False):
                 return False
         return True  # it is here, though it is not listed as a replica and no listed one is available
 
@@ -764,8 +761,8 @@
                 and not stalled
             ):
                 self.lapsed(process, silent=True)
-        for counter in list(self.pending_lists):
-            self.check(counter)
+        for gateway in list(self.pending_lists):
+            self.check(gateway)
         self.reconciliation.tick()
         while self.expiry and self.expiry[0][0] <= self.now:
             self.expire(heapq.heappop(self.expiry)[1])
@@ -798,7 +795,7 @@
         later: list[tuple[float, str]] = []
         remaining = ASSIGN_BATCH
         candidates: list[Gateway] | None = None
-        by_country = dict[str, list[Gateway]]()  # by country
+        by_country = dict[str, list[Gateway]]()
         while self.waiting and remaining and self.waiting[0][0] <= self.now + ASSIGN_LEAD:
             due, mid = heapq.heappop(self.waiting)
             entry = self.entries.get(mid)
--- a/opalwick/post/depot/moving.py
+++ b/opalwick/post/depot/moving.py
@@ -62,8 +62,8 @@
             self.newcomers[node] = self.store.now
         self.zones[node] = zone
         self.away_since.pop(node, None)
-        known, self.disks[node] = self.disks.get(node), disk
-        if known is not None and known != disk:  # it lost its disk, and with it all ends
+        previous, self.disks[node] = self.disks.get(node), disk
+        if previous is not None and previous != disk:  # it lost its disk, and with it all ends
             for mid, end in self.store.ends.items():
                 if node in end.replicas:
                     self.store.send_end(mid, [node])
@@ -85,17 +85,19 @@
         """The country that a store is in, by the data residency policy; empty where it is unknown."""
         return self.store.country(self.zones.get(node, "") if node != self.store.node else self.store.zone)
 
-    def choose(self, mid: str, holders: tuple[str, ...], count: int = 1, home: str = "") -> list[str]:
+    def choose(self, mid: str, replicas: tuple[str, ...], count: int = 1, home: str = "") -> list[str]:
         """Returns up to `count` stores for a further replica, the best first: in a zone without one (if
         replicas need not be spread: in a zone with one), then by a hash that is the same at all stores.
         `home`: only stores in that country.
         """
-        zones = {self.zones.get(node, "") if node != self.store.node else self.store.zone for node in holders}
+        zones = {
+            self.zones.get(node, "") if node != self.store.node else self.store.zone for node in replicas
+        }
         return sorted(
             (
                 node
                 for node in self.available()
-                if node not in holders and (not home or self.country_of(node) == home)
+                if node not in replicas and (not home or self.country_of(node) == home)
             ),
             key=lambda node: (
                 (self.zones.get(node) in zones) == self.spread,
@@ -155,12 +157,12 @@
         target = self.choose(entry.mid, entry.replicas, home=entry.home)
         # the other replicas may be enough, where the gateway replaced a store that did not answer
         if target or len(left) >= self.copies:
-            holders = left if len(left) >= self.copies else (*left, target[0])
-            if holders == left:
-                self.complete(entry, holders)
+            replicas = left if len(left) >= self.copies else (*left, target[0])
+            if replicas == left:
+                self.complete(entry, replicas)
                 return
-            self.transfers[entry.mid] = Transfer(target[0], self.store.now, holders)
-            self.store.fetch(entry.mid, ("move", target[0], holders))
+            self.transfers[entry.mid] = Transfer(target[0], self.store.now, replicas)
+            self.store.fetch(entry.mid, ("move", target[0], replicas))
 
     def move_ends(self) -> None:
         """Of a store that is to be removed: sends each end, and a dead message's bytes, until enough others
@@ -204,15 +206,15 @@
         elif mid in self.store.ends and not refused:  # the message ended during the transfer
             self.store.send_end(mid, [node])
 
-    def complete(self, entry: Entry, holders: tuple[str, ...]) -> None:
+    def complete(self, entry: Entry, replicas: tuple[str, ...]) -> None:
         """Sends the new list of replicas to all stores that are or were on it, and to the owner."""
-        msg = Holders(mid=entry.mid, holders=holders)
-        for node in dict.fromkeys((*entry.replicas, *holders)):
+        msg = Holders(mid=entry.mid, holders=replicas)
+        for node in dict.fromkeys((*entry.replicas, *replicas)):
             if node != self.store.node:
                 self.store.send(node, "holders", msg)
         if entry.owner:
             self.store.send(entry.owner.rpartition("/")[0], "holders", msg)
-        self.figures["moved" if self.store.node not in holders else "repaired"] += 1
+        self.figures["moved" if self.store.node not in replicas else "repaired"] += 1
         self.store.holders(self.store.node, msg)
 
     def ended(self, node: str, mid: str) -> None:
--- a/opalwick/post/depot/reconciliation.py
+++ b/opalwick/post/depot/reconciliation.py
@@ -44,11 +44,11 @@
 
     def query(self, mids: Iterable[str]) -> None:
         """Requests what the other replicas of these messages have of them."""
-        asked: dict[str, list[str]] = {}
+        by_node: dict[str, list[str]] = {}
         for mid in mids:
             for node in self.other_replicas(mid):
-                asked.setdefault(node, []).append(mid)
-        for node, pending in asked.items():
+                by_node.setdefault(node, []).append(mid)
+        for node, pending in by_node.items():
             for at in range(0, len(pending), BATCH):
                 self.store.send(node, "have", Have(pending=pending[at : at + BATCH], ends=True))
 
--- a/opalwick/post/depot/records.py
+++ b/opalwick/post/depot/records.py
@@ -27,7 +27,7 @@
     def __init__(
         self,
         mid: str,
-        holders: tuple[str, ...],
+        replicas: tuple[str, ...],
         due: float,
         until: float,
         fails: int = 0,
@@ -37,7 +37,7 @@
     ) -> None:
         """`size`: bytes on the disk. `home`: the country that the message must not leave; empty: any."""
         self.size, self.home = size, home
-        self.mid, self.replicas, self.due, self.until = mid, holders, due, until
+        self.mid, self.replicas, self.due, self.until = mid, replicas, due, until
         self.claim, self.owner, self.fails, self.lost = 0, "", fails, lost
         self.min_claim = 0  # claims below this are void: their gateway's lease expired
         self.assigned_at = 0.0  # when it was assigned to its owner, if that has not acknowledged it; else 0
--- a/opalwick/post/depot/role.py
+++ b/opalwick/post/depot/role.py
@@ -134,8 +134,8 @@
         """Whether a later process of that gateway is known; peer messages of the earlier one may still be
         unread.
         """
-        counter = self.store.gateways.get(link.peer.node)
-        return counter is not None and counter.incarnation > link.peer.life
+        gateway = self.store.gateways.get(link.peer.node)
+        return gateway is not None and gateway.incarnation > link.peer.life
 
     def trace_peer_message(self, node: str, kind: str, msg: Any) -> None:
         """Writes the trace event of a peer message about one stored message, with its owner until then."""
@@ -193,15 +193,15 @@
 
     def answer(self, link: Link, msg: Any) -> None:
         """Answers a request for a message's state or body."""
-        told = self.store.state(msg.mid)
-        if msg.tags and told.state in FOUND:
+        answer = self.store.state(msg.mid)
+        if msg.tags and answer.state in FOUND:
             if not is_name_of(msg.tags, self.store.replicas_of(msg.mid)):
-                told = Told(state=MessageState.UNSURE)  # another name, or its replicas have moved since
-        told.call = msg.call
-        if msg.body and told.state in WITH_BODY:
+                answer = Told(state=MessageState.UNSURE)  # another name, or its replicas have moved since
+        answer.call = msg.call
+        if msg.body and answer.state in WITH_BODY:
             self.queue.append(Fetch(msg.mid, ("told", link, msg.call)))
         else:
-            link.say("told", told)
+            link.say("told", answer)
 
     # ---- the disk
 
@@ -243,17 +243,17 @@
                 continue
             _, link, call = fetch.why
             # the present state: it may have ended since, and its bytes may be gone with the same batch
-            told = self.store.state(fetch.mid)
-            told.call = call
+            answer = self.store.state(fetch.mid)
+            answer.call = call
             if message is not None:
-                told.home = self.guard.home(message)
-                if self.guard.permits_body(told.home, self.guard.node(link.peer) if told.home else ""):
-                    told.body = message.body
+                answer.home = self.guard.home(message)
+                if self.guard.permits_body(answer.home, self.guard.node(link.peer) if answer.home else ""):
+                    answer.body = message.body
                 else:
-                    told.abroad = True
-            elif told.state in WITH_BODY:
-                told.state = MessageState.UNSURE
-            link.say("told", told)
+                    answer.abroad = True
+            elif answer.state in WITH_BODY:
+                answer.state = MessageState.UNSURE
+            link.say("told", answer)
 
     # ---- time
 
--- a/opalwick/post/depot/status.py
+++ b/opalwick/post/depot/status.py
@@ -234,7 +234,7 @@
 
 
 def metrics(role: StoreRole) -> list[Any]:
-    """The store's metrics: name, whether it is a counter, help text, and samples (labels, value)."""
+    """The store's metrics: name, whether the value only grows, help text, and samples (labels, value)."""
     k, now = role.store, role.now
     due = [entry.due for entry in k.entries.values() if entry.due <= now]
     return [
--- a/opalwick/post/home/commands.py
+++ b/opalwick/post/home/commands.py
@@ -31,8 +31,8 @@
     first = max(by_role["office"], key=lambda one: (one["in_force"], one["policy"]), default=None)
     newest = first["policy"] if first is not None else 0
     audited: dict[tuple[int, str, str, str], int] = {}
-    for depot in by_role["depot"]:
-        for row in depot["list"]["rows"]:
+    for store in by_role["depot"]:
+        for row in store["list"]["rows"]:
             key = row["window"], row["home"], row["what"], row["country"]
             audited[key] = audited.get(key, 0) + row["count"]
     faults = [
--- a/tests/test_post_disk.py
+++ b/tests/test_post_disk.py
@@ -128,17 +128,17 @@
 
 
 def test_a_corrupted_replica_is_requested_from_the_others() -> None:
-    depot = StoreRole(parse(SETTINGS, "here"), 1, 0.0, "x")
-    k = depot.store
+    store = StoreRole(parse(SETTINGS, "here"), 1, 0.0, "x")
+    k = store.store
     k.keep("c1", Keep(letter=Letter(mid="m1", holders=["d1", "d2"], until=90.0), parked=True))
-    depot.settle()
-    writes, _ = depot.batch()
-    depot.synced(writes, [Fetch("m1", ("assign", "c1/7", 1))], [ROTTEN])
+    store.settle()
+    writes, _ = store.batch()
+    store.synced(writes, [Fetch("m1", ("assign", "c1/7", 1))], [ROTTEN])
     writes, sends, _ = k.effects()
     assert "m1" not in k.entries and [w.kind for w in writes] == ["drop"]
     other = "d1" if k.node != "d1" else "d2"
-    asked = [(s.kind, list(s.word.lack)) for s in sends if s.node == other]
-    assert asked == [("differ", ["m1"])]
+    requested = [(s.kind, list(s.word.lack)) for s in sends if s.node == other]
+    assert requested == [("differ", ["m1"])]
 
 
 def test_a_broken_file_is_set_aside_and_a_controller_is_a_learner_then(folder) -> None:
--- a/tests/test_post_keeping.py
+++ b/tests/test_post_keeping.py
@@ -48,9 +48,9 @@
     def do_silent(self, node: str) -> None:
         del self.pulses[node]
 
-    def do_down(self, depot: str) -> None:
-        self.pulses.pop(depot, None)
-        self.k.depot_down(depot)
+    def do_down(self, node: str) -> None:
+        self.pulses.pop(node, None)
+        self.k.depot_down(node)
 
     def do_keep(self, node: str, text: str) -> None:
         parked = " parked" in text
@@ -69,9 +69,9 @@
         self.k, self.queue, self.pulses = MessageStore("d1", "n", self.now, 120.0), [], {}
         for end in self.ends.values():
             self.k.loaded_end(*end)
-        for mid, octets, *rest in self.letters.values():
+        for mid, data, *rest in self.letters.values():
             if mid not in self.ends:
-                self.k.loaded(mid, tuple(Letter.FromString(octets).holders), *rest, len(octets))
+                self.k.loaded(mid, tuple(Letter.FromString(data).holders), *rest, len(data))
 
     def do_asks(self, node: str, mids: str) -> None:
         states = [(mid, self.k.state(mid)) for mid in mids.split()]
--- a/tests/test_post_moving.py
+++ b/tests/test_post_moving.py
@@ -83,9 +83,9 @@
         elif write.kind == "drop" or (write.kind == "end" and write.fields[1]):
             disk.pop(mid, None)
 
-    def keep(self, mid: str, *holders: str) -> None:
-        message = Letter(mid=mid, body=b"octets of " + mid.encode(), holders=holders, due=60.0, until=90.0)
-        for name in holders:
+    def keep(self, mid: str, *replicas: str) -> None:
+        message = Letter(mid=mid, body=b"octets of " + mid.encode(), holders=replicas, due=60.0, until=90.0)
+        for name in replicas:
             self.hears(name, "c1", "keep", Keep(letter=message, parked=True))
 
     def copies(self, mid: str) -> list[str]:
