--- a/opalwick/lab/verify/depots.py
+++ b/opalwick/lab/verify/depots.py
@@ -32,7 +32,7 @@
 from opalwick.routing.reducer import Send
 
 STEP = 0.5  # s: the margin; a lapse is four, a depot that acts is away after three, none stood still for one
-FAR = 4.0  # s: older than this is just old: the longest span in play is STARTUP_WAIT's double, 3
+FAR = 4.0  # s: older than this is just old: the longest span in play is SETTLE's double, 3
 COPIES = 2  # survive.boxes + 1
 RETAIN = 60.0  # s that a message is worth keeping: longer than any history
 CONF = Conf(
--- a/opalwick/post/depot/keeping.py
+++ b/opalwick/post/depot/keeping.py
@@ -52,13 +52,11 @@
 # s that the others are asked for at least before the lease expires: a heartbeat each way, and one more
 QUERY_FOR = 0.75
 MARGIN = 0.5  # s that a gateway stops sooner: two heartbeats in transit, and their age
-PEER_TIMEOUT = 1.2  # s without a heartbeat of the acting store until the next replica acts
-STARTUP_WAIT = (
-    1.5  # s after its start that a store waits for the others' state: gateways connect within 0.8 s
-)
+AWAY = 1.2  # s without a heartbeat of the acting store until the next replica acts
+SETTLE = 1.5  # s after its start that a store waits for the others' state: gateways connect within 0.8 s
 ASSIGN_LEAD = 0.05  # s that a message is assigned before it is due: a network trip and a sync
 STALL = 0.5  # s between two ticks from which this process counts as stalled: ten times the usual interval
-REASSIGN_DELAY = 0.2  # s until a message that a gateway rejected is assigned again, give or take half
+REFUSED = 0.2  # s until a message that a gateway rejected is assigned again, give or take half
 ASSIGN_RETRY = 0.6  # s until an unacknowledged assignment is sent again, to the same gateway
 ASSIGN_BATCH = 200  # messages assigned in one tick, so that other work gets its turn
 
@@ -476,8 +474,8 @@
         since, msg = self.pending_lists[node]
         if msg.mids and any(
             self.peer_echoes.get(peer, -1e9) <= since
-            for peer, heard_at in self.peers.items()
-            if self.now - heard_at < PEER_TIMEOUT
+            for peer, last_seen in self.peers.items()
+            if self.now - last_seen < AWAY
         ):
             return
         del self.pending_lists[node]
@@ -541,7 +539,7 @@
         ever.
         """
         fraction = zlib.crc32(f"{entry.mid}/{entry.claim}/{self.node}".encode()) / 2**32
-        return REASSIGN_DELAY * (0.5 + fraction)
+        return REFUSED * (0.5 + fraction)
 
     def holders(self, node: str, msg: Holders) -> None:
         """The accepting gateway or another store names the replicas; a store that is not among them drops its
@@ -725,7 +723,7 @@
         for node in entry.replicas:
             if node == self.node:
                 return True
-            if self.now - self.peers.get(node, -1e9) < PEER_TIMEOUT and self.peers_settled.get(node, False):
+            if self.now - self.peers.get(node, -1e9) < AWAY and self.peers_settled.get(node, False):
                 return False
         return True  # it is here, though it is not listed as a replica and no listed one is available
 
@@ -735,7 +733,7 @@
         # which applies the time-outs; a store that is always slow applies them at every second tick.
         elapsed, self.ticked_at = self.now - self.ticked_at, self.now
         self.skipped_timeouts = stalled = elapsed > STALL and not self.skipped_timeouts
-        if stalled and elapsed > PEER_TIMEOUT and self.settled:
+        if stalled and elapsed > AWAY and self.settled:
             # other stores have acted in its place, and peer messages may have been lost with links: as after
             # a start
             self.settled, self.started_at = False, self.now
@@ -746,9 +744,7 @@
             # absent
             all_reported = self.expected is not None and self.expected <= self.reported | set(self.peers)
             age = self.now - self.started_at
-            self.settled = (
-                not self.awaited_peers and (all_reported or age >= STARTUP_WAIT)
-            ) or age >= 2.0 * STARTUP_WAIT
+            self.settled = (not self.awaited_peers and (all_reported or age >= SETTLE)) or age >= 2.0 * SETTLE
         for process in list(self.owned):
             if not self.owned[process] or self.now - self.last_seen(process) < QUERY_AFTER:
                 self.silent_owners.pop(process, None)
--- a/opalwick/post/depot/role.py
+++ b/opalwick/post/depot/role.py
@@ -21,7 +21,7 @@
 from opalwick.post.wire_pb2 import Hand, Hello, Kept, Letter, News, Pulse, Told
 
 # share of the disk that messages may take: sqlite's pages, its log and freed space take as much again
-CAPACITY_SHARE = 0.4
+ROOM = 0.4
 MIN_REPORTED_DELAY = (
     0.02  # s of a batch in progress from which heartbeats report it: a usual one takes a tenth of it
 )
@@ -42,7 +42,7 @@
             self.zone,
             now,
             settings.bounds.state,
-            CAPACITY_SHARE * settings.disk_mb * 1e6 if settings.disk_mb else math.inf,
+            ROOM * settings.disk_mb * 1e6 if settings.disk_mb else math.inf,
             settings.survive.boxes + 1,
             settings.survive.spread,
         )
--- a/opalwick/post/depot/status.py
+++ b/opalwick/post/depot/status.py
@@ -17,7 +17,7 @@
 from opalwick.post.names import kept_by
 from opalwick.post.wire_pb2 import Letter, Route
 
-GAUGES = frozenset(("pending", "ends", "settled"))
+NOW = frozenset(("pending", "ends", "settled"))
 PAGE = 100  # dead messages in one answer at most
 MAX_READ = 1000  # dead messages read for one answer at most
 READ_STEP = 50  # read in one turn of the disk's thread: delays a batch by a millisecond
