--- a/opalwick/post/depot/agent.py
+++ b/opalwick/post/depot/agent.py
@@ -98,16 +98,16 @@
 
 def load(role: StoreRole, disk: Disk, unix: float) -> None:
     """Restores the role's state from the disk. `unix`: seconds from its clock to unix time."""
-    k = role.store
-    k.seal.loaded(disk.seal())
+    store = role.store
+    store.seal.loaded(disk.seal())
     for mid, complete, seal, until, holders in disk.ends():
-        k.loaded_end(mid, bool(complete), seal, until - unix, tuple(holders.split()))
+        store.loaded_end(mid, bool(complete), seal, until - unix, tuple(holders.split()))
     for row in disk.letters():
-        if row.mid in k.ends:
-            k.loaded_dead(row.mid, len(row.letter))
+        if row.mid in store.ends:
+            store.loaded_dead(row.mid, len(row.letter))
         else:
             message = Letter.FromString(row.letter)
-            k.loaded(
+            store.loaded(
                 row.mid,
                 tuple(row.holders.split() or message.holders),
                 row.due - unix,
@@ -117,7 +117,7 @@
                 len(row.letter),
                 message.home,
             )
-    events.say(301, disk=disk.id, messages=len(k.entries), ends=len(k.ends), rotten=disk.rotten)
+    events.say(301, disk=disk.id, messages=len(store.entries), ends=len(store.ends), rotten=disk.rotten)
 
 
 def run_batch(disk: Disk, unix: float, writes: list[Write], fetches: list[Fetch]) -> list[bytes | None]:
--- a/opalwick/post/depot/moving.py
+++ b/opalwick/post/depot/moving.py
@@ -74,11 +74,13 @@
 
     def available(self) -> list[str]:
         """Stores that can take a replica."""
-        k = self.store
+        store = self.store
         return [
             node
-            for node, received_at in k.peers.items()
-            if k.now - received_at < 1.0 and k.peers_settled.get(node, False) and node not in self.retiring
+            for node, received_at in store.peers.items()
+            if store.now - received_at < 1.0
+            and store.peers_settled.get(node, False)
+            and node not in self.retiring
         ]
 
     def country_of(self, node: str) -> str:
@@ -109,44 +111,44 @@
 
     def tick(self) -> None:
         """Starts transfers, and drops those that were not answered in time."""
-        k = self.store
-        if not k.settled or k.now < self.next_scan:
+        store = self.store
+        if not store.settled or store.now < self.next_scan:
             return
-        self.next_scan = k.now + SCAN_INTERVAL
+        self.next_scan = store.now + SCAN_INTERVAL
         for mid in [
-            mid for mid, transfer in self.transfers.items() if k.now - transfer.since > TRANSFER_RETRY
+            mid for mid, transfer in self.transfers.items() if store.now - transfer.since > TRANSFER_RETRY
         ]:
             del self.transfers[mid]
         for mid in [
             mid
             for mid, since in self.end_transfers_since.items()
-            if k.now - since > TRANSFER_RETRY and mid in self.end_transfers
+            if store.now - since > TRANSFER_RETRY and mid in self.end_transfers
         ]:
             del self.end_transfers[mid]  # sent again by the next scan, perhaps to another store
-        if k.node in self.retiring:
-            for entry in sorted(k.entries.values(), key=lambda e: e.until)[: 4 * MAX_TRANSFERS]:
-                self.start(entry, k.node)
+        if store.node in self.retiring:
+            for entry in sorted(store.entries.values(), key=lambda e: e.until)[: 4 * MAX_TRANSFERS]:
+                self.start(entry, store.node)
             self.move_ends()
-            if (key := k.seal.due(self.drained)) is not None:
-                k.write_seal(key)
+            if (key := store.seal.due(self.drained)) is not None:
+                store.write_seal(key)
             return
         gone = self.lost_stores()
         if gone:
-            for entry in sorted(k.entries.values(), key=lambda e: e.until):
+            for entry in sorted(store.entries.values(), key=lambda e: e.until):
                 lost = next((node for node in entry.replicas if node in gone), None)
-                if lost is not None and k.is_acting(entry):
+                if lost is not None and store.is_acting(entry):
                     self.start(entry, lost)
 
     def lost_stores(self) -> set[str]:
         """Stores that are taken to be lost with their replicas."""
-        k = self.store
+        store = self.store
         self.newcomers = {
-            node: since for node, since in self.newcomers.items() if k.now - since < REPAIR_AFTER
+            node: since for node, since in self.newcomers.items() if store.now - since < REPAIR_AFTER
         }
-        gone = {node for node, since in self.away_since.items() if k.now - since > REPAIR_AFTER}
+        gone = {node for node, since in self.away_since.items() if store.now - since > REPAIR_AFTER}
         if self.newcomers:
-            last_seen = self.away_since | k.peers
-            gone |= {node for node, since in last_seen.items() if k.now - since > REPLACED_AFTER}
+            last_seen = self.away_since | store.peers
+            gone |= {node for node, since in last_seen.items() if store.now - since > REPLACED_AFTER}
         return gone
 
     def start(self, entry: Entry, without: str) -> None:
--- a/opalwick/post/depot/role.py
+++ b/opalwick/post/depot/role.py
@@ -50,9 +50,8 @@
         self.guard = Guard(self.zone, settings, self.directory, self.event)
         self.queue: list[Write | Fetch] = []
         self.batch_since: float | None = None  # when the batch that is being written was taken; None: none is
-        self.reporting_controllers = set[
-            str
-        ]()  # controllers that have sent the whole directory to this process
+        # controllers that have sent the whole directory to this process, by node
+        self.reporting_controllers = set[str]()
         self.leaving_since = 0.0  # when the shutdown began; 0: it has not
 
     def clock(self, now: float) -> None:
@@ -68,27 +67,27 @@
         """The heartbeat for that link. To other stores it lists the gateways that this one receives no
         heartbeat of, and reports those that they listed.
         """
-        k = self.store
+        store = self.store
         delay = 0.0 if self.batch_since is None else self.now - self.batch_since
         pulse = Pulse(
-            settled=k.settled,
-            leaving=k.leaving,
-            empty=k.rebalancing.empty,
+            settled=store.settled,
+            leaving=store.leaving,
+            empty=store.rebalancing.empty,
             behind=delay if delay >= MIN_REPORTED_DELAY else 0.0,
         )
         if link.peer.role == "depot":
-            pulse.edges.update(k.reports_for(link.peer.node))
-            pulse.deaf.extend(k.silent_owners)
+            pulse.edges.update(store.reports_for(link.peer.node))
+            pulse.deaf.extend(store.silent_owners)
         return pulse
 
     # ---- links and peer messages
 
     def up(self, link: Link) -> None:
-        k, peer = self.store, link.peer
+        store, peer = self.store, link.peer
         if peer.role == "counter":
-            k.counter_up(peer.node, peer.life, peer.zone)
+            store.counter_up(peer.node, peer.life, peer.zone)
         elif peer.role == "depot":
-            k.depot_up(peer.node, peer.zone, peer.disk)
+            store.depot_up(peer.node, peer.zone, peer.disk)
 
     def down(self, link: Link) -> None:
         if link.peer.node in self.links:
@@ -99,7 +98,7 @@
             self.store.depot_down(link.peer.node)
 
     def heard(self, link: Link, kind: str, msg: Any) -> None:
-        k, node = self.store, link.peer.node
+        store, node = self.store, link.peer.node
         if kind == "news" and msg.whole:
             self.reporting_controllers.add(node)
         if link.peer.role == "counter" and self.is_from_earlier_process(link):
@@ -109,24 +108,26 @@
                 msg.parked = True
         match kind, link.peer.role:
             case "pulse", "counter":
-                k.counter_pulse(node, msg)
+                store.counter_pulse(node, msg)
             case "pulse", "depot":
-                k.depot_pulse(node, msg)
+                store.depot_pulse(node, msg)
             case "ask", _:
                 self.answer(link, msg)
-            case "keep", _ if msg.letter.mid not in k.entries and not self.guard.permits_storing(msg.letter):
+            case "keep", _ if msg.letter.mid not in store.entries and not self.guard.permits_storing(
+                msg.letter
+            ):
                 link.say("kept", Kept(mid=msg.letter.mid, refused=True))
             case "hand", "depot":
-                k.hand(node, self.filter_replicas(link, msg))
+                store.hand(node, self.filter_replicas(link, msg))
             case (("keep" | "end" | "tried" | "park" | "mine" | "refuse" | "holders"), _):
                 self.trace_peer_message(node, kind, msg)
-                getattr(k, kind)(node, msg)
+                getattr(store, kind)(node, msg)
             case "kept", "depot":
-                k.rebalancing.kept(node, msg.mid, msg.refused)
+                store.rebalancing.kept(node, msg.mid, msg.refused)
             case "ended", "depot":
-                k.rebalancing.ended(node, msg.mid)
+                store.rebalancing.ended(node, msg.mid)
             case (("have" | "differ"), "depot"):
-                getattr(k, kind)(node, msg)
+                getattr(store, kind)(node, msg)
             case _:
                 super().heard(link, kind, msg)
 
@@ -277,11 +278,11 @@
         return bool(self.leaving_since) and self.now - self.leaving_since >= SHUTDOWN_GRACE and answered
 
     def figures(self) -> dict[str, Any]:
-        k = self.store
+        store = self.store
         return {
-            **k.figures,
-            **k.rebalancing.figures,
-            "pending": len(k.entries),
-            "ends": len(k.ends),
-            "settled": k.settled,
+            **store.figures,
+            **store.rebalancing.figures,
+            "pending": len(store.entries),
+            "ends": len(store.ends),
+            "settled": store.settled,
         }
--- a/opalwick/post/depot/status.py
+++ b/opalwick/post/depot/status.py
@@ -25,27 +25,27 @@
 
 def status(role: StoreRole) -> dict[str, Any]:
     """The answer to a request for the store's status."""
-    k, now = role.store, role.now
-    unowned = [entry for entry in k.entries.values() if not entry.owner]
-    due = [now - entry.due for entry in k.entries.values() if entry.due <= now]
+    store, now = role.store, role.now
+    unowned = [entry for entry in store.entries.values() if not entry.owner]
+    due = [now - entry.due for entry in store.entries.values() if entry.due <= now]
     return {
-        "retiring": sorted(k.rebalancing.retiring),
-        "empty": k.rebalancing.empty,
-        "moving": len(k.rebalancing.transfers),
+        "retiring": sorted(store.rebalancing.retiring),
+        "empty": store.rebalancing.empty,
+        "moving": len(store.rebalancing.transfers),
         "disk": role.disk,
-        "settled": k.settled,
-        "leaving": k.leaving,
-        "awaits": sorted(k.awaited_peers),
-        "unheard": sorted((k.expected or set()) - k.reported - set(k.peers)),
-        "pending": len(k.entries),
-        "ends": len(k.ends),
-        "dead": sum(not end.complete for end in k.ends.values()),
-        "octets": k.stored_bytes,
-        "room": int(k.room) if math.isfinite(k.room) else None,
+        "settled": store.settled,
+        "leaving": store.leaving,
+        "awaits": sorted(store.awaited_peers),
+        "unheard": sorted((store.expected or set()) - store.reported - set(store.peers)),
+        "pending": len(store.entries),
+        "ends": len(store.ends),
+        "dead": sum(not end.complete for end in store.ends.values()),
+        "octets": store.stored_bytes,
+        "room": int(store.room) if math.isfinite(store.room) else None,
         "disk_queue": len(role.queue),
         "owners": {
-            who: {"messages": len(mids), "alive": k.alive(who)}
-            for who, mids in sorted(k.owned.items())
+            who: {"messages": len(mids), "alive": store.alive(who)}
+            for who, mids in sorted(store.owned.items())
             if mids
         },
         "waiting": len(unowned),
@@ -61,16 +61,16 @@
                 "ready": c.ready,
                 "leaving": c.leaving,
             }
-            for c in k.gateways.values()
+            for c in store.gateways.values()
         ],
         "peers": [
             {
                 "node": node,
                 "age": now - at,
-                "settled": k.peers_settled.get(node, False),
-                "hears": sum(now - heard < LAPSE for heard in k.peer_reports.get(node, {}).values()),
+                "settled": store.peers_settled.get(node, False),
+                "hears": sum(now - heard < LAPSE for heard in store.peer_reports.get(node, {}).values()),
             }
-            for node, at in sorted(k.peers.items())
+            for node, at in sorted(store.peers.items())
         ],
     }
 
@@ -91,9 +91,9 @@
 
 def why(role: StoreRole, entry: Entry) -> str:
     """Why the message has not ended, as far as this store can say."""
-    k = role.store
+    store = role.store
     if entry.owner:
-        if not k.alive(entry.owner):
+        if not store.alive(entry.owner):
             return (
                 f"{entry.owner} delivers it, but no store receives its heartbeats: it is assigned again next"
             )
@@ -102,22 +102,22 @@
         return f"{entry.owner} delivers it: ask there"
     if entry.due > role.now:
         return f"it is due in {entry.due - role.now:.2f} s"
-    if not k.is_acting(entry):
+    if not store.is_acting(entry):
         first = next((h for h in entry.replicas if h != role.node), "")
         return f"{first} has it too, comes before this store in its list of replicas and assigns it"
-    if k.leaving:
+    if store.leaving:
         return "this store is shutting down: the next replica assigns it"
-    if not k.settled:
+    if not store.settled:
         return "this store has just started and is still comparing its state with the other stores"
-    if not k.candidates():
+    if not store.candidates():
         return "no gateway is ready and in contact with this store"
     return "it is assigned next"
 
 
 def message(role: StoreRole, name: str) -> dict[str, Any] | None:
     """The report on one message by its name; None: it is not here."""
-    k, mid = role.store, kept_by(name)
-    if (end := k.ends.get(mid)) is not None:
+    store, mid = role.store, kept_by(name)
+    if (end := store.ends.get(mid)) is not None:
         return {
             "id": mid,
             "state": "complete" if end.complete else "dead",
@@ -125,7 +125,7 @@
             "told_for": end.until - role.now,
             "why": "it has ended",
         }
-    if (entry := k.entries.get(mid)) is None:
+    if (entry := store.entries.get(mid)) is None:
         return None
     return {
         "id": mid,
@@ -134,7 +134,7 @@
         "owner": entry.owner,
         "claim": entry.claim,
         "depots": list(entry.replicas),
-        "acts": k.is_acting(entry),
+        "acts": store.is_acting(entry),
         "fails": entry.fails,
         "lost": entry.lost,
         "octets": entry.size,
@@ -235,8 +235,8 @@
 
 def metrics(role: StoreRole) -> list[Any]:
     """The store's metrics: name, whether the value only grows, help text, and samples (labels, value)."""
-    k, now = role.store, role.now
-    due = [entry.due for entry in k.entries.values() if entry.due <= now]
+    store, now = role.store, role.now
+    due = [entry.due for entry in store.entries.values() if entry.due <= now]
     return [
         (
             "oldest_due_seconds",
@@ -248,25 +248,25 @@
             "waiting_due",
             False,
             "Messages that are due and have no owner.",
-            [({}, sum(not entry.owner and entry.due <= now for entry in k.entries.values()))],
+            [({}, sum(not entry.owner and entry.due <= now for entry in store.entries.values()))],
         ),
         (
             "dead_messages",
             False,
             "Messages that ended without a success and are still on record.",
-            [({}, sum(not end.complete for end in k.ends.values()))],
+            [({}, sum(not end.complete for end in store.ends.values()))],
         ),
-        ("kept_octets", False, "Bytes of the messages on the disk.", [({}, k.stored_bytes)]),
+        ("kept_octets", False, "Bytes of the messages on the disk.", [({}, store.stored_bytes)]),
         (
             "owned",
             False,
             "Messages that a gateway process delivers.",
-            [({"owner": who}, len(mids)) for who, mids in sorted(k.owned.items()) if mids],
+            [({"owner": who}, len(mids)) for who, mids in sorted(store.owned.items()) if mids],
         ),
         (
             "depot_heard",
             False,
             "Whether a heartbeat of another store was received recently.",
-            [({"node": node}, float(now - at < LAPSE)) for node, at in sorted(k.peers.items())],
+            [({"node": node}, float(now - at < LAPSE)) for node, at in sorted(store.peers.items())],
         ),
     ]
