--- a/opalwick/post/counter/role.py
+++ b/opalwick/post/counter/role.py
@@ -22,8 +22,8 @@
 from opalwick.post.counter.rounds import PARK_AFTER, Rounds
 from opalwick.post.depot.keeping import LAPSE, MARGIN
 from opalwick.post.home.guard import Guard
-from opalwick.post.home.policy import named
-from opalwick.post.home.short import Short
+from opalwick.post.home.policy import partner_name
+from opalwick.post.home.short import WaitEstimate
 from opalwick.post.names import Names, RandomOctets, finish
 from opalwick.post.settings import Settings
 from opalwick.post.station import Link, Station
@@ -86,7 +86,7 @@
         self.confirmed_owners = set[str]()  # stores that have since confirmed who owns their messages
         self.lists_due: dict[str, None] = {}  # stores to which the full list of deliveries must be sent
         self.guard = Guard(self.zone, settings, self.directory, self.event)
-        self.short, self.counted_at = Short(now), -1e9
+        self.short, self.counted_at = WaitEstimate(now), -1e9
         # rejected: of another country; for lack of capacity in this country
         self.rejected_other_country = self.rejected_no_capacity = 0
         self.outdated = set[str]()  # stores whose confirmation of owners was outdated when it arrived
@@ -242,7 +242,9 @@
             case "end":
                 self.trace(155, message=content.mid, by=node, seal=content.seal)
                 self.rounds.ended_elsewhere(content)
-            case "assign" if content.letter.home and self.guard.home(content.letter) != self.guard.here:
+            case "assign" if (
+                content.letter.home and self.guard.home(content.letter) != self.guard.own_country
+            ):
                 link.say("refuse", Refuse(mid=content.letter.mid, claim=content.letter.claim))
             case "assign":
                 self.trace(153, message=content.letter.mid, by=node, claim=content.letter.claim)
@@ -278,10 +280,10 @@
     def govern(self) -> None:
         """Applies a change of the data residency policy, the nodes or the settings."""
         before, guard = self.guard.policy, self.guard
-        guard.learned(self.settings)
+        guard.refresh(self.settings)
         if guard.policy is not before:
             self.intake.policy = guard.policy
-            self.rounds.governed(guard.policy, guard.here)
+            self.rounds.governed(guard.policy, guard.own_country)
 
     def news(self, news: News) -> None:
         self.select_stores()
@@ -294,7 +296,7 @@
         self.govern()
         gateways_present = self.nodes("counter")
         gateways = sorted(node.node for node in gateways_present)
-        policy, here = self.guard.policy, self.guard.here
+        policy, here = self.guard.policy, self.guard.own_country
         self.rounds.counters(
             len(gateways),
             sum(policy.country(node.zone) == here for node in gateways_present) if policy is not None else 0,
@@ -367,13 +369,13 @@
         if partner is None:
             return True
         message.home, message.home_gen = partner.home, policy.gen
-        if self.guard.here != partner.home:
+        if self.guard.own_country != partner.home:
             self.rejected_other_country += 1
             fault(call, 421, f"messages of this customer are accepted only in {partner.home}", LATER)
             return False
         if why := self.shortage(partner, route):
             self.rejected_no_capacity += 1
-            again = self.short.again(named(partner), self.now, partner.wait)
+            again = self.short.retry_after(partner_name(partner), self.now, partner.wait)
             fault(call, 503, why, f"Retry-After: {again:.1f}")
             return False
         return True
@@ -393,7 +395,7 @@
                     count, oldest = waiting.get(whose := self.rounds.partner_of(item), (0, self.now))
                     waiting[whose] = count + 1, min(oldest, item.first_due_at)
             self.short.waiting = waiting
-        if self.short.wait(named(partner), self.now) > partner.wait:
+        if self.short.wait(partner_name(partner), self.now) > partner.wait:
             return f"messages waiting in {partner.home} need more than {partner.wait:g} s to run"
         return ""
 
@@ -413,15 +415,15 @@
     def may_write(self, node: str, content: Keep) -> bool:
         """Last check of data residency before a message that is being accepted goes to a store."""
         link = self.link(node) if self.guard.policy is not None else None
-        return link is None or self.guard.write(content.letter, link.peer)
+        return link is None or self.guard.permits_write(content.letter, link.peer)
 
     def must_identify(self, command: Start) -> bool:
         """Whether the worker on a new connection must identify itself before the message is sent."""
-        return self.guard.must_meet(command.item.message, command.place)
+        return self.guard.needs_name_check(command.item.message, command.place)
 
     def is_intended(self, command: Start, name: str) -> bool:
         """Whether the worker that identified itself by this name is the intended one."""
-        return self.guard.met(command.item.message, command.place, name)
+        return self.guard.permits_connection(command.item.message, command.place, name)
 
     def asked_back(self, call: Call, name: str, body: bool) -> None:
         """A client requests a message's state, or with `body` its bytes."""
@@ -539,7 +541,7 @@
             return False
         if item.message.home:  # recorded now, as the worker may be gone when the delivery ends
             item.delivery_countries[command.number] = self.guard.worker(command.place)
-        return self.guard.delivery(item.message, command.place)
+        return self.guard.permits_delivery(item.message, command.place)
 
     def request_permits(self) -> None:
         """Requests permits for the messages that wait for them, as far as workers have free slots."""
--- a/opalwick/post/counter/rounds.py
+++ b/opalwick/post/counter/rounds.py
@@ -19,8 +19,8 @@
 from opalwick.post.counter.item import Item, RememberedEnd, Start, Stop, UnconfirmedEnd
 from opalwick.post.counter.routes import Routes
 from opalwick.post.counter.shares import connection_budget, choose_workers
-from opalwick.post.home.policy import Policy, named
-from opalwick.post.home.shelf import Shelf
+from opalwick.post.home.policy import Policy, partner_name
+from opalwick.post.home.shelf import ResidencyQueue
 from opalwick.post.maintenance.resting import Resting
 from opalwick.post.settings import Settings
 from opalwick.post.verdict import DeliveryOutcome
@@ -75,7 +75,7 @@
         self.policy: Policy | None = None  # where messages subject to data residency may run
         self.country = ""  # of this gateway
         # by dispatcher: messages waiting for a worker in their country
-        self.residency_queues: dict[str, Shelf] = {}
+        self.residency_queues: dict[str, ResidencyQueue] = {}
         self.outbox: list[tuple[str, str, Any]] = []
         self.commands: list[Start | Stop] = []
         counted = ("delivered", "failed", "dead", "unknown", "parked", "turned_away")
@@ -144,7 +144,7 @@
             for dispatcher in self.dispatchers.values()
             for item in dispatcher.permit_queue.remove_if(moved)
         ]
-        waiting += [item for queue in self.residency_queues.values() for item in queue.sift(moved)]
+        waiting += [item for queue in self.residency_queues.values() for item in queue.remove_if(moved)]
         for item in waiting:
             item.queued = False
             self.schedule_at(self.now, item)
@@ -361,7 +361,7 @@
             if self.now - unconfirmed.since > 4.0 * END_RETENTION:
                 del self.unconfirmed_ends[mid]
         for queue in self.residency_queues.values():
-            for item in queue.sift(
+            for item in queue.remove_if(
                 lambda item: item.closed or item.reassigned or item.expires_at <= self.now
             ):
                 item.queued = False
@@ -419,7 +419,7 @@
             len(self.residency_queues.get(item.dispatcher_name, ())) or dispatcher.free_slots(self.now) <= 0
         ):
             item.queued = True
-            queue = self.residency_queues.setdefault(item.dispatcher_name, Shelf())
+            queue = self.residency_queues.setdefault(item.dispatcher_name, ResidencyQueue())
             queue.put(item.route.prio, self.partner_of(item), item.first_due_at + item.route.start, item)
         else:
             self.dispatch(dispatcher, item)
@@ -430,7 +430,7 @@
         """
         if not item.partner and item.message.home:
             partner = self.policy.partner(item.message) if self.policy is not None else None
-            item.partner = named(partner) if partner is not None else item.message.home
+            item.partner = partner_name(partner) if partner is not None else item.message.home
         return item.partner
 
     def update_route(self, item: Item) -> bool:
--- a/opalwick/post/depot/agent.py
+++ b/opalwick/post/depot/agent.py
@@ -1,4 +1,4 @@
-"""A depot as a process: its disk in a thread, its links, its time. What it does is `role.py`'s."""
+"""The process of a store: its disk in a thread, its links and its clock. `role.py` has the behaviour."""
 
 from __future__ import annotations
 
@@ -14,30 +14,35 @@
 from opalwick.post import events
 from opalwick.post.depot.disk import Disk
 from opalwick.post.depot.records import Fetch, Write
-from opalwick.post.depot.role import Depot
+from opalwick.post.depot.role import StoreRole
 from opalwick.post.files import broken, set_aside
 from opalwick.post.home.audit import window
 from opalwick.post.link import Process, Shell
 from opalwick.post.settings import Settings
 from opalwick.post.wire_pb2 import Letter
 
-FAILED = 0.2  # s until a batch that the disk refused is tried again
-GATHER = 0.002  # s that a batch waits for more: two syncs' worth of a usual disk, a fortieth of an aim
+COMMIT_RETRY = 0.2  # s until a batch that failed on the disk is tried again
+# s that a batch waits for further writes: two syncs of a usual disk, a fortieth of a service's aim
+BATCH_DELAY = 0.002
 
 
-class DepotShell(Shell):
-    role: Depot
+class StoreShell(Shell):
+    """Runs a store. Raises sqlite3.Error where its disk cannot be opened."""
+
+    role: StoreRole
 
     def __init__(self, settings: Settings, process: Process) -> None:
-        self.disk = opened(settings.datadir)
-        self.unix = time.time() - time.monotonic()
-        super().__init__(Depot(settings, int(time.time() * 1000), time.monotonic(), self.disk.id), process)
-        self.threads = ThreadPool(1)  # a disk that stalls must not stop the pulses
+        self.disk = open_disk(settings.datadir)
+        self.clock_offset = time.time() - time.monotonic()
+        super().__init__(
+            StoreRole(settings, int(time.time() * 1000), time.monotonic(), self.disk.id), process
+        )
+        self.threads = ThreadPool(1)  # a disk that stalls must not stop the heartbeats
         self.queued = Event()
-        load(self.role, self.disk, self.unix)
+        load(self.role, self.disk, self.clock_offset)
 
     def look(self, work: Any) -> Any:  # type: ignore[override]
-        """In the disk's thread."""
+        """Runs `work` with the disk, in the disk's thread, and returns its result."""
         return self.threads.apply(work, (self.disk,))
 
     def perform(self) -> None:
@@ -45,25 +50,26 @@
             self.queued.set()
 
     def work(self) -> None:
-        """Runs in a greenlet of its own: one batch at a time is on the disk."""
+        """Writes one batch after the other, in a greenlet of its own; never returns."""
         while True:
             if not self.role.queue:
                 self.queued.clear()
                 self.queued.wait()
-            gevent.sleep(GATHER)
+            gevent.sleep(BATCH_DELAY)
             writes, fetches = self.role.batch()
             while True:
                 try:
-                    found = self.threads.apply(on_disk, (self.disk, self.unix, writes, fetches))
+                    found = self.threads.apply(run_batch, (self.disk, self.clock_offset, writes, fetches))
                     break
-                except sqlite3.Error as problem:  # nothing of it is told, and nothing goes past it
+                except sqlite3.Error as problem:  # nothing is confirmed, and no later write overtakes it
                     events.say(303, problem=repr(problem), writes=len(writes))
-                    gevent.sleep(FAILED)
+                    gevent.sleep(COMMIT_RETRY)
             self.role.clock(time.monotonic())
             self.guarded(self.role.synced, writes, fetches, found)
             self.settle()
 
     def serve(self) -> None:
+        """Runs until the stop event, then shuts down."""
         self.forever(self.work)
         self.begin()
         self.stop.wait()
@@ -77,8 +83,8 @@
         self.disk.close()
 
 
-def opened(folder: str) -> Disk:
-    """The disk, read once as a whole; an empty one where its file is broken."""
+def open_disk(folder: str) -> Disk:
+    """Opens and checks the disk. A broken file is set aside and replaced by an empty one."""
     try:
         return Disk(folder)
     except sqlite3.Error as problem:
@@ -90,37 +96,39 @@
         return Disk(folder)
 
 
-def load(role: Depot, disk: Disk, unix: float) -> None:
-    """What the disk has, into the role. `unix`: from its clock to the time of day."""
-    k = role.keeping
-    k.seal.loaded(disk.seal())
+def load(role: StoreRole, disk: Disk, unix: float) -> None:
+    """Restores the role's state from the disk. `unix`: seconds from its clock to unix time."""
+    store = role.store
+    store.seal.loaded(disk.seal())
     for mid, complete, seal, until, holders in disk.ends():
-        k.loaded_end(mid, bool(complete), seal, until - unix, tuple(holders.split()))
+        store.loaded_end(mid, bool(complete), seal, until - unix, tuple(holders.split()))
     for row in disk.letters():
-        if row.mid in k.ends:
-            k.loaded_dead(row.mid, len(row.letter))
+        if row.mid in store.ends:
+            store.loaded_dead(row.mid, len(row.letter))
         else:
-            letter = Letter.FromString(row.letter)
-            k.loaded(
+            message = Letter.FromString(row.letter)
+            store.loaded(
                 row.mid,
-                tuple(row.holders.split() or letter.holders),
+                tuple(row.holders.split() or message.holders),
                 row.due - unix,
                 row.until - unix,
                 row.fails,
                 row.lost,
                 len(row.letter),
-                letter.home,
+                message.home,
             )
-    events.say(301, disk=disk.id, messages=len(k.entries), ends=len(k.ends), rotten=disk.rotten)
+    events.say(301, disk=disk.id, messages=len(store.entries), ends=len(store.ends), rotten=disk.rotten)
 
 
-def on_disk(disk: Disk, unix: float, writes: list[Write], fetches: list[Fetch]) -> list[bytes | None]:
-    """In the disk's thread: all that the writes say, synced; and the octets that the fetches want."""
+def run_batch(disk: Disk, unix: float, writes: list[Write], fetches: list[Fetch]) -> list[bytes | None]:
+    """Runs in the disk's thread: syncs the writes and returns the bytes for each fetch. `unix`: seconds from
+    the store's clock to unix time. Raises sqlite3.Error if nothing was written.
+    """
     rows: list[tuple[str, tuple[Any, ...]]] = []
     for kind, fields, _ in writes:
         if kind == "keep":
-            mid, letter, due, until, fails, lost = fields
-            rows.append((kind, (mid, letter, due + unix, until + unix, fails, lost)))
+            mid, message, due, until, fails, lost = fields
+            rows.append((kind, (mid, message, due + unix, until + unix, fails, lost)))
         elif kind == "end":
             rows.append((kind, (*fields[:3], fields[3] + unix, fields[4])))
         elif kind == "tried":
--- a/opalwick/post/depot/status.py
+++ b/opalwick/post/depot/status.py
@@ -1,4 +1,4 @@
-"""What a depot tells operators: what it keeps, for whom, whom it hears, and its dead messages."""
+"""Reports for operators: what a store has and for whom, its links, and its dead messages."""
 
 from __future__ import annotations
 
@@ -11,107 +11,113 @@
 from opalwick.post.depot.disk import Row
 from opalwick.post.depot.keeping import LAPSE
 from opalwick.post.depot.records import Entry
-from opalwick.post.depot.role import Depot
+from opalwick.post.depot.role import StoreRole
 from opalwick.post.home.audit import rows as rows_of
-from opalwick.post.home.audit import signed
+from opalwick.post.home.audit import with_digest
 from opalwick.post.names import kept_by
 from opalwick.post.wire_pb2 import Letter, Route
 
 NOW = frozenset(("pending", "ends", "settled"))
-PAGE = 100  # dead messages of one answer
-SCAN = 1000  # that are read for it at most
-STEP = 50  # in one turn of the disk's thread: a millisecond that a batch waits
+PAGE = 100  # dead messages in one answer at most
+MAX_READ = 1000  # dead messages read for one answer at most
+READ_STEP = 50  # read in one turn of the disk's thread: delays a batch by a millisecond
 
 
-def status(role: Depot) -> dict[str, Any]:
-    k, now = role.keeping, role.now
-    waits = [entry for entry in k.entries.values() if not entry.owner]
-    due = [now - entry.due for entry in k.entries.values() if entry.due <= now]
+def status(role: StoreRole) -> dict[str, Any]:
+    """The answer to a request for the store's status."""
+    store, now = role.store, role.now
+    unowned = [entry for entry in store.entries.values() if not entry.owner]
+    due = [now - entry.due for entry in store.entries.values() if entry.due <= now]
     return {
-        "retiring": sorted(k.moving.retiring),
-        "empty": k.moving.empty,
-        "moving": len(k.moving.on_way),
+        "retiring": sorted(store.rebalancing.retiring),
+        "empty": store.rebalancing.empty,
+        "moving": len(store.rebalancing.transfers),
         "disk": role.disk,
-        "settled": k.settled,
-        "leaving": k.leaving,
-        "awaits": sorted(k.awaits),
-        "unheard": sorted((k.expected or set()) - k.reported - set(k.peers)),
-        "pending": len(k.entries),
-        "ends": len(k.ends),
-        "dead": sum(not end.complete for end in k.ends.values()),
-        "octets": k.held,
-        "room": int(k.room) if math.isfinite(k.room) else None,
+        "settled": store.settled,
+        "leaving": store.leaving,
+        "awaits": sorted(store.awaited_peers),
+        "unheard": sorted((store.expected or set()) - store.reported - set(store.peers)),
+        "pending": len(store.entries),
+        "ends": len(store.ends),
+        "dead": sum(not end.complete for end in store.ends.values()),
+        "octets": store.stored_bytes,
+        "room": int(store.room) if math.isfinite(store.room) else None,
         "disk_queue": len(role.queue),
         "owners": {
-            who: {"messages": len(mids), "alive": k.alive(who)}
-            for who, mids in sorted(k.owned.items())
+            who: {"messages": len(mids), "alive": store.alive(who)}
+            for who, mids in sorted(store.owned.items())
             if mids
         },
-        "waiting": len(waits),
-        "waiting_due": sum(entry.due <= now for entry in waits),
+        "waiting": len(unowned),
+        "waiting_due": sum(entry.due <= now for entry in unowned),
         "oldest_due": max(due, default=0.0),
         "counters": [
             {
                 "node": c.node,
-                "life": c.life,
+                "life": c.incarnation,
                 "zone": c.zone,
-                "age": now - c.heard_at,
+                "age": now - c.last_seen,
                 "linked": c.linked,
                 "ready": c.ready,
                 "leaving": c.leaving,
             }
-            for c in k.counters.values()
+            for c in store.gateways.values()
         ],
         "peers": [
             {
                 "node": node,
                 "age": now - at,
-                "settled": k.peers_settled.get(node, False),
-                "hears": sum(now - heard < LAPSE for heard in k.peers_hear.get(node, {}).values()),
+                "settled": store.peers_settled.get(node, False),
+                "hears": sum(now - heard < LAPSE for heard in store.peer_reports.get(node, {}).values()),
             }
-            for node, at in sorted(k.peers.items())
+            for node, at in sorted(store.peers.items())
         ],
     }
 
 
-def home(role: Depot, look: Any) -> dict[str, Any]:
-    """Where this process is, what its guard has seen, what it keeps by home, and the list on its disk."""
+def home(role: StoreRole, look: Any) -> dict[str, Any]:
+    """The data residency report: this process's country, the guard's counts, stored messages by home, and the
+    audit list of its disk.
+    """
     kept: dict[str, int] = {}
-    for entry in role.keeping.entries.values():
+    for entry in role.store.entries.values():
         if entry.home:
             kept[entry.home] = kept.get(entry.home, 0) + 1
-    return role.guard.status() | {"kept": kept, "list": signed(look(lambda disk: rows_of(disk.db)))}
+    return role.guard.status() | {"kept": kept, "list": with_digest(look(lambda disk: rows_of(disk.db)))}
 
 
 # ---- one message
 
 
-def why(role: Depot, entry: Entry) -> str:
-    """Why it has not ended, as this depot sees it."""
-    k = role.keeping
+def why(role: StoreRole, entry: Entry) -> str:
+    """Why the message has not ended, as far as this store can say."""
+    store = role.store
     if entry.owner:
-        if not k.alive(entry.owner):
-            return f"{entry.owner} delivers it, and no depot hears it any more: it is assigned anew next"
-        if entry.asked_at:
-            return f"it was assigned to {entry.owner}, which has not said that it has it"
+        if not store.alive(entry.owner):
+            return (
+                f"{entry.owner} delivers it, but no store receives its heartbeats: it is assigned again next"
+            )
+        if entry.assigned_at:
+            return f"it was assigned to {entry.owner}, which has not acknowledged it yet"
         return f"{entry.owner} delivers it: ask there"
     if entry.due > role.now:
         return f"it is due in {entry.due - role.now:.2f} s"
-    if not k.acts(entry):
-        first = next((h for h in entry.holders if h != role.node), "")
-        return f"{first} keeps it too, stands before this depot and assigns it"
-    if k.leaving:
-        return "this depot is to end: the next one assigns it"
-    if not k.settled:
-        return "this depot has just started and still hears what happened meanwhile"
-    if not k.takers():
-        return "no counter is ready and heard here"
+    if not store.is_acting(entry):
+        first = next((h for h in entry.replicas if h != role.node), "")
+        return f"{first} has it too, comes before this store in its list of replicas and assigns it"
+    if store.leaving:
+        return "this store is shutting down: the next replica assigns it"
+    if not store.settled:
+        return "this store has just started and is still comparing its state with the other stores"
+    if not store.candidates():
+        return "no gateway is ready and in contact with this store"
     return "it is assigned next"
 
 
-def message(role: Depot, name: str) -> dict[str, Any] | None:
-    k, mid = role.keeping, kept_by(name)
-    if (end := k.ends.get(mid)) is not None:
+def message(role: StoreRole, name: str) -> dict[str, Any] | None:
+    """The report on one message by its name; None: it is not here."""
+    store, mid = role.store, kept_by(name)
+    if (end := store.ends.get(mid)) is not None:
         return {
             "id": mid,
             "state": "complete" if end.complete else "dead",
@@ -119,7 +125,7 @@
             "told_for": end.until - role.now,
             "why": "it has ended",
         }
-    if (entry := k.entries.get(mid)) is None:
+    if (entry := store.entries.get(mid)) is None:
         return None
     return {
         "id": mid,
@@ -127,8 +133,8 @@
         "why": why(role, entry),
         "owner": entry.owner,
         "claim": entry.claim,
-        "depots": list(entry.holders),
-        "acts": k.acts(entry),
+        "depots": list(entry.replicas),
+        "acts": store.is_acting(entry),
         "fails": entry.fails,
         "lost": entry.lost,
         "octets": entry.size,
@@ -138,123 +144,129 @@
     }
 
 
-# ---- dead messages; what `look` runs is in the disk's thread
+# ---- dead messages; functions that are passed to `look` run in the disk's thread
 
 
 def rows(disk: Any, mids: list[str]) -> list[Row]:
+    """The rows of these messages; those that are not on the disk are left out."""
     read = f"select {', '.join(Row._fields)} from letters where mid = ?"
     found = (disk.db.execute(read, (mid,)).fetchone() for mid in mids)
     return [Row._make(row) for row in found if row is not None]
 
 
-def routed(role: Depot, letter: Letter) -> Route | None:
+def route_of(role: StoreRole, message: Letter) -> Route | None:
+    """The route that the message would take by the present configuration."""
     conf = role.directory.conf
     if conf is None:
         return None
-    return Routes(conf).find(letter.host.decode("latin-1"), letter.target.decode("latin-1"))
+    return Routes(conf).find(message.host.decode("latin-1"), message.target.decode("latin-1"))
 
 
 def cause(row: Row, route: Route | None) -> str:
-    """As far as it can be told from what is kept."""
+    """Why the message is dead, as far as its row shows it."""
     if route is None:
         return "no route takes it any more"
-    may = ["refused for good (422)"]
-    if row.fails + 1 >= route.tries:  # the last failure is told with the end alone
-        may.insert(0, f"its attempt {route.tries} of {route.tries} failed")
+    causes = ["refused for good (422)"]
+    if row.fails + 1 >= route.tries:  # the last failure is only in the end, not counted in the row
+        causes.insert(0, f"its attempt {route.tries} of {route.tries} failed")
     if row.until <= time.time():
-        may.append("its time ran out")
-    return ", or ".join(may)
+        causes.append("its time ran out")
+    return ", or ".join(causes)
 
 
-def summary(role: Depot, row: Row) -> dict[str, Any]:
-    letter = Letter.FromString(row.letter)
-    route = routed(role, letter)
+def summary(role: StoreRole, row: Row) -> dict[str, Any]:
+    """The report on one dead message, without its body."""
+    message = Letter.FromString(row.letter)
+    route = route_of(role, message)
     return {
         "id": row.mid,
-        "rid": letter.rid,
+        "rid": message.rid,
         "route": route.name if route is not None else "",
-        "host": letter.host.decode("latin-1"),
-        "target": letter.target.decode("latin-1"),
-        "octets": len(letter.body),
+        "host": message.host.decode("latin-1"),
+        "target": message.target.decode("latin-1"),
+        "octets": len(message.body),
         "fails": row.fails,
         "lost": row.lost,
         "cause": cause(row, route),
-        "told_for": role.keeping.ends[row.mid].until - role.now if row.mid in role.keeping.ends else 0.0,
+        "told_for": role.store.ends[row.mid].until - role.now if row.mid in role.store.ends else 0.0,
     }
 
 
-def dead(role: Depot, look: Any, route: str = "", after: str = "") -> dict[str, Any]:
-    """Those of a route (of all, where none is named), by id, after that one. `more`: there may be further
-    ones after `last`."""
-    names = sorted(mid for mid, end in role.keeping.ends.items() if not end.complete and mid > after)
+def dead(role: StoreRole, look: Any, route: str = "", after: str = "") -> dict[str, Any]:
+    """Dead messages of a route (empty: of all routes), by id, after the id `after`. `more`: there may be
+    further ones after `last`.
+    """
+    names = sorted(mid for mid, end in role.store.ends.items() if not end.complete and mid > after)
     found: list[dict[str, Any]] = []
     last, read = after, 0
-    while read < min(len(names), SCAN) and len(found) < PAGE:
-        part = names[read : read + STEP]
+    while read < min(len(names), MAX_READ) and len(found) < PAGE:
+        part = names[read : read + READ_STEP]
         here = {row.mid: row for row in look(lambda disk, part=part: rows(disk, part))}
         for mid in part:
             if len(found) >= PAGE:
                 break
             read, last = read + 1, mid
-            if mid in here:  # what it never had is dead here too, but without octets
+            if mid in here:  # a message that was never here can be dead here too, without bytes
                 one = summary(role, here[mid])
                 if not route or one["route"] == route:
                     found.append(one)
     return {"node": role.node, "dead": found, "last": last, "more": read < len(names)}
 
 
-def dead_one(role: Depot, look: Any, name: str) -> dict[str, Any] | None:
+def dead_one(role: StoreRole, look: Any, name: str) -> dict[str, Any] | None:
+    """The report on one dead message with its fields and body; None: it is not here or not dead."""
     mid = kept_by(name)
-    end = role.keeping.ends.get(mid)
+    end = role.store.ends.get(mid)
     if end is None or end.complete or not (found := look(lambda disk: rows(disk, [mid]))):
         return None
-    letter = Letter.FromString(found[0].letter)
+    message = Letter.FromString(found[0].letter)
     return summary(role, found[0]) | {
         "node": role.node,
-        "method": letter.method.decode("latin-1"),
-        "conf": letter.gen,
-        "depots": found[0].holders.split() or list(letter.holders),
-        "fields": [[f.name.decode("latin-1"), f.value.decode("latin-1")] for f in letter.fields],
-        "body": base64.b64encode(letter.body).decode(),
+        "method": message.method.decode("latin-1"),
+        "conf": message.gen,
+        "depots": found[0].holders.split() or list(message.holders),
+        "fields": [[f.name.decode("latin-1"), f.value.decode("latin-1")] for f in message.fields],
+        "body": base64.b64encode(message.body).decode(),
     }
 
 
-# ---- figures
+# ---- metrics
 
 
-def metrics(role: Depot) -> list[Any]:
-    k, now = role.keeping, role.now
-    due = [entry.due for entry in k.entries.values() if entry.due <= now]
+def metrics(role: StoreRole) -> list[Any]:
+    """The store's metrics: name, whether the value only grows, help text, and samples (labels, value)."""
+    store, now = role.store, role.now
+    due = [entry.due for entry in store.entries.values() if entry.due <= now]
     return [
         (
             "oldest_due_seconds",
             False,
-            "How long the message that is due longest has been.",
+            "Seconds since the message that has been due longest became due.",
             [({}, now - min(due, default=now))],
         ),
         (
             "waiting_due",
             False,
-            "Due, and nobody's to deliver.",
-            [({}, sum(not entry.owner and entry.due <= now for entry in k.entries.values()))],
+            "Messages that are due and have no owner.",
+            [({}, sum(not entry.owner and entry.due <= now for entry in store.entries.values()))],
         ),
         (
             "dead_messages",
             False,
-            "Ended without a success, and still told.",
-            [({}, sum(not end.complete for end in k.ends.values()))],
+            "Messages that ended without a success and are still on record.",
+            [({}, sum(not end.complete for end in store.ends.values()))],
         ),
-        ("kept_octets", False, "Of messages on the disk.", [({}, k.held)]),
+        ("kept_octets", False, "Bytes of the messages on the disk.", [({}, store.stored_bytes)]),
         (
             "owned",
             False,
-            "Messages that a counter's process delivers.",
-            [({"owner": who}, len(mids)) for who, mids in sorted(k.owned.items()) if mids],
+            "Messages that a gateway process delivers.",
+            [({"owner": who}, len(mids)) for who, mids in sorted(store.owned.items()) if mids],
         ),
         (
             "depot_heard",
             False,
-            "Whether another depot was heard of late.",
-            [({"node": node}, float(now - at < LAPSE)) for node, at in sorted(k.peers.items())],
+            "Whether a heartbeat of another store was received recently.",
+            [({"node": node}, float(now - at < LAPSE)) for node, at in sorted(store.peers.items())],
         ),
     ]
--- a/tests/test_post_safety.py
+++ b/tests/test_post_safety.py
@@ -14,7 +14,7 @@
 from opalwick.post.counter.agent import CounterShell
 from opalwick.post.counter.role import Gateway
 from opalwick.post.depot.disk import Disk
-from opalwick.post.depot.role import Depot
+from opalwick.post.depot.role import StoreRole
 from opalwick.post.office.role import Office
 from opalwick.post.settings import parse
 from opalwick.post.wire_pb2 import (
@@ -275,7 +275,7 @@
     disk.close()
     disk = Disk(str(tmp_path))
     assert disk.seal() == (7, 2)
-    store, link, peer = Depot(parse(DEPOT, "here"), 2, 0.0, disk.id), Spy("counter"), Spy("depot", "d2")
+    store, link, peer = StoreRole(parse(DEPOT, "here"), 2, 0.0, disk.id), Spy("counter"), Spy("depot", "d2")
     store.keeping.seal.loaded(disk.seal())
     store.joined(link)
     store.joined(peer)
