--- a/opalwick/post/office/__init__.py
+++ b/opalwick/post/office/__init__.py
@@ -1,1 +1,1 @@
-"""An office: the configuration, the directory of workers and nodes, and who holds which duty."""
+"""The controller: replicated configuration, directory of workers and nodes, leases of exclusive tasks."""
--- a/opalwick/post/office/disk.py
+++ b/opalwick/post/office/disk.py
@@ -1,5 +1,6 @@
-"""An office's disk: one record in sqlite3, written whole and synced before `save` returns; and a memory of
-the directory, for a start at which nobody has said yet that he is there."""
+"""A controller's disk in sqlite3: one record, synced before `save` returns, and a cached copy of the
+directory for use at start-up, before any worker or node has reported.
+"""
 
 from __future__ import annotations
 
@@ -19,10 +20,12 @@
 
 
 class Disk:
+    """The state on disk. Raises sqlite3.Error if the database cannot be opened or written."""
+
     def __init__(self, folder: str) -> None:
         os.makedirs(folder, exist_ok=True)
         path = os.path.join(folder, "office.sqlite3")
-        self.lost = False  # its record was there, and cannot be read any more
+        self.lost = False  # a record existed but can no longer be read
         try:
             self.open(folder, path)
         except sqlite3.Error as problem:
@@ -33,13 +36,13 @@
             self.lost = True
 
     def open(self, folder: str, path: str) -> None:
-        self.db = database(path, 100)  # pages: a change is a few
+        self.db = database(path, 100)  # pages; a change takes a few
         with closed_if_it_fails(self.db):
             self.db.execute(
                 "create table if not exists office (one integer primary key check (one = 1),"
                 " promised integer, view blob, member integer, conf blob, blank integer)"
             )
-            # without a sum from before: it is taken as it is
+            # a record of an older version has no checksum and is accepted
             add_columns(self.db, "office", voted="text not null default ''", sum="integer")
             self.db.execute(
                 "create table if not exists memory (one integer primary key check (one = 1), told blob)"
@@ -48,6 +51,7 @@
         keep_names(folder)
 
     def load(self) -> Stored | None:
+        """The stored record; None if there is none or its checksum is wrong (then `lost` is set)."""
         found = self.db.execute(
             "select promised, view, member, conf, blank, voted, sum from office"
         ).fetchone()
@@ -59,8 +63,8 @@
         return Stored(found[0], found[1], bool(found[2]), found[3], bool(found[4]), found[5])
 
     def save(self, stored: Stored) -> None:
-        """Durable when it returns; sqlite3.Error otherwise."""
-        fields = (
+        """Writes the record durably; raises sqlite3.Error otherwise."""
+        values = (
             stored.promised,
             stored.view,
             int(stored.member),
@@ -73,7 +77,7 @@
             self.db.execute(
                 "insert or replace into office (one, promised, view, member, conf, blank, voted, sum)"
                 " values (1, ?, ?, ?, ?, ?, ?, ?)",
-                (*fields, sum_of(*fields)),
+                (*values, sum_of(*values)),
             )
             self.db.execute("commit")
         except BaseException:
@@ -82,10 +86,11 @@
             raise
 
     def remember(self, told: bytes) -> None:
+        """Stores the copy of the directory."""
         self.db.execute("insert or replace into memory values (1, ?)", (told,))
 
     def remembered(self) -> bytes:
-        """Empty where nothing is."""
+        """The copy of the directory; empty if there is none."""
         found = self.db.execute("select told from memory").fetchone()
         return b"" if found is None else bytes(found[0])
 
--- a/opalwick/post/office/duties.py
+++ b/opalwick/post/office/duties.py
@@ -1,35 +1,38 @@
-"""Leases on duties, as one voter grants them: to one process at a time, for a span. Nothing is on the disk.
+"""Leases of exclusive tasks, as one voter grants them: each to one process at a time. Nothing is stored.
 
-Who holds a duty has a majority's grants, and counts its span from before it asked; so no two hold it at once
-while clocks run alike. A voter that has just started grants nothing for the longest span: it may have granted
-before.
+The holder of a lease has the grants of a majority, and counts the lease's time from before its request. So no
+two processes hold the same lease at once while their clocks run at the same rate. A voter that has just
+started grants nothing for the longest lease time, because it may have granted leases before.
 """
 
 from __future__ import annotations
 
-LONGEST = 1.5  # s of a lease at most: what a duty rests for after its holder's death
+LONGEST = 1.5  # s of a lease at most, hence the time that a task stands still after its holder fails
 
 
 class Duties:
+    """The leases that this voter granted. The wire's name for an exclusive task is "duty"."""
+
     def __init__(self, now: float, first: bool) -> None:
-        """`first`: the system's first start: nothing can have been granted."""
+        """`first`: this is the system's first start, so no lease can have been granted before."""
         self.silent_until = now if first else now + LONGEST
-        self.held: dict[str, tuple[str, float]] = {}  # duty: process, until
+        self.held: dict[str, tuple[str, float]] = {}  # by duty: holder, end of the lease in s
 
     def joins(self, now: float) -> None:
-        """It has become a voter: a majority that it was not part of may have granted until it heard of it, a
-        span after the first of these did.
+        """Called when it becomes a voter. Until it learns of that, a majority without it may have granted
+        leases, up to one lease time after the first of these voters learned of it. So it grants nothing for
+        two.
         """
         self.silent_until = max(self.silent_until, now + 2.0 * LONGEST)
 
     def lease(self, now: float, who: str, duties: list[str], span: float) -> list[str]:
-        """Those that are its for that span from now."""
+        """Requests (or with `span` 0 releases) leases for `span` s; returns the duties granted to `who`."""
         if now < self.silent_until:
             return []
         granted = []
         for duty in duties:
             holder, until = self.held.get(duty, ("", 0.0))
-            if span <= 0.0:  # given back
+            if span <= 0.0:  # release
                 if holder == who:
                     del self.held[duty]
             elif holder == who or until <= now:
@@ -38,5 +41,6 @@
         return granted
 
     def holders(self, now: float) -> dict[str, str]:
-        self.held = {duty: held for duty, held in self.held.items() if held[1] > now}
+        """The holder of each current lease, by duty; expired leases are removed."""
+        self.held = {duty: grant for duty, grant in self.held.items() if grant[1] > now}
         return {duty: holder for duty, (holder, _) in self.held.items()}
--- a/opalwick/post/office/notices.py
+++ b/opalwick/post/office/notices.py
@@ -1,8 +1,9 @@
-"""Facts that an office confirms only once a majority of the voters knows them. No I/O.
+"""Updates that a controller confirms only once a majority of the voters has them. No I/O.
 
-That a worker drains or has left is such a fact: whoever is told so relies on it that nothing new comes. Each
-office that takes in a notice tells all that it is linked to before it answers, so that every process in touch
-with a majority hears of it; an office that reaches no majority cannot confirm it, and says so.
+That a worker drains or has left is such an update: the caller relies on the confirmation that no new work
+will arrive. A controller that receives a notice forwards it on all of its links before it answers, so every
+process connected to a majority receives it. A controller that reaches no majority reports that it could not
+confirm the update.
 """
 
 from __future__ import annotations
@@ -14,21 +15,21 @@
 from opalwick.post.station import Link
 from opalwick.post.wire_pb2 import Known, News, Spread, View
 
-PATIENCE = 0.85  # s for a majority's answers: callers wait a second
-LIFE_SHIFT = 20  # bits for the calls of one life of a process
-MOST = 1024  # notices that wait at once; over it they are refused
+PATIENCE = 0.85  # s for a majority's answers: callers time out after 1 s
+LIFE_SHIFT = 20  # bits of a call number that count the calls of one incarnation
+MOST = 1024  # pending notices; more are refused
 
 Answer = Callable[[bool], None]
 
 
 def first_call(life: int) -> int:
-    """Numbers of calls carry the life that made them: no answer to an earlier life is taken for one."""
+    """Call numbers include the process incarnation, so answers to an earlier one are never mistaken."""
     return life << LIFE_SHIFT
 
 
 @dataclass(slots=True)
 class Notice:
-    """One fact on its way; `known` has the view of each office that took it in."""
+    """One pending update; `known` has the view of each controller that received it."""
 
     answer: Answer
     until: float
@@ -36,31 +37,33 @@
 
 
 class Notices:
+    """The updates that wait for confirmation."""
+
     def __init__(self, views: Views, life: int) -> None:
         self.views, self.last = views, first_call(life)
         self.waiting: dict[int, Notice] = {}
 
-    def tell(self, now: float, news: News, offices: Iterable[Link], answer: Answer) -> None:
-        """`answer` gets True once a majority knows `news`, False where none is reached in time."""
+    def tell(self, now: float, update: News, offices: Iterable[Link], answer: Answer) -> None:
+        """Sends `update`; calls `answer` with True once a majority has it, with False on a timeout."""
         self.last += 1
         call = self.last
-        word = Spread(call=call, news=news)
+        message = Spread(call=call, news=update)
         for link in offices:
-            link.say("spread", word)
+            link.say("spread", message)
         if len(self.waiting) >= MOST or not self.views.reaches:
             answer(False)
             return
         self.waiting[call] = Notice(answer, now + PATIENCE)
         self.look(call)
 
-    def known(self, office: str, word: Known) -> None:
-        """An office has taken it in and told all that it is linked to."""
-        if (notice := self.waiting.get(word.call)) is not None:
-            notice.known[office] = word.view
-            self.look(word.call)
+    def known(self, office: str, message: Known) -> None:
+        """Handles an acknowledgement: a controller has received the update and forwarded it."""
+        if (notice := self.waiting.get(message.call)) is not None:
+            notice.known[office] = message.view
+            self.look(message.call)
 
     def look(self, call: int) -> None:
-        """The voters that count are those of the newest view that anybody told."""
+        """Answers once a majority of the newest view that was reported has acknowledged."""
         notice = self.waiting[call]
         newest = max([self.views.view, *notice.known.values()], key=lambda view: int(view.epoch))
         if Views.enough(newest, {self.views.me, *notice.known}):
@@ -68,5 +71,6 @@
             notice.answer(True)
 
     def tick(self, now: float) -> None:
+        """Fails notices that timed out."""
         for call in [call for call, notice in self.waiting.items() if notice.until <= now]:
             self.waiting.pop(call).answer(False)
--- a/opalwick/post/office/numbers.py
+++ b/opalwick/post/office/numbers.py
@@ -1,8 +1,8 @@
-"""Which content a configuration's number stands for: one, for ever.
+"""Which content belongs to a configuration's number. Each number stands for one content permanently.
 
-The newest configuration carries the digests of those before it, so the answer outlives every member that gave
-it: a restart, a takeover, a lost disk. The history is bounded; a number older than all of it was superseded
-long ago, and sending it again alters nothing.
+The newest configuration carries the digests of the earlier ones, so the answer survives restarts, changes of
+the primary and lost disks. The history is bounded; a number older than all of it was superseded long ago, and
+sending it again has no effect.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 from opalwick.post.wire_pb2 import Conf, Confirmed
 
-HISTORY = 128  # earlier numbers kept, 22 bytes each: minutes of changes in quick succession
-DIGEST_BYTES = 12  # two contents share a digest with a chance of 2**-96
+HISTORY = 128  # earlier numbers in the history, 22 bytes each: enough for minutes of rapid changes
+DIGEST_BYTES = 12  # two contents share a digest with a probability of 2**-96
 
 
 class Match(Enum):
-    """What a number that was sent again stands for already."""
+    """The recorded content of a number, compared with the content that was sent."""
 
     SAME = "the same content"
     OTHER = "another content"
@@ -26,32 +26,32 @@
 
 
 def digest(body: bytes) -> bytes:
-    """Of a configuration as sent; equal for two JSON texts that differ in blanks or the order of fields."""
+    """Digest of a configuration as sent; equal for JSON that differs in white space or field order."""
     try:
         body = json.dumps(json.loads(body), sort_keys=True, separators=(",", ":")).encode()
-    except (ValueError, RecursionError):  # not JSON: compared byte by byte
+    except (ValueError, RecursionError):  # not JSON: the digest covers the bytes as they are
         pass
     return blake2b(body, digest_size=DIGEST_BYTES).digest()
 
 
 def content(conf: Conf) -> bytes:
-    """The digest of what the operator sent under this configuration's number."""
+    """The digest of the text that the operator sent under this configuration's number."""
     return bytes(conf.digest) or digest(conf.said)
 
 
-def match(newest: Conf, given: Conf) -> Match:
-    """What `given.gen` stands for, as far as `newest`, whose number is not lower, remembers."""
-    if given.gen == newest.gen:
+def match(newest: Conf, sent: Conf) -> Match:
+    """Compares `sent` with the history in `newest`, whose number is not lower."""
+    if sent.gen == newest.gen:
         known = content(newest)
     else:
-        known = next((bytes(one.digest) for one in newest.past if one.gen == given.gen), b"")
+        known = next((bytes(one.digest) for one in newest.past if one.gen == sent.gen), b"")
     if not known:
         return Match.UNKNOWN
-    return Match.SAME if known == content(given) else Match.OTHER
+    return Match.SAME if known == content(sent) else Match.OTHER
 
 
 def follow(conf: Conf, newest: Conf) -> None:
-    """`conf` is to come after `newest` under a higher number: it takes over the history."""
+    """Copies the history from `newest` into `conf`, its successor with a higher number."""
     del conf.past[:]
     conf.past.extend(newest.past)
     if newest.gen:
--- a/opalwick/post/office/registry.py
+++ b/opalwick/post/office/registry.py
@@ -1,7 +1,7 @@
-"""Workers by their beats, nodes by their links: what an office learns first hand, and what it passes on.
+"""Registry of workers, by their heartbeats, and of nodes, by their links. No socket and no clock.
 
-Each beat goes on to the other offices, so that each knows when a worker was last heard; counters hear only
-what changes. No socket and no clock.
+Each heartbeat is forwarded to the other controllers, so that each has the time of a worker's last heartbeat;
+gateways receive changes only.
 """
 
 from __future__ import annotations
@@ -10,12 +10,15 @@
 from opalwick.post.directory import Directory
 from opalwick.post.wire_pb2 import News, Node, Worker
 
-MISSED = 3.5  # beats missed until a worker counts as silent: two lost calls and a late one
-MISSING = 30.0  # s without a link until a node counts as gone: no restart and no cut that heals takes so long
-FORGOTTEN = 120.0  # s that one that left is remembered: far longer than any word of it is on its way
+MISSED = 3.5  # missed heartbeats until a worker counts as silent: two lost calls and a late one
+MISSING = 30.0  # s without a link until a node counts as gone: longer than a restart or a temporary partition
+# s for which a departed worker is remembered: far longer than a message about it is in transit
+FORGOTTEN = 120.0
 
 
 class Registry:
+    """Directory of workers and nodes, with the times of their last signs of life."""
+
     def __init__(self, beat_s: float, now: float) -> None:
         self.beat_s, self.now = beat_s, now
         self.directory = Directory()
@@ -24,15 +27,15 @@
         self.linked_at: dict[str, float] = {}  # by node
 
     @staticmethod
-    def differs(worker: Worker, known: Worker | None) -> bool:
-        """Whether counters have to hear of it."""
-        return known is None or any(
-            getattr(worker, name) != getattr(known, name)
+    def differs(worker: Worker, previous: Worker | None) -> bool:
+        """Whether gateways have to receive the change."""
+        return previous is None or any(
+            getattr(worker, name) != getattr(previous, name)
             for name in ("svc", "host", "port", "zone", "capacity", "draining", "gone", "silent", "disputed")
         )
 
     def beat(self, now: float, beat: Beat) -> tuple[News, bool]:
-        """What the other offices are told, and whether counters are told as well."""
+        """Applies a heartbeat; returns the update for other controllers, and whether gateways need it too."""
         self.now = now
         worker = Worker(
             id=beat.id,
@@ -49,27 +52,28 @@
         return self.take(News(workers=[worker]))
 
     def left(self, now: float, id: str) -> tuple[News, bool]:
+        """Records that a worker has left; returns as `beat` does."""
         self.now = now
-        known = self.directory.workers.get(id)
+        previous = self.directory.workers.get(id)
         worker = Worker(id=id, gone=True)
-        if known is not None:
-            worker.CopyFrom(known)
+        if previous is not None:
+            worker.CopyFrom(previous)
             worker.gone = True
         return self.take(News(workers=[worker]))
 
     def node(self, now: float, node: Node) -> News:
-        """A node's link is up."""
+        """Records that a node's link is up; returns the update."""
         self.now = now
         self.linked_at[node.node] = now
-        known = self.directory.nodes.get(node.node)
-        if known is not None and known.life == node.life:
-            node.count = known.count + known.gone  # back, though it was taken to be gone
+        previous = self.directory.nodes.get(node.node)
+        if previous is not None and previous.life == node.life:
+            node.count = previous.count + previous.gone  # back after it was marked as gone
         return self.directory.merge(News(nodes=[node]))
 
     def missing(self, now: float, linked: set[str]) -> News:
-        """At the primary: nodes that it has not been linked to for long. They may come back."""
+        """At the primary: marks nodes without a link for MISSING s as gone. They may come back."""
         self.now = now
-        news = News()
+        update = News()
         for name, node in self.directory.nodes.items():
             if name in linked:
                 self.linked_at[name] = now
@@ -77,27 +81,30 @@
                 gone = Node()
                 gone.CopyFrom(node)
                 gone.gone = True
-                news.nodes.append(gone)
-        return self.directory.merge(news) if news.nodes else news
+                update.nodes.append(gone)
+        return self.directory.merge(update) if update.nodes else update
 
-    def take(self, news: News) -> tuple[News, bool]:
-        """What was new of it, and whether it changes anything for counters."""
-        known = {worker.id: self.directory.workers.get(worker.id) for worker in news.workers}
-        fresh = self.directory.merge(news)
-        fresh.whole = False  # what is passed on is only what is new
+    def take(self, update: News) -> tuple[News, bool]:
+        """Applies an update; returns what was new in it, and whether gateways need it."""
+        previous = {worker.id: self.directory.workers.get(worker.id) for worker in update.workers}
+        fresh = self.directory.merge(update)
+        fresh.whole = False  # only the differences are forwarded
         for worker in fresh.workers:
             self.heard_at[worker.id] = self.now
             if worker.chill > 0:
                 self.chill_to[worker.id] = self.now + worker.chill
-        changed = any(self.differs(worker, known[worker.id]) for worker in fresh.workers)
+        changed = any(self.differs(worker, previous[worker.id]) for worker in fresh.workers)
         return fresh, changed or bool(fresh.nodes) or fresh.HasField("conf")
 
     def tick(self, now: float) -> News:
-        """Workers that have fallen silent."""
+        """Marks workers as silent that missed their heartbeats, and forgets departed ones; returns the
+        update.
+        """
         self.now = now
-        news = News()
+        update = News()
         for id in [id for id in self.heard_at if id not in self.directory.workers]:
-            del self.heard_at[id]  # it was one of too many that have left
+            # the directory dropped it, as it keeps a limited number of departed workers
+            del self.heard_at[id]
             self.chill_to.pop(id, None)
         for id, worker in list(self.directory.workers.items()):
             age = now - self.heard_at.get(id, now)
@@ -111,11 +118,12 @@
                 silent.CopyFrom(worker)
                 silent.silent = True
                 self.directory.workers[id] = silent
-                news.workers.append(silent)
-        return news
+                update.workers.append(silent)
+        return update
 
     def whole(self, now: float) -> News:
-        news = self.directory.whole()
-        for worker in news.workers:  # a copy
+        """The full directory, with each worker's remaining warm-up time in s."""
+        update = self.directory.whole()
+        for worker in update.workers:  # these are copies
             worker.chill = max(0.0, self.chill_to.get(worker.id, now) - now)
-        return news
+        return update
--- a/opalwick/post/office/status.py
+++ b/opalwick/post/office/status.py
@@ -1,4 +1,4 @@
-"""What an office tells operators: the view, who is there, who holds which duty, and the configuration."""
+"""A controller's status for operators: the view, workers and nodes, lease holders, the configuration."""
 
 from __future__ import annotations
 
@@ -65,26 +65,26 @@
 
 
 def conf(role: Office) -> dict[str, Any]:
-    """The newest that this office has on its disk. Only an active primary's is in force for sure."""
+    """The newest configuration on this controller's disk. Only an active primary's is certainly in force."""
     v = role.views
-    held = role.last_conf if v.active and role.last_conf else v.conf if v.member else b""
-    found = Conf.FromString(held)
+    stored = role.last_conf if v.active and role.last_conf else v.conf if v.member else b""
+    found = Conf.FromString(stored)
     return {
         "node": role.node,
         "state": v.state,
         "epoch": v.view.epoch,
         "gen": int(found.gen),
-        "in_force": v.active and bool(held),
+        "in_force": v.active and bool(stored),
         "conf": json.loads(found.said) if found.said else None,
     }
 
 
 def home(role: Office, look: Any) -> dict[str, Any]:
-    """The newest policy that this office has on its disk, and where each zone is by it."""
+    """The newest data-residency policy on this controller's disk, and the country of each zone under it."""
     there = conf(role)
     v = role.views
-    held = role.last_conf if v.active and role.last_conf else v.conf if v.member else b""
-    found = Conf.FromString(held)
+    stored = role.last_conf if v.active and role.last_conf else v.conf if v.member else b""
+    found = Conf.FromString(stored)
     policy = in_force(found, role.settings)
     return {
         "in_force": there["in_force"],
@@ -101,13 +101,18 @@
         key = worker.svc, worker_state(worker)
         states[key] = states.get(key, 0) + 1
     return [
-        ("primary", False, "Whether it is the primary, and a majority answers it.", [({}, float(v.active))]),
-        ("settled", False, "Whether it is, or of late heard, a primary.", [({}, float(v.settled))]),
-        ("blank", False, "Lost its disk, and does not vote yet.", [({}, float(v.blank))]),
+        ("primary", False, "Whether it is the primary and a majority answers it.", [({}, float(v.active))]),
+        (
+            "settled",
+            False,
+            "Whether it is the primary or has recently received from one.",
+            [({}, float(v.settled))],
+        ),
+        ("blank", False, "Lost its disk state and does not vote yet.", [({}, float(v.blank))]),
         (
             "workers_by_state",
             False,
-            "That this office knows of.",
+            "Workers registered at this controller.",
             [({"service": svc, "state": state}, count) for (svc, state), count in sorted(states.items())],
         ),
     ]
--- a/opalwick/post/office/views.py
+++ b/opalwick/post/office/views.py
@@ -1,16 +1,17 @@
-"""Who is the primary, and the configuration that it and its backups have. No socket, no disk, no clock.
+"""A replicated register (the configuration) with leader election by views. No socket, no disk, no clock.
 
-A primary writes to its backups' disks before it answers. Voters that are neither keep only the epoch and the
-view; a majority of voters decides who takes over. A voter votes once in an epoch. What was
-acknowledged is with every member of the newest view; a vote tells the voter's view, so that each majority
-knows the newest one, and at least one of its members is asked.
+The primary writes to its own disk and to those of its backups, which are the members of a view, before it
+acknowledges a change. The other voters are witnesses: they store only the epoch and the view. A majority of
+voters elects the primary, and each voter votes at most once in an epoch. Every member of the newest view has
+all acknowledged changes. A vote carries the voter's view, so any majority of votes includes the newest view,
+and a candidate needs the vote of at least one of its members.
 
-Who votes changes in two views, each by the primary of the one before, which is in force: the first has the
-new voters and those before them, and needs a majority of either; the second the new ones alone (the joint
-consensus of Ongaro and Ousterhout's Raft, on views in place of log entries). So a majority of the voters of
-the last view in force is in whatever was offered since, and whoever is asked next hears of the newest.
+The set of voters changes by joint consensus (as in Ongaro and Ousterhout's Raft, with views in place of log
+entries). It takes two views, each installed by the primary of the view in force: the first has the old and
+the new voters and needs a majority of each; the second has the new voters only. So any view that was offered
+later shares a majority with the voters of the last view in force, and a later candidate receives the newest.
 
-Offices are known here by their ip: it stands in every process's settings.
+Controllers are identified by IP address, which is in every process's settings.
 """
 
 from __future__ import annotations
@@ -33,46 +34,55 @@
     Written,
 )
 
-BEAT = 0.2  # s between the primary's beats: a word a voter, lost only with the link
-LATE = 0.8  # s without a beat until a voter looks for another primary: four beats
-STEP = 0.3  # s by which voters differ in that, by their place in the list: a round of votes takes 0.1
-EARLY = 0.25  # s after its start that a voter waits for a primary that is there: a beat, and a link's rise
-EARLY_STEP = 0.12  # s by which voters differ then: a link's rise and a round of votes
-AT_ONCE = 0.05  # s by which they differ where a majority said that it hears no primary: some trips, a sync
-ROUND = 1.0  # s for votes or for a view to be installed: a sync and two trips, with room
-CALL = 0.8  # s that a call may wait for backups: callers give up after a second
-FEW = 64  # calls that may wait at once
-# s unheard until a voter's place is free for another office: over a restart of its process, and under what a
-# deployment gives a new machine until the next one may be lost
-AWAY = 2.0
-JOINED = 0.6  # s since the last office came that are waited for more, thrice at most: they join together
-GROWN = 8.0  # s from its start that a primary takes nothing while too few vote: twice a slow start
-MOST = 9  # voters: a core of more is judged by those that have just acknowledged something
-
-
-# statuses of a put: it is in force, or was; the number stands for another content; it is older than what is
-# in force and never was, as far as is remembered, and alters nothing
+# s between heartbeats of the primary: one message per voter, lost only with the link
+HEARTBEAT_INTERVAL = 0.2
+ELECTION_TIMEOUT = 0.8  # s without a heartbeat until a voter starts an election: four heartbeats
+ELECTION_STAGGER = 0.3  # s between the election timeouts of successive voters: a round of votes takes 0.1 s
+# s after its start that a voter waits for an existing primary: a heartbeat and a link's set-up
+STARTUP_TIMEOUT = 0.25
+STARTUP_STAGGER = 0.12  # s between successive voters in that wait: a link's set-up and a round of votes
+# s between successive voters if a majority reported no primary: some round trips, a disk sync
+NO_PRIMARY_STAGGER = 0.05
+# s for a round of votes or the installation of a view: a disk sync and two trips, with a margin
+ROUND_TIMEOUT = 1.0
+CALL_TIMEOUT = 0.8  # s that a call may wait for backups: callers time out after 1 s
+MAX_WAITING_CALLS = 64  # calls that may wait at the same time
+# s without an answer until another controller may replace a voter: longer than a restart of its process,
+# shorter than the time that a deployment allows a new machine until the next one may be lost
+REPLACEABLE_AFTER = 2.0
+# s to wait for more controllers after the latest one joined, so that they join in one change; thrice this at
+# most
+JOIN_WINDOW = 0.6
+# s after its start that a primary refuses changes while it has too few voters: twice a slow start
+GROWTH_TIMEOUT = 8.0
+MOST = 9  # voters; a larger cluster is represented by the controllers that answered most recently
+
+
+# Statuses of a put. OK: it is in force, or was. CONFLICT: the number belongs to another content. SUPERSEDED:
+# it is older than the configuration in force and, as far as the history goes, never was in force; no effect.
 OK, CONFLICT, SUPERSEDED = 200, 409, 208
-UNKNOWN, UNABLE = 504, 503  # it may be in force or not; nothing has happened
+UNKNOWN, UNABLE = 504, 503  # UNKNOWN: it may or may not be in force; UNABLE: no effect
 
-STATUS = {numbers.Match.SAME: OK, numbers.Match.OTHER: CONFLICT, numbers.Match.UNKNOWN: SUPERSEDED}
+STATUS_OF_MATCH = {numbers.Match.SAME: OK, numbers.Match.OTHER: CONFLICT, numbers.Match.UNKNOWN: SUPERSEDED}
 
-Key = tuple[int, int]  # of a configuration: its number, and changes beside it
+Key = tuple[int, int]  # of a configuration: its number, and a count of changes made without a new number
 
 
 class Stored(NamedTuple):
-    """What is on the disk, whole, at each write."""
+    """The durable state; each write stores all of it."""
 
     promised: int
     view: bytes
-    member: bool  # the configuration is that of a member of the view
+    member: bool  # `conf` is the configuration of a member of the view
     conf: bytes  # a Conf, or empty
     blank: bool
-    voted: str = ""  # for whom, in the epoch promised
+    voted: str = ""  # the candidate that got the vote in the promised epoch
 
 
 class Save(NamedTuple):
-    """`then`: words for offices (for this one itself too), once it is synced."""
+    """A write to the disk. `then`: messages to send once it is synced, to this controller too (to, kind,
+    body).
+    """
 
     stored: Stored
     then: tuple[tuple[str, str, Any], ...]
@@ -84,16 +94,16 @@
 
 
 class Read(NamedTuple):
-    """A call that is answered with `status` once it is sure that no other office is the primary."""
+    """A call that is answered with `status` once a majority confirms that this controller is the primary."""
 
     call: int
-    beat: int  # that a majority must answer
+    heartbeat: int  # number of the heartbeat that a majority must answer
     until: float
     status: int
 
 
 class Pending:
-    """A change on its way, and the calls that wait for it, each with its status once that is in force."""
+    """A change in progress, and the calls that wait for it, each with the status to answer on success."""
 
     __slots__ = ("calls", "conf", "key", "needs", "number", "until")
 
@@ -106,60 +116,64 @@
     def __init__(
         self, me: str, copies: int, stored: Stored | None, voters: list[str], blank: bool, now: float
     ) -> None:
-        """`copies`: disks that must have a configuration. `voters`: at the first start, else as stored."""
+        """`copies`: number of disks that must have a configuration. `voters`: used at the first start only;
+        later starts use the stored ones.
+        """
         self.me, self.copies, self.now = me, copies, now
-        first = stored is None and not blank
+        newly_created = stored is None and not blank
         if stored is None:
             view = View(epoch=0, voters=sorted(voters), members=sorted(voters))
             stored = Stored(0, view.SerializeToString(), not blank and me in voters, b"", blank)
         self.promised, self.voted, self.member = stored.promised, stored.voted, stored.member
         self.conf, self.blank = stored.conf, stored.blank
         self.view = View.FromString(stored.view)
-        self.key = (-1, 0)  # of what is in force, as primary: number, changes beside it
+        self.key = (-1, 0)  # as primary: key of the configuration in force
         self.state = "follower"  # candidate, installing, primary
-        self.epoch = 0  # that this one stands for
-        self.beat_at = -1e9  # when the primary was last heard, in this life
-        self.born = now
-        self.fresh = True  # no primary, and nobody who stands, heard in this life
-        self.look_at = now + EARLY + EARLY_STEP * self.rank  # when it looks for another, if it hears none
-        self.primary = ""  # who is believed to be it
-        self.in_force = b""  # as primary: the newest that all members have
-        self.known_gen = -1  # the newest that a primary said is committed
-        self.began = now
-        self.unsettled = set[str]()  # offices that said last that they hear no primary
-        self.linked = set[str]()  # offices that there is a link to, by ip; the role's
+        self.epoch = 0  # of this controller's candidacy or term as primary
+        self.beat_at = -1e9  # s, when the primary was last active, in this incarnation
+        self.started_at = now
+        self.undisturbed = True  # no primary and no candidate seen in this incarnation
+        # s, when it starts an election unless a primary is active
+        self.election_at = now + STARTUP_TIMEOUT + STARTUP_STAGGER * self.rank
+        self.primary = ""  # the primary as far as this controller can tell
+        self.in_force = b""  # as primary: the newest configuration that all members have
+        self.known_gen = -1  # the newest number that a primary reported as committed
+        self.phase_began_at = now
+        self.unsettled = set[str]()  # controllers whose last report was that they have no primary
+        self.linked = set[str]()  # IPs of controllers with an open link; maintained by the role
         self.votes: dict[str, Vote] = {}
-        self.without: set[str] = set()  # backups that did not answer: the last to be chosen again
+        self.avoided: set[str] = set()  # backups that did not answer: chosen again last
         self.installed: set[str] = set()
         self.offered: tuple[View, bytes] | None = None
-        # a change of the voters: epoch of the view that it follows, voters, before
-        self.next: tuple[int, list[str], list[str]] | None = None
-        self.base = self.view  # the view that the one offered follows
-        self.joined: dict[str, float] = {}  # as primary: who answers and has no vote, since when
-        self.number = 0  # of writes and beats
-        self.heard_at: dict[str, float] = {}  # as primary: voters' answers to beats
-        self.answered: dict[str, int] = {}  # the last beat that each answered
-        self.said_at = self.wrote_at = -1e9
-        self.queue: list[Pending] = []  # changes, the first is on its way
+        # a change of the voters: epoch of the view that it follows, new voters, old voters
+        self.next_voters: tuple[int, list[str], list[str]] | None = None
+        self.base_view = self.view  # the view that precedes the offered one
+        # as primary: controllers that answer but have no vote, and since when
+        self.learners: dict[str, float] = {}
+        self.number = 0  # of the last write or heartbeat
+        self.heard_at: dict[str, float] = {}  # as primary: s, when each voter last answered
+        self.answered: dict[str, int] = {}  # number of the last heartbeat that each answered
+        self.heartbeat_sent_at = self.write_sent_at = -1e9
+        self.queue: list[Pending] = []  # changes; the first one is being written
         self.reads: list[Read] = []
-        self.leaving = False  # this process is about to end
-        self.leavers = set[str]()  # offices that said so of themselves
-        self.learned: dict[str, Vote] = {}  # blank: what the others said
-        self.asked_at = -1e9
+        self.leaving = False  # this process is shutting down
+        self.leavers = set[str]()  # controllers that reported that they are shutting down
+        self.learned_votes: dict[str, Vote] = {}  # while blank: the others' answers
+        self.state_requested_at = -1e9
         self.saves: list[Save] = []
-        self.sends: list[tuple[str, str, Any]] = []
+        self.outbox: list[tuple[str, str, Any]] = []
         self.answers: list[Answer] = []
         self.committed: list[bytes] = []
         self.events: list[tuple[int, dict[str, Any]]] = []
-        if first:
-            self.save()  # a start after this one must not take its disk for a lost one
+        if newly_created:
+            self.save()  # so that the next start does not mistake an empty disk for a lost one
 
     def effects(self) -> tuple[list[Save], list[tuple[str, str, Any]], list[Answer], list[bytes]]:
-        found = self.saves, self.sends, self.answers, self.committed
-        self.saves, self.sends, self.answers, self.committed = [], [], [], []
+        found = self.saves, self.outbox, self.answers, self.committed
+        self.saves, self.outbox, self.answers, self.committed = [], [], [], []
         return found
 
-    # ---- small things
+    # ---- helpers
 
     @property
     def voters(self) -> list[str]:
@@ -167,7 +181,7 @@
 
     @staticmethod
     def enough(view: View, who: Container[str]) -> bool:
-        """Whether they decide: a majority of that view's voters, and of those before them if it has any."""
+        """Whether `who` has a majority of the view's voters and, in a joint view, of the old voters too."""
         return all(
             2 * sum(voter in who for voter in voters) > len(voters)
             for voters in (view.voters, view.before)
@@ -175,47 +189,47 @@
         )
 
     @property
-    def short(self) -> bool:
-        """So few vote that with as many lost as are borne no majority would be left; more may come."""
-        return len(self.view.voters) < 2 * self.copies - 1 and self.now - self.born < GROWN
+    def undersized(self) -> bool:
+        """Too few voters to keep a majority after the tolerated losses, while more may still join."""
+        return len(self.view.voters) < 2 * self.copies - 1 and self.now - self.started_at < GROWTH_TIMEOUT
 
     @property
-    def primaryless(self) -> bool:
-        """Whether a majority, itself included, has said in its life that it hears no primary."""
+    def majority_without_primary(self) -> bool:
+        """Whether a majority, including this controller, has reported that it has no primary."""
         return self.enough(self.view, {self.me} | self.linked & self.unsettled)
 
     @property
     def reaches(self) -> bool:
-        """Whether it has links to a majority, itself included."""
+        """Whether it has links to a majority, including itself."""
         return self.enough(self.view, {self.me} | self.linked)
 
     @property
-    def lately(self) -> set[str]:
-        """As primary: who has answered it of late, itself included."""
-        return {self.me} | {voter for voter, at in self.heard_at.items() if self.now - at < LATE}
+    def responsive(self) -> set[str]:
+        """As primary: the voters that answered within ELECTION_TIMEOUT, including itself."""
+        return {self.me} | {voter for voter, at in self.heard_at.items() if self.now - at < ELECTION_TIMEOUT}
 
     @property
     def active(self) -> bool:
-        """It is the primary, and a majority answered it of late."""
-        return self.state == "primary" and self.enough(self.view, self.lately)
+        """Whether it is the primary and a majority answered within ELECTION_TIMEOUT."""
+        return self.state == "primary" and self.enough(self.view, self.responsive)
 
     @property
     def settled(self) -> bool:
-        """It is, or has of late heard, a primary."""
+        """Whether it is the active primary, or follows one that was active within ELECTION_TIMEOUT."""
         return self.active or (
-            self.state == "follower" and bool(self.primary) and self.now - self.beat_at < LATE
+            self.state == "follower" and bool(self.primary) and self.now - self.beat_at < ELECTION_TIMEOUT
         )
 
     @property
     def rank(self) -> int:
-        """Its place among the voters, by which they differ."""
+        """Its index in the list of voters, by which election timeouts are staggered."""
         return self.voters.index(self.me) if self.me in self.voters else len(self.view.voters)
 
-    def hears(self) -> None:
-        """A primary is there, or somebody stands for it."""
-        self.fresh = False
+    def note_activity(self) -> None:
+        """Restarts the election timeout: a primary or a candidate is active."""
+        self.undisturbed = False
         self.beat_at = self.now
-        self.look_at = self.now + LATE + STEP * self.rank
+        self.election_at = self.now + ELECTION_TIMEOUT + ELECTION_STAGGER * self.rank
 
     def save(self, *then: tuple[str, str, Any]) -> None:
         self.saves.append(
@@ -232,71 +246,77 @@
             )
         )
 
-    def say(self, to: str, kind: str, word: Any) -> None:
-        self.sends.append((to, kind, word))
+    def say(self, to: str, kind: str, message: Any) -> None:
+        self.outbox.append((to, kind, message))
 
     def others(self, view: View | None = None) -> list[str]:
         view = self.view if view is None else view
         return [voter for voter in dict.fromkeys((*view.voters, *view.before)) if voter != self.me]
 
-    def onlookers(self) -> list[str]:
-        """Offices that have no vote."""
+    def non_voters(self) -> list[str]:
+        """Linked controllers that have no vote."""
         return sorted(self.linked - {self.me, *self.view.voters, *self.view.before})
 
-    def follow(self) -> None:
-        """No primary any more, nor a candidate."""
+    def step_down(self) -> None:
+        """Becomes a follower, and answers all waiting calls."""
         if self.state == "primary":
             self.events.append((204, {"epoch": self.epoch}))
         self.state = "follower"
-        for pending in self.queue:  # it may yet be in force: no clear answer
+        for pending in self.queue:  # it may still come into force, so the outcome is unknown
             self.answers += [Answer(call, UNKNOWN) for call, _ in pending.calls]
         self.answers += [Answer(read.call, UNABLE) for read in self.reads]
-        self.queue, self.reads, self.votes, self.offered, self.next = [], [], {}, None, None
-        self.joined.clear()
+        self.queue, self.reads, self.votes, self.offered, self.next_voters = [], [], {}, None, None
+        self.learners.clear()
 
-    def promise(self, epoch: int) -> None:
+    def promise_epoch(self, epoch: int) -> None:
         if epoch > self.promised:
             self.promised, self.voted = epoch, ""
             if self.state != "follower" and self.epoch < epoch:
-                self.follow()
+                self.step_down()
 
     # ---- time
 
     def tick(self, now: float) -> None:
         self.now = now
         if self.blank:
-            if now - self.asked_at > 0.5:
-                self.asked_at = now
-                # whoever is there knows who votes: of those that it was told of none may be left
-                for voter in dict.fromkeys((*self.others(), *self.onlookers())):
+            if now - self.state_requested_at > 0.5:
+                self.state_requested_at = now
+                # Every linked controller has the list of voters; those of the settings may all be gone.
+                for voter in dict.fromkeys((*self.others(), *self.non_voters())):
                     self.say(voter, "canvass", Canvass(epoch=0))
             return
         if self.state == "primary":
-            if now - self.said_at >= BEAT:
-                self.beat()
+            if now - self.heartbeat_sent_at >= HEARTBEAT_INTERVAL:
+                self.send_heartbeats()
             members = [m for m in self.view.members if m != self.me]
-            late = [m for m in members if now - self.heard_at.get(m, self.began) > LATE]
-            if (late and now - self.began > LATE) or (not self.active and now - self.began > 2.0 * LATE):
+            late = [m for m in members if now - self.heard_at.get(m, self.phase_began_at) > ELECTION_TIMEOUT]
+            if (late and now - self.phase_began_at > ELECTION_TIMEOUT) or (
+                not self.active and now - self.phase_began_at > 2.0 * ELECTION_TIMEOUT
+            ):
                 if not self.reaches:
-                    self.follow()
-                    self.look_at = now + STEP
+                    self.step_down()
+                    self.election_at = now + ELECTION_STAGGER
                     return
-                self.stand(late)  # with another backup, where a majority goes along
+                self.start_election(late)  # with another backup, if a majority agrees
             elif self.leaving and not self.queue:
-                if (heir := self.heir()) is not None:
-                    self.resign(heir)
+                if (successor := self.successor()) is not None:
+                    self.resign(successor)
                     return
-            elif (out := self.members_that_leave()) and now - self.began > BEAT and not self.queue:
-                self.stand(out)
             elif (
-                now - self.began > (BEAT if self.view.before else LATE)
+                (out := self.leaving_members())
+                and now - self.phase_began_at > HEARTBEAT_INTERVAL
+                and not self.queue
+            ):
+                self.start_election(out)
+            elif (
+                now - self.phase_began_at > (HEARTBEAT_INTERVAL if self.view.before else ELECTION_TIMEOUT)
                 and not self.queue
                 and not self.reads
-                and (change := self.change()) is not None
+                and (voter_change := self.voter_change()) is not None
             ):
-                self.stand([m for m in self.view.voters if m not in self.lately], change)
-            if self.queue and now - self.wrote_at >= BEAT:
-                self.say_write()  # a word may be lost with its link
+                self.start_election([m for m in self.view.voters if m not in self.responsive], voter_change)
+            if self.queue and now - self.write_sent_at >= HEARTBEAT_INTERVAL:
+                self.say_write()  # a message may be lost with its link
             for pending in [p for p in self.queue if p.until <= now]:
                 self.answers += [Answer(call, UNKNOWN) for call, _ in pending.calls]
                 pending.calls, pending.until = [], 1e18
@@ -304,79 +324,94 @@
                 self.reads.remove(read)
                 self.answers.append(Answer(read.call, UNABLE))
         elif self.state == "follower":
-            if self.fresh and self.primaryless:  # once: then whoever stands has its time
-                self.look_at = min(self.look_at, self.born + AT_ONCE * (1 + self.rank))
-            if self.me in self.voters and now >= self.look_at and not self.leaving:
+            # once only: a candidate then has time for its round
+            if self.undisturbed and self.majority_without_primary:
+                self.election_at = min(
+                    self.election_at, self.started_at + NO_PRIMARY_STAGGER * (1 + self.rank)
+                )
+            if self.me in self.voters and now >= self.election_at and not self.leaving:
                 if self.reaches:
-                    self.stand(sorted(self.leavers))
-                else:  # an epoch that none can vote for only unsettles who follows
-                    self.look_at = now + STEP
-        elif now - self.began <= ROUND:
-            if now - self.wrote_at >= BEAT:  # a word may be lost with its link
-                self.wrote_at = now
+                    self.start_election(sorted(self.leavers))
+                else:  # without a majority the epoch cannot win, and would only disturb the followers
+                    self.election_at = now + ELECTION_STAGGER
+        elif now - self.phase_began_at <= ROUND_TIMEOUT:
+            if now - self.write_sent_at >= HEARTBEAT_INTERVAL:  # a message may be lost with its link
+                self.write_sent_at = now
                 if self.state == "installing":
-                    self.offer_on()
+                    self.send_offer()
                 else:
-                    self.canvass_on()
+                    self.request_missing_votes()
                     if self.enough(self.newest_view(), self.votes):
                         self.offer()
         else:
-            self.follow()
-            self.look_at = now + STEP * self.rank
+            self.step_down()
+            self.election_at = now + ELECTION_STAGGER * self.rank
 
-    # ---- a planned end
+    # ---- planned shutdown
 
     def leave(self) -> None:
-        """This process is about to end: what it has alone must be elsewhere first."""
+        """Starts a planned shutdown: leadership and membership are handed over first."""
         self.leaving = True
 
     @property
     def needed(self) -> bool:
-        """Whether it is the primary, or its disk one of those that what is acknowledged rests on."""
+        """Whether it is the primary or a candidate, or its disk holds one of the required replicas."""
         return self.state != "follower" or (self.member and self.me in self.view.members)
 
-    def stays(self, voter: str) -> bool:
-        return voter != self.me and voter in self.lately and voter not in self.leavers
+    def is_staying(self, voter: str) -> bool:
+        return voter != self.me and voter in self.responsive and voter not in self.leavers
 
-    def heir(self) -> str | None:
-        """As primary: who is to be it next, a member if one stays."""
-        return next((voter for voter in (*self.view.members, *self.view.voters) if self.stays(voter)), None)
+    def successor(self) -> str | None:
+        """As primary: the next primary, preferably a member of the view; None if every voter is leaving."""
+        return next(
+            (voter for voter in (*self.view.members, *self.view.voters) if self.is_staying(voter)), None
+        )
 
-    def members_that_leave(self) -> list[str]:
-        """As primary: members that are about to end, where another voter can take the place of each."""
+    def leaving_members(self) -> list[str]:
+        """As primary: members that are shutting down, if other voters can replace all of them."""
         out = [member for member in self.view.members if member in self.leavers]
-        spare = [voter for voter in self.view.voters if self.stays(voter) and voter not in self.view.members]
+        spare = [
+            voter for voter in self.view.voters if self.is_staying(voter) and voter not in self.view.members
+        ]
         return out if len(spare) >= len(out) else []
 
-    def resign(self, heir: str) -> None:
-        """It serves no more, from this moment on; the heir need not wait until it is missed."""
-        word = Resign(epoch=self.epoch, heir=heir)
-        self.follow()
+    def resign(self, successor: str) -> None:
+        """Steps down at once; the successor starts an election without waiting for its timeout."""
+        message = Resign(epoch=self.epoch, heir=successor)
+        self.step_down()
         self.primary, self.beat_at = "", -1e9
         for voter in self.others():
-            self.say(voter, "resign", word)
+            self.say(voter, "resign", message)
 
-    def resigned(self, sender: str, word: Resign) -> None:
-        if self.state != "follower" or word.epoch != self.view.epoch or sender != self.view.primary:
+    def resigned(self, sender: str, message: Resign) -> None:
+        if self.state != "follower" or message.epoch != self.view.epoch or sender != self.view.primary:
             return
         self.primary, self.beat_at = "", -1e9
         self.leavers.add(sender)
-        self.look_at = self.now if word.heir == self.me else self.now + LATE + STEP * self.rank
+        self.election_at = (
+            self.now
+            if message.heir == self.me
+            else self.now + ELECTION_TIMEOUT + ELECTION_STAGGER * self.rank
+        )
 
-    # ---- standing for primary
+    # ---- elections
 
-    def change(self) -> tuple[list[str], list[str]] | None:
-        """As primary: who is to vote in the next view, and who before; none where nothing changes."""
+    def voter_change(self) -> tuple[list[str], list[str]] | None:
+        """As primary: the voters of the next view and the old voters; None if nothing changes."""
         voters = self.voters
         if self.view.before:
-            return voters, []  # this view is in force: those before it are done with
-        fresh = sorted(self.joined)
-        waits = [self.now - since for since in self.joined.values()]
-        if waits and min(waits) < JOINED and max(waits) < 3.0 * JOINED:
+            return voters, []  # the joint view is in force, so the old voters can go
+        fresh = sorted(self.learners)
+        waits = [self.now - since for since in self.learners.values()]
+        if waits and min(waits) < JOIN_WINDOW and max(waits) < 3.0 * JOIN_WINDOW:
             return None
-        away = [v for v in voters if v != self.me and self.now - self.heard_at.get(v, self.began) >= AWAY]
-        if fresh and len(away) < sum(v not in self.lately for v in voters):
-            return None  # whose place it takes is seen in a moment
+        away = [
+            v
+            for v in voters
+            if v != self.me and self.now - self.heard_at.get(v, self.phase_began_at) >= REPLACEABLE_AFTER
+        ]
+        if fresh and len(away) < sum(v not in self.responsive for v in voters):
+            return None  # the voter to replace is not certain yet
         after = list(voters)
         for ip in fresh:
             if away:
@@ -384,24 +419,24 @@
             elif len(after) < MOST:
                 after.append(ip)
         if not fresh and away and len(after) % 2 == 0:
-            after.remove(away[0])  # of an even number one less bears as many losses
+            after.remove(away[0])  # an even number tolerates no more losses than one less
         return (sorted(after), voters) if after != voters else None
 
-    def stand(
-        self, without: list[str] | None = None, change: tuple[list[str], list[str]] | None = None
+    def start_election(
+        self, avoided: list[str] | None = None, voter_change: tuple[list[str], list[str]] | None = None
     ) -> None:
-        """`change`: of the voters, by the primary of the view in force."""
+        """Starts an election. `voter_change`: new and old voters; only the primary in force sets it."""
         count = max(len(self.voters), 1)
         place = self.voters.index(self.me)
         if self.state == "primary":
-            self.follow()
-        self.fresh = False
+            self.step_down()
+        self.undisturbed = False
         self.epoch = self.promised = (self.promised // count + 1) * count + place
         self.voted = self.me
-        self.next = None if change is None else (self.view.epoch, *change)
-        self.state, self.began, self.votes, self.installed = "candidate", self.now, {}, set()
-        self.wrote_at = self.now
-        self.without = set(without or ())
+        self.next_voters = None if voter_change is None else (self.view.epoch, *voter_change)
+        self.state, self.phase_began_at, self.votes, self.installed = "candidate", self.now, {}, set()
+        self.write_sent_at = self.now
+        self.avoided = set(avoided or ())
         own = Vote(
             epoch=self.epoch,
             granted=True,
@@ -416,17 +451,17 @@
         )
         self.events.append((201, {"epoch": self.epoch}))
 
-    def canvass(self, sender: str, word: Canvass) -> None:
-        # it may have the same vote again, if the first was lost
-        again = word.epoch == self.promised > self.view.epoch and self.voted == sender
+    def canvass(self, sender: str, message: Canvass) -> None:
+        # the same candidate may get its vote again, as the first answer may be lost
+        again = message.epoch == self.promised > self.view.epoch and self.voted == sender
         free = (
-            self.now - self.beat_at > 0.6 * LATE
+            self.now - self.beat_at > 0.6 * ELECTION_TIMEOUT
             or self.primary == sender
             or self.state in ("candidate", "installing")
         )
-        granted = not self.blank and (again or (word.epoch > self.promised and free and not self.active))
+        granted = not self.blank and (again or (message.epoch > self.promised and free and not self.active))
         vote = Vote(
-            epoch=word.epoch,
+            epoch=message.epoch,
             granted=granted,
             view=self.view,
             whole=self.member,
@@ -434,90 +469,93 @@
             blank=self.blank,
         )
         if granted:
-            self.promise(word.epoch)
-            vote.promised, self.voted, self.fresh = self.promised, sender, False
+            self.promise_epoch(message.epoch)
+            vote.promised, self.voted, self.undisturbed = self.promised, sender, False
             self.save((sender, "vote", vote))
-            self.look_at = self.now + LATE + STEP * self.rank  # it has its time
+            # time for the candidate's round
+            self.election_at = self.now + ELECTION_TIMEOUT + ELECTION_STAGGER * self.rank
         else:
             vote.promised = self.promised
             self.say(sender, "vote", vote)
 
-    def vote(self, sender: str, word: Vote) -> None:
-        if word.epoch == 0:
-            self.learn(sender, word)
+    def vote(self, sender: str, message: Vote) -> None:
+        if message.epoch == 0:
+            self.learn(sender, message)
             return
-        if self.state != "candidate" or word.epoch != self.epoch:
+        if self.state != "candidate" or message.epoch != self.epoch:
             return
-        if not word.granted:
-            if word.promised > self.promised:  # the next time above it
-                self.promise(word.promised)
-                self.look_at = self.now + STEP * self.rank
+        if not message.granted:
+            if message.promised > self.promised:  # the next candidacy is above that epoch
+                self.promise_epoch(message.promised)
+                self.election_at = self.now + ELECTION_STAGGER * self.rank
                 self.save()
             return
-        self.votes[sender] = word
+        self.votes[sender] = message
         newest = self.newest_view()
         if self.me not in newest.voters:
-            self.follow()  # others vote by now, and it does not
-            self.look_at = self.now + AWAY
+            self.step_down()  # the newest view does not include it as a voter
+            self.election_at = self.now + REPLACEABLE_AFTER
         elif self.enough(newest, self.votes):
             self.offer()
         elif sender != self.me and newest.epoch > self.view.epoch:
-            self.canvass_on()  # those who vote are not those whom it knew of
+            self.request_missing_votes()  # the newest view has other voters than its own
 
     def newest_view(self) -> View:
-        """Of those that votes have told."""
+        """The newest view in the votes received."""
         return max(
             (vote.view for vote in self.votes.values()), key=lambda view: int(view.epoch), default=self.view
         )
 
-    def canvass_on(self) -> None:
-        """Those that have not voted."""
+    def request_missing_votes(self) -> None:
+        """Requests votes from those that have not answered."""
         for voter in dict.fromkeys((*self.others(), *self.others(self.newest_view()))):
             if voter not in self.votes:
                 self.say(voter, "canvass", Canvass(epoch=self.epoch))
 
     def offer(self) -> None:
-        """With a majority's votes: the newest view among them, what its members have, and new members."""
+        """With a majority of votes: offers a view with new members and the newest configuration of the old
+        ones.
+        """
         newest = max(vote.view.epoch for vote in self.votes.values())
         whole = [vote for vote in self.votes.values() if vote.view.epoch == newest and vote.whole]
         if not whole:
-            return  # of the newest members one must be asked: more votes may come
+            return  # needs the vote of a member of the newest view; more votes may come
         view = next(vote.view for vote in whole)
         conf = max((vote.conf for vote in whole), key=self.read_key)
         voters, before = list(view.voters), list(view.before)
-        if self.next is not None and self.next[0] == view.epoch:
-            _, voters, before = self.next
+        if self.next_voters is not None and self.next_voters[0] == view.epoch:
+            _, voters, before = self.next_voters
         able = sorted(
             (voter for voter in self.votes if voter != self.me and voter in voters),
-            key=lambda v: (v in self.without, v not in view.members, v),
+            key=lambda v: (v in self.avoided, v not in view.members, v),
         )
         if len(able) + 1 < min(self.copies, len(voters)):
             return
         members = [self.me, *able[: self.copies - 1]]
-        if self.leavers.intersection(members) and self.others_may_vote():
-            return  # a vote of one that stays is on its way
-        self.base = view
+        if self.leavers.intersection(members) and self.votes_outstanding():
+            return  # prefer a member that is not shutting down: its vote may still come
+        self.base_view = view
         self.offered = (
             View(epoch=self.epoch, primary=self.me, members=members, voters=voters, before=before),
             conf,
         )
         self.state, self.installed = "installing", set()
-        self.offer_on()
+        self.send_offer()
 
-    def others_may_vote(self) -> bool:
-        """As candidate, for a moment: there are voters that stay and have not answered yet."""
+    def votes_outstanding(self) -> bool:
+        """Within one heartbeat interval of the election: linked voters that stay have not answered yet."""
         waits = self.linked.intersection(self.voters) - self.votes.keys() - self.leavers
-        return bool(waits) and self.now - self.began < BEAT
+        return bool(waits) and self.now - self.phase_began_at < HEARTBEAT_INTERVAL
 
-    def offer_on(self) -> None:
-        """To those that have not installed it: first the members, so that no view is the newest of a majority
-        whose members do not have it; then the witnesses.
+    def send_offer(self) -> None:
+        """Sends the view to those that have not installed it, members before witnesses. Otherwise a majority
+        could have a newest view that none of its members has installed.
         """
         if self.offered is None:
             return
-        view, self.wrote_at = self.offered[0], self.now
+        view, self.write_sent_at = self.offered[0], self.now
         members = [m for m in view.members if m not in self.installed]
-        rest = dict.fromkeys((self.me, *self.others(view), *self.others(self.base)))
+        rest = dict.fromkeys((self.me, *self.others(view), *self.others(self.base_view)))
         for voter in members or [v for v in rest if v not in self.installed]:
             self.offer_to(voter)
 
@@ -530,33 +568,33 @@
         if self.offered is not None:
             view, conf = self.offered
             if self.state == "primary" and self.queue and self.queue[0].number:
-                # it may have said that it has what is being written, and have lost it since
+                # it may have acknowledged the change being written and then lost its disk
                 conf = max(conf, self.queue[0].conf, key=self.read_key)
-            word = Install(view=view, conf=conf if voter in view.members else b"")
+            message = Install(view=view, conf=conf if voter in view.members else b"")
             if voter == self.me:
-                self.install(self.me, word)
+                self.install(self.me, message)
             else:
-                self.say(voter, "install", word)
+                self.say(voter, "install", message)
 
-    def install(self, sender: str, word: Install) -> None:
-        epoch = word.view.epoch
+    def install(self, sender: str, message: Install) -> None:
+        epoch = message.view.epoch
         if self.blank or epoch < self.promised:
             self.say(sender, "installed", Installed(epoch=epoch, ok=False, promised=self.promised))
             return
-        self.promise(epoch)
-        if epoch > self.view.epoch or (not self.member and self.me in word.view.members):
-            self.view = View.FromString(word.view.SerializeToString())
-            self.member = self.me in word.view.members
-            self.conf = word.conf if self.member else b""
-        self.hears()
+        self.promise_epoch(epoch)
+        if epoch > self.view.epoch or (not self.member and self.me in message.view.members):
+            self.view = View.FromString(message.view.SerializeToString())
+            self.member = self.me in message.view.members
+            self.conf = message.conf if self.member else b""
+        self.note_activity()
         self.save((sender, "installed", Installed(epoch=epoch, ok=True, promised=self.promised)))
 
-    def installs(self, sender: str, word: Installed) -> None:
-        if word.promised > self.promised and not word.ok:
-            self.promise(word.promised)
+    def installs(self, sender: str, message: Installed) -> None:
+        if message.promised > self.promised and not message.ok:
+            self.promise_epoch(message.promised)
             self.save()
             return
-        if not word.ok or word.epoch != self.epoch:
+        if not message.ok or message.epoch != self.epoch:
             return
         self.heard_at[sender] = self.now
         if self.state != "installing" or self.offered is None:
@@ -564,13 +602,13 @@
         self.installed.add(sender)
         view, conf = self.offered
         if self.installed == set(view.members):
-            self.offer_on()
+            self.send_offer()
         if (
             self.installed >= set(view.members)
             and self.enough(view, self.installed)
-            and self.enough(self.base, self.installed)
+            and self.enough(self.base_view, self.installed)
         ):
-            self.state, self.primary, self.began = "primary", self.me, self.now
+            self.state, self.primary, self.phase_began_at = "primary", self.me, self.now
             self.heard_at = {voter: self.now for voter in self.installed}
             self.answered = {}
             self.key = self.read_key(conf)
@@ -579,97 +617,103 @@
             self.in_force = conf
             if conf:
                 self.committed.append(conf)
-            self.beat()
+            self.send_heartbeats()
 
-    # ---- as primary
+    # ---- primary
 
-    def beat(self) -> None:
-        self.said_at, self.number = self.now, self.number + 1
-        for voter in [*self.others(), *self.onlookers()]:
+    def send_heartbeats(self) -> None:
+        self.heartbeat_sent_at, self.number = self.now, self.number + 1
+        for voter in [*self.others(), *self.non_voters()]:
             self.say(voter, "beat", Beat(epoch=self.epoch, gen=max(0, self.key[0]), number=self.number))
 
-    def beats(self, sender: str, word: Beat) -> None:
-        if word.epoch >= self.promised and word.epoch == self.view.epoch:
-            self.primary, self.known_gen = sender, word.gen
-            self.hears()
+    def beats(self, sender: str, message: Beat) -> None:
+        if message.epoch >= self.promised and message.epoch == self.view.epoch:
+            self.primary, self.known_gen = sender, message.gen
+            self.note_activity()
             if self.state != "follower":
-                self.follow()
-        elif word.epoch >= self.promised:  # a view that it has not heard of: it is offered again
-            self.hears()
+                self.step_down()
+        elif message.epoch >= self.promised:  # a view it has not installed: the primary offers it again
+            self.note_activity()
         self.say(
             sender,
             "beaten",
             Beaten(
                 epoch=self.view.epoch,
-                number=word.number,
+                number=message.number,
                 promised=self.promised,
                 blank=self.blank,
                 member=self.member,
             ),
         )
 
-    def beaten(self, sender: str, word: Beaten) -> None:
-        if word.promised > self.epoch and self.state in ("primary", "installing"):
-            self.promise(word.promised)
+    def beaten(self, sender: str, message: Beaten) -> None:
+        if message.promised > self.epoch and self.state in ("primary", "installing"):
+            self.promise_epoch(message.promised)
             self.save()
             return
         if self.state != "primary":
             return
-        # a member that lost its disk meanwhile knows the view again, and not what its members have
-        if word.epoch != self.epoch or word.blank or (sender in self.view.members and not word.member):
-            if not word.blank:
+        # a member that lost its disk may have the view again but not the configuration
+        if (
+            message.epoch != self.epoch
+            or message.blank
+            or (sender in self.view.members and not message.member)
+        ):
+            if not message.blank:
                 self.offer_to(sender)
             return
         self.heard_at[sender] = self.now
-        self.answered[sender] = max(word.number, self.answered.get(sender, 0))
+        self.answered[sender] = max(message.number, self.answered.get(sender, 0))
         if sender in self.voters:
-            self.joined.pop(sender, None)
+            self.learners.pop(sender, None)
         else:
-            self.joined.setdefault(sender, self.now)
+            self.learners.setdefault(sender, self.now)
         self.serve_reads()
 
     def serve_reads(self) -> None:
         for read in list(self.reads):
             backups = [m for m in self.view.members if m != self.me]
-            there = {self.me} | {voter for voter, n in self.answered.items() if n >= read.beat}
-            if self.enough(self.view, there) and all(self.answered.get(m, 0) >= read.beat for m in backups):
+            there = {self.me} | {voter for voter, n in self.answered.items() if n >= read.heartbeat}
+            if self.enough(self.view, there) and all(
+                self.answered.get(m, 0) >= read.heartbeat for m in backups
+            ):
                 self.reads.remove(read)
                 self.answers.append(Answer(read.call, read.status))
 
     def read(self, call: int, status: int = OK) -> None:
-        """Answered with `status` once it is sure that no other is the primary."""
-        if not self.active or len(self.reads) >= FEW:
+        """Answers with `status` once a majority has confirmed that this controller is still the primary."""
+        if not self.active or len(self.reads) >= MAX_WAITING_CALLS:
             self.answers.append(Answer(call, UNABLE))
             return
-        self.beat()
-        self.reads.append(Read(call, self.number, self.now + CALL, status))
+        self.send_heartbeats()
+        self.reads.append(Read(call, self.number, self.now + CALL_TIMEOUT, status))
         self.serve_reads()
 
     def newest(self) -> bytes:
-        """What is in force, or on its way to be: what a change is made from."""
+        """The configuration in force or being written: the base of the next change."""
         return self.queue[-1].conf if self.queue else self.in_force
 
     def put(self, call: int, conf: bytes) -> None:
-        """Answered with OK once the backups have it. A number that is not newer alters nothing: it is OK
-        again with the content that it stands for, CONFLICT with another, else SUPERSEDED.
+        """Answers OK once the backups have it. A number that is not newer changes nothing: the answer is OK
+        if the content is the one of that number, CONFLICT if it is another, SUPERSEDED if it is not recorded.
         """
-        if not self.active or len(self.queue) >= FEW or self.short:
+        if not self.active or len(self.queue) >= MAX_WAITING_CALLS or self.undersized:
             self.answers.append(Answer(call, UNABLE))
             return
         key, newest = self.read_key(conf), max([self.key, *[p.key for p in self.queue]])
         if key > newest:
-            self.queue.append(Pending(call, key, conf, self.now + CALL))
+            self.queue.append(Pending(call, key, conf, self.now + CALL_TIMEOUT))
             if len(self.queue) == 1:
                 self.write_next()
             return
         found = numbers.match(Conf.FromString(self.newest()), Conf.FromString(conf))
-        status = STATUS[found]
+        status = STATUS_OF_MATCH[found]
         if not self.queue:
             self.read(call, status)
             return
-        # what the number stands for is known once the change on its way is in force
+        # the content of the number is certain once the change in progress is in force
         self.queue[-1].calls.append((call, status))
-        self.queue[-1].until = min(self.queue[-1].until, self.now + CALL)
+        self.queue[-1].until = min(self.queue[-1].until, self.now + CALL_TIMEOUT)
 
     def write_next(self) -> None:
         first = self.queue[0]
@@ -678,48 +722,48 @@
         self.say_write()
 
     def say_write(self) -> None:
-        """To those that have not said that they have it."""
-        first, self.wrote_at = self.queue[0], self.now
-        word = Write(epoch=self.epoch, number=first.number, conf=first.conf)
+        """Sends the first change to the members that have not acknowledged it."""
+        first, self.write_sent_at = self.queue[0], self.now
+        message = Write(epoch=self.epoch, number=first.number, conf=first.conf)
         for member in self.view.members:
             if member not in first.needs:
                 continue
             if member == self.me:
-                self.write(self.me, word)
+                self.write(self.me, message)
             else:
-                self.say(member, "write", word)
+                self.say(member, "write", message)
 
-    def write(self, sender: str, word: Write) -> None:
-        if word.epoch != self.promised or word.epoch != self.view.epoch or not self.member:
+    def write(self, sender: str, message: Write) -> None:
+        if message.epoch != self.promised or message.epoch != self.view.epoch or not self.member:
             self.say(
                 sender,
                 "written",
-                Written(epoch=word.epoch, number=word.number, ok=False, promised=self.promised),
+                Written(epoch=message.epoch, number=message.number, ok=False, promised=self.promised),
             )
             return
-        if self.read_key(word.conf) >= self.read_key(self.conf):
-            self.conf = word.conf  # else a word that was said again, and came by a slower way
+        if self.read_key(message.conf) >= self.read_key(self.conf):
+            self.conf = message.conf  # otherwise it is a repeated message that was overtaken
         if sender != self.me:
-            self.hears()
+            self.note_activity()
         self.save(
             (
                 sender,
                 "written",
-                Written(epoch=word.epoch, number=word.number, ok=True, promised=self.promised),
+                Written(epoch=message.epoch, number=message.number, ok=True, promised=self.promised),
             )
         )
 
-    def written(self, sender: str, word: Written) -> None:
-        if not word.ok:
-            if word.promised > self.promised:
-                self.promise(word.promised)
+    def written(self, sender: str, message: Written) -> None:
+        if not message.ok:
+            if message.promised > self.promised:
+                self.promise_epoch(message.promised)
                 self.save()
             return
-        if self.state != "primary" or word.epoch != self.epoch or not self.queue:
+        if self.state != "primary" or message.epoch != self.epoch or not self.queue:
             return
         self.heard_at[sender] = self.now
         first = self.queue[0]
-        if word.number != first.number:
+        if message.number != first.number:
             return
         first.needs.discard(sender)
         if not first.needs:
@@ -730,30 +774,33 @@
             self.offered = (self.view, first.conf)
             self.answers += [Answer(call, status) for call, status in first.calls]
             self.events.append((205, {"gen": first.key[0], "seq": first.key[1], "epoch": self.epoch}))
-            self.beat()
+            self.send_heartbeats()
             if self.queue:
                 self.write_next()
 
-    # ---- after its disk was lost
+    # ---- recovery from a lost disk
 
-    def learn(self, sender: str, word: Vote) -> None:
-        """It votes again once it knows what a majority of the others have promised."""
-        if not self.blank or word.blank:
+    def learn(self, sender: str, message: Vote) -> None:
+        """Becomes a voter again once it has the promised epochs of a majority of the others."""
+        if not self.blank or message.blank:
             return
-        self.learned[sender] = word
-        view = max((vote.view for vote in self.learned.values()), key=lambda v: v.epoch)
+        self.learned_votes[sender] = message
+        view = max((vote.view for vote in self.learned_votes.values()), key=lambda v: v.epoch)
         if not view.voters:
             return
-        # of each set of voters as many as decide, itself not among them
+        # a majority of each set of voters, not counting itself
         if all(
-            sum(s in voters and s != self.me for s in self.learned)
+            sum(s in voters and s != self.me for s in self.learned_votes)
             >= min(len(voters) // 2 + 1, len(voters) - (self.me in voters))
             for voters in (view.voters, view.before)
             if voters
         ):
             self.view = View.FromString(view.SerializeToString())
-            self.promised, self.voted = max([view.epoch, *[v.promised for v in self.learned.values()]]), ""
+            self.promised, self.voted = (
+                max([view.epoch, *[v.promised for v in self.learned_votes.values()]]),
+                "",
+            )
             self.member, self.conf, self.blank = False, b"", False
-            self.hears()
+            self.note_activity()
             self.events.append((206, {"epoch": self.promised}))
             self.save()
