--- a/opalwick/post/office/agent.py
+++ b/opalwick/post/office/agent.py
@@ -1,4 +1,4 @@
-"""An office as a process: workers' and operators' connections, its disk in a thread, its links, its time."""
+"""A controller as a process: HTTP connections, the disk in a thread, links and timers."""
 
 from __future__ import annotations
 
@@ -21,21 +21,22 @@
 from opalwick.protocol.http import Malformed, Message
 from opalwick.transport.connection import listening
 from opalwick.transport.limits import Limits, within
-from opalwick.transport.pulse import Pulse as Standing
+from opalwick.transport.pulse import Pulse as StallDetector
 
-BODY = 4 << 20  # octets of a call: a configuration of ten thousand routes
-REMEMBER = 0.5  # s between looks whether the directory has changed: what is lost of it is told again anyway
-ANSWERED = 1.0  # s that calls which were read may take yet: callers wait no longer
-LOOK = 0.02  # s between looks whether what rests on this office is elsewhere
+MAX_BODY = 4 << 20  # bytes of a call: a configuration of ten thousand routes
+REMEMBER = 0.5  # s between checks whether to store the directory; what a crash loses is reported again anyway
+DRAIN_TIMEOUT = 1.0  # s at shutdown for calls that were already read: callers wait no longer
+LOOK = 0.02  # s between checks whether the handover at shutdown is complete
 
 
 def limits(settings: Settings) -> Limits:
+    """The limits of a controller's HTTP listener."""
     found = within(settings.nofile - 200, settings.mem_mb, 4096, 15.0, 0.5, 60.0, 2.0)
-    return replace(found, body=BODY)
+    return replace(found, body=MAX_BODY)
 
 
 class Calling(Conversation):
-    """A connection of a worker or an operator."""
+    """An HTTP connection of a worker or an operator."""
 
     house: Any
 
@@ -50,21 +51,23 @@
 
 
 class OfficeShell(Shell):
+    """Runs the controller's role on sockets and a disk."""
+
     role: Office
 
     def __init__(self, settings: Settings, process: Process) -> None:
         self.disk, self.settings = Disk(settings.datadir), settings
         now = time.monotonic()
         stored = self.disk.load()
-        if self.disk.lost:  # whatever its settings say, this is no first start
+        if self.disk.lost:  # a lost disk means that this is not the first start, whatever the settings say
             settings = replace(settings, bootstrap=False)
             events.say(208, blank=True)
         super().__init__(Office(settings, int(time.time() * 1000), now, stored), process)
         self.role.recall(self.disk.remembered())
-        self.threads = ThreadPool(1)  # a disk that stalls must not stop the beats
+        self.threads = ThreadPool(1)  # a stalled disk must not delay heartbeats
         self.saving = Event()
         self.limits = limits(settings)
-        self.pulse = Standing(now)  # whether this process stood still
+        self.pulse = StallDetector(now)  # detects stalls of this process
         self.door: Any = None
 
     def called(self, call: Call) -> None:
@@ -81,7 +84,7 @@
             self.saving.set()
 
     def save(self) -> None:
-        """Runs in a greenlet of its own: one record at a time, the newest of those that wait."""
+        """Runs in its own greenlet: writes one record at a time, the newest of those pending."""
         while True:
             if not self.role.saves:
                 self.saving.clear()
@@ -93,19 +96,20 @@
             self.settle()
 
     def remember(self) -> None:
-        """Runs in a greenlet of its own."""
+        """Runs in its own greenlet: stores the directory when it has changed."""
         while True:
             gevent.sleep(REMEMBER)
-            if (told := self.role.memory()) is not None:
-                self.threads.apply(self.disk.remember, (told,))
+            if (directory := self.role.memory()) is not None:
+                self.threads.apply(self.disk.remember, (directory,))
 
     def beat(self) -> None:
-        """Runs in a greenlet of its own."""
+        """Runs in its own greenlet: feeds the stall detector."""
         while True:
             self.pulse.beat(time.monotonic())
             gevent.sleep(self.pulse.EVERY)
 
     def serve(self) -> None:
+        """Runs until the process is told to stop and its shutdown is complete."""
         listener = listening(self.settings.binds["ctl"], 256)
         self.door = Door(
             listener,
@@ -128,8 +132,9 @@
         while not self.role.gone:
             gevent.sleep(LOOK)
             self.role.clock(time.monotonic())
-        accepting.kill()  # what was not accepted was not read: the caller goes on
-        until = time.monotonic() + ANSWERED
+        # connections that were not accepted were not read: the caller tries another controller
+        accepting.kill()
+        until = time.monotonic() + DRAIN_TIMEOUT
         while self.door.conversations and time.monotonic() < until:
             gevent.sleep(LOOK)
         self.ending = True
--- a/opalwick/post/office/role.py
+++ b/opalwick/post/office/role.py
@@ -1,6 +1,7 @@
-"""An office as a role: calls of workers and operators, the views, the directory, the duties. No I/O.
+"""The controller's role: calls of workers and operators, the views, the directory, leases. No I/O.
 
-The shell takes `batch()` to the disk and reports it with `synced()`.
+The shell writes `batch()` to the disk and reports it with `synced()`. On the wire and in settings the roles
+are spelled "office" (controller), "counter" (gateway) and "depot" (store).
 """
 
 from __future__ import annotations
@@ -46,15 +47,17 @@
 from opalwick.protocol.conversation import Call
 from opalwick.protocol.http import Malformed, Message
 
-WAIT = 0.85  # s for the primary's answer: callers wait a second
-CALLS = 256  # that wait for the primary at once; over it 503
-CONTACT = 1.0  # s since an office was heard that it counts as in touch: four pulses
-HANDOVER = 0.25  # share of the time to end in which what rests on this office goes elsewhere
-LEAVE = 0.3  # s from the order to end: what was asked is answered
+PRIMARY_TIMEOUT = 0.85  # s for the primary's answer: callers time out after 1 s
+MAX_WAITING_CALLS = 256  # calls that wait for the primary; more get 503
+# s since the last message of a controller until it counts as out of touch: four keepalives
+CONTACT_TIMEOUT = 1.0
+# share of the grace period of a shutdown in which leadership and membership are handed over
+HANDOVER_SHARE = 0.25
+MIN_SHUTDOWN = 0.3  # s from the order to shut down until the end at the earliest: pending calls are answered
 
 
 def packed(found: Configuration, said: bytes) -> bytes:
-    """As offices keep it and counters read it."""
+    """A configuration as controllers store it and gateways read it."""
     routes = [
         Route(
             name=r.name,
@@ -97,8 +100,8 @@
     ).SerializeToString()
 
 
-def racked(body: bytes) -> bytes:
-    """The name of the rack that is said to be back; Malformed names the field."""
+def rack_name(body: bytes) -> bytes:
+    """The name of the rack that is reported as back; raises Malformed."""
     try:
         given = json.loads(body)
     except (ValueError, RecursionError):
@@ -108,15 +111,17 @@
     return str(given["rack"]).encode()
 
 
-def no_machine(name: str) -> bytes:
-    return json.dumps({"err": f"no machine {name!r} keeps messages"}).encode()
+def unknown_store(name: str) -> bytes:
+    return json.dumps({"err": f"no store {name!r} is registered"}).encode()
 
 
 class Office(Station):
+    """State machine of a controller."""
+
     role = "office"
 
     def __init__(self, settings: Settings, life: int, now: float, stored: Stored | None) -> None:
-        """`stored`: what the disk has."""
+        """`stored`: the record on the disk; None at the first start or after its loss."""
         self.views = Views(
             settings.ip,
             settings.survive.boxes + 1,
@@ -133,11 +138,11 @@
         self.waiting: dict[int, tuple[float, Callable[[int, bytes], None]]] = {}
         self.calls = first_call(life)
         self.notices = Notices(self.views, life)
-        self.left_at = 0.0  # when it was told to end
+        self.left_at = 0.0  # s, when it was told to shut down
         self.last_conf = b""
-        self.empty: dict[str, bool] = {}  # depots that say that nothing is left there
+        self.empty: dict[str, bool] = {}  # by store: whether it reported that it has no messages left
         self.votes = self.ip in self.views.voters
-        self.changed = False  # the directory, since it was remembered
+        self.directory_changed = False  # the directory changed since it was last stored
         self.told_held: dict[Link, dict[str, str]] = {}
         self.window = Window(self)
         for ip in self.views.voters:
@@ -169,82 +174,85 @@
             self.views.linked.discard(link.peer.ip)
             self.views.leavers.discard(link.peer.ip)
 
-    def heard(self, link: Link, kind: str, word: Any) -> None:
+    def heard(self, link: Link, kind: str, message: Any) -> None:
         v = self.views
         if link.peer.role == "office":
             sender = link.peer.ip
             match kind:
                 case "pulse":
-                    (v.unsettled.discard if word.settled else v.unsettled.add)(sender)
-                    (v.leavers.add if word.leaving else v.leavers.discard)(sender)
+                    (v.unsettled.discard if message.settled else v.unsettled.add)(sender)
+                    (v.leavers.add if message.leaving else v.leavers.discard)(sender)
                 case "spread":
-                    self.take_news(link, word.news)
-                    link.say("known", Known(call=word.call, view=v.view))
+                    self.take_news(link, message.news)
+                    link.say("known", Known(call=message.call, view=v.view))
                 case "known":
-                    self.notices.known(sender, word)
+                    self.notices.known(sender, message)
                 case "resign":
-                    v.resigned(sender, word)
+                    v.resigned(sender, message)
                 case "beat":
-                    v.beats(sender, word)
+                    v.beats(sender, message)
                 case "beaten":
-                    v.beaten(sender, word)
+                    v.beaten(sender, message)
                 case "installed":
-                    v.installs(sender, word)
+                    v.installs(sender, message)
                 case "canvass" | "vote" | "install" | "write" | "written":
-                    getattr(v, kind)(sender, word)
+                    getattr(v, kind)(sender, message)
                 case "forward":
-                    self.forwarded(link, word)
+                    self.handle_forward(link, message)
                 case "forwarded":
-                    self.reply(word.call, word.status, word.body)
+                    self.reply(message.call, message.status, message.body)
                 case "news":
-                    self.take_news(link, word)
+                    self.take_news(link, message)
         elif kind == "pulse":
             if link.peer.role == "depot":
-                self.empty[link.peer.node] = word.empty
-            self.window.pulse(link.peer.node, link.peer.role, word)
+                self.empty[link.peer.node] = message.empty
+            self.window.pulse(link.peer.node, link.peer.role, message)
         elif kind == "lease":
             who = owner(link.peer.node, link.peer.life)
-            granted = self.duties.lease(self.now, who, list(word.duties), word.span) if self.votes else []
-            if word.call:
-                held = self.duties.holders(self.now)
-                same = self.told_held.get(link) == held
-                self.told_held[link] = held
+            granted = (
+                self.duties.lease(self.now, who, list(message.duties), message.span) if self.votes else []
+            )
+            if message.call:
+                leases = self.duties.holders(self.now)
+                same = self.told_held.get(link) == leases
+                self.told_held[link] = leases
                 link.say(
                     "leased",
                     Leased(
-                        call=word.call,
+                        call=message.call,
                         granted=granted,
-                        held={} if same else held,
+                        held={} if same else leases,
                         same=same,
                         voters=len(self.views.voters) if self.votes else 0,
                     ),
                 )
 
-    def take_news(self, link: Link, news: News) -> None:
-        """Of another office; what is new of it goes on to all but offices before anything else is said."""
-        fresh, changed = self.registry.take(news)
+    def take_news(self, link: Link, update: News) -> None:
+        """Applies another controller's update and forwards what is new to gateways and stores first."""
+        fresh, changed = self.registry.take(update)
         if changed:
             self.spread(fresh, True, link.peer.node, offices=False)
         for node in fresh.nodes:
             if node.role == "office":
                 self.want(node.ip)
 
-    def spread(self, news: News, changed: bool, but: str = "", offices: bool = True) -> None:
-        """To the other offices; to counters and depots only what changes something for them."""
-        if empty(news):
+    def spread(self, update: News, changed: bool, but: str = "", offices: bool = True) -> None:
+        """Sends an update to the other controllers, and to gateways and stores if it concerns them."""
+        if empty(update):
             return
-        self.changed = self.changed or changed
+        self.directory_changed = self.directory_changed or changed
         for link in [
             *(self.of("office") if offices else []),
             *(self.of("counter") + self.of("depot") if changed else []),
         ]:
             if link.peer.node != but:
-                link.say("news", news)
+                link.say("news", update)
 
     def office(self, ip: str) -> Link | None:
+        """The link to the controller with that IP address."""
         return next((link for link in self.of("office") if link.peer.ip == ip), None)
 
-    # ---- what the views decide
+    # ---- effects of the views
 
     def settle(self) -> None:
         v = self.views
@@ -253,8 +261,8 @@
             if not (saves or sends or answers or committed):
                 break
             self.saves += saves
-            for to, kind, word in sends:
-                self.pass_on(to, kind, word)
+            for to, kind, message in sends:
+                self.deliver(to, kind, message)
             for conf in committed:
                 self.publish(conf)
             for call, status in answers:
@@ -268,7 +276,7 @@
             if votes:
                 self.duties.joins(self.now)
 
-    def pass_on(self, to: str, kind: str, word: Any) -> None:
+    def deliver(self, to: str, kind: str, message: Any) -> None:
         if to == self.ip:
             v = self.views
             own: dict[str, Callable[[str, Any], None]] = {
@@ -278,37 +286,38 @@
                 "install": v.install,
                 "write": v.write,
             }
-            own[kind](to, word)
+            own[kind](to, message)
         elif (link := self.office(to)) is not None:
-            link.say(kind, word)
+            link.say(kind, message)
 
     def batch(self) -> list[Save]:
-        """What waits for the disk: the last record of it holds all before it."""
+        """The pending writes; the last record includes all earlier ones."""
         waits, self.saves = self.saves, []
         return waits
 
     def synced(self, saves: list[Save]) -> None:
-        """They are on the disk."""
+        """Sends the messages that had to wait for these writes."""
         for save in saves:
-            for to, kind, word in save.then:
-                self.pass_on(to, kind, word)
+            for to, kind, message in save.then:
+                self.deliver(to, kind, message)
 
     def publish(self, conf: bytes) -> None:
-        """It is in force: all hear of it."""
+        """Sends a configuration that is in force to all nodes."""
         self.last_conf = conf
-        told = Conf.FromString(conf)
-        self.window.published(told)
-        told.said = told.digest = b""
-        del told.past[:]
-        if told.HasField("home"):
-            told.home.ClearField("said")
-            told.home.ClearField("keepers")
-        if told.HasField("window"):
-            told.window.ClearField("state")
-        news = News(conf=told)
-        self.directory.merge(news)
-        self.spread(news, True)
-        for link in self.of("counter"):  # those that wait for it to be confirmed need not wait for the next
+        sent = Conf.FromString(conf)
+        self.window.published(sent)
+        sent.said = sent.digest = b""
+        del sent.past[:]
+        if sent.HasField("home"):
+            sent.home.ClearField("said")
+            sent.home.ClearField("keepers")
+        if sent.HasField("window"):
+            sent.window.ClearField("state")
+        update = News(conf=sent)
+        self.directory.merge(update)
+        self.spread(update, True)
+        # a gateway that waits for its confirmation need not wait for the next keepalive
+        for link in self.of("counter"):
             link.say("pulse", self.beat(link))
 
     # ---- calls
@@ -318,14 +327,15 @@
             wait[1](status, body)
 
     def wait(self, answer: Callable[[int, bytes], None]) -> int:
+        """Registers a waiting call and returns its number; without a reply in time `answer` gets 504."""
         self.calls += 1
-        self.waiting[self.calls] = self.now + WAIT, answer
+        self.waiting[self.calls] = self.now + PRIMARY_TIMEOUT, answer
         return self.calls
 
     def at_primary(self, what: str, body: bytes, answer: Callable[[int, bytes], None]) -> None:
-        """Carries out an operator's call, here or at the primary; the answer comes within WAIT."""
+        """Executes an operator's call here or at the primary; the answer comes within PRIMARY_TIMEOUT."""
         v = self.views
-        if len(self.waiting) >= CALLS:
+        if len(self.waiting) >= MAX_WAITING_CALLS:
             answer(503, b"")
             return
         if v.state == "primary":
@@ -336,22 +346,23 @@
             answer(503, b"")
 
     def carry_out(self, what: str, body: bytes, answer: Callable[[int, bytes], None]) -> None:
+        """At the primary: executes a call."""
         v = self.views
         if what == "put":
-            # what stands beside the operator's configuration goes on into the next
-            told, newest = Conf.FromString(body), Conf.FromString(v.newest())
-            told.seq = newest.seq
-            if told.gen > newest.gen:
-                numbers.follow(told, newest)
-            told.retiring.extend(newest.retiring)
-            told.emptied.extend(newest.emptied)
+            # state beside the operator's text is carried over into the next configuration
+            following, newest = Conf.FromString(body), Conf.FromString(v.newest())
+            following.seq = newest.seq
+            if following.gen > newest.gen:
+                numbers.follow(following, newest)
+            following.retiring.extend(newest.retiring)
+            following.emptied.extend(newest.emptied)
             if newest.HasField("window"):
-                told.window.CopyFrom(newest.window)
+                following.window.CopyFrom(newest.window)
             if newest.HasField("home"):
-                told.home.CopyFrom(newest.home)
-            v.put(self.wait(answer), told.SerializeToString())
+                following.home.CopyFrom(newest.home)
+            v.put(self.wait(answer), following.SerializeToString())
         elif what == "retire":
-            # what is refused here is refused for good: an office that was replaced must not do so
+            # a refusal is final, so a controller that is no longer the primary must not give one
             v.read(
                 self.wait(
                     lambda status, _: (
@@ -360,14 +371,14 @@
                 )
             )
         elif what == "home":
-            self.put_home(Home.FromString(body), answer)
+            self.change_policy(Home.FromString(body), answer)
         elif what.startswith("window/"):
             self.window.carry_out(what[7:], body, answer)
         elif what == "retired":
             v.read(
                 self.wait(
                     lambda status, _: (
-                        self.retired(body.decode(), answer) if status == OK else answer(status, b"")
+                        self.report_retirement(body.decode(), answer) if status == OK else answer(status, b"")
                     )
                 )
             )
@@ -377,20 +388,22 @@
                 if status != 200:
                     answer(status, b"")
                 elif self.last_conf:
-                    there = Conf.FromString(self.last_conf)
-                    said = there.said if what == "get" else there.home.said
+                    current = Conf.FromString(self.last_conf)
+                    said = current.said if what == "get" else current.home.said
                     answer(200 if said else 404, said)
                 else:
                     answer(404, b"")
 
             v.read(self.wait(read))
 
-    def put_home(self, home: Home, answer: Callable[[int, bytes], None]) -> None:
-        """At the primary: another policy, if it is newer, its keeper's and each home can keep all copies."""
+    def change_policy(self, home: Home, answer: Callable[[int, bytes], None]) -> None:
+        """At the primary: replaces the data-residency policy. The new one must be newer and sent by an
+        authorized keeper, and each country must have enough stores for all replicas.
+        """
         v, key, home.by = self.views, home.by, ""
         newest = Conf.FromString(v.newest())
         if not newest.gen:
-            answer(503, b"")  # before any configuration nobody is a partner
+            answer(503, b"")  # without a configuration there are no partners
             return
         if home.gen <= newest.home.gen:
             v.put(self.wait(answer), v.newest())
@@ -399,7 +412,7 @@
             answer(403, b"only a keeper of the policy in force may change it")
             return
         if {one.name: one.region for one in home.zones} != self.settings.zones:
-            answer(422, b"zones: the office that took it and the primary have them in other regions")
+            answer(422, b"zones: the controller that took it and the primary have them in other regions")
             return
         depots = [node for node in self.nodes("depot") if node.node not in newest.retiring]
         if why := unkept(home, self.settings.zones, depots, self.settings.survive.boxes + 1):
@@ -411,93 +424,100 @@
         v.put(self.wait(answer), newest.SerializeToString())
 
     def retire(self, name: str, answer: Callable[[int, bytes], None]) -> None:
-        """Orders that a depot be emptied: counters pass it over, its copies go elsewhere (`moving.py`)."""
+        """Orders that a store be emptied: gateways avoid it, and its replicas move elsewhere."""
         v, copies = self.views, self.settings.survive.boxes + 1
         newest = Conf.FromString(v.newest())
-        if not self.keeps_messages(name):
-            answer(404, no_machine(name))
+        if not self.is_store(name):
+            answer(404, unknown_store(name))
             return
         if not newest.gen:
-            answer(503, b"")  # before any configuration there is nothing to keep
+            answer(503, b"")  # without a configuration there are no messages
             return
         if name in newest.retiring:
             v.put(self.wait(answer), v.newest())
             return
         left = {node.node for node in self.nodes("depot")} - {name, *newest.retiring}
-        # enough for all copies with as many lost as may be: with fewer nothing more could be taken then
+        # enough stores for all replicas after the tolerated losses; with fewer, messages would be refused
+        # then
         enough = copies + self.settings.survive.boxes
-        if len(left) < enough or self.at_home(name, newest, left) < enough:
+        if len(left) < enough or self.stores_in_country(name, newest, left) < enough:
             answer(409, b"")
             return
         there = [link.peer.node for link in self.of("depot") if self.now - link.heard_at < 1.0]
         here = left.intersection(there)
-        if len(here) < enough or self.at_home(name, newest, here) < enough:
-            answer(503, b"")  # one is away: the order may come again
+        if len(here) < enough or self.stores_in_country(name, newest, here) < enough:
+            answer(503, b"")  # a store is disconnected; the order may be repeated
             return
         newest.retiring.append(name)
         newest.seq += 1
         self.event(212, depot=name, left=len(left))
         v.put(self.wait(answer), newest.SerializeToString())
 
-    def keeps_messages(self, name: str) -> bool:
+    def is_store(self, name: str) -> bool:
         node = self.directory.nodes.get(name)
         if node is not None and node.role == "depot":
             return True
         return name in Conf.FromString(self.views.newest()).retiring
 
-    def retired(self, name: str, answer: Callable[[int, bytes], None]) -> None:
-        """Complete is what all members have on their disks, and nothing less: it is never taken back."""
-        if not self.keeps_messages(name):
-            answer(404, no_machine(name))
+    def report_retirement(self, name: str, answer: Callable[[int, bytes], None]) -> None:
+        """Reports "complete" only from the configuration in force, so that the answer never changes back."""
+        if not self.is_store(name):
+            answer(404, unknown_store(name))
             return
         done = name in Conf.FromString(self.views.in_force).emptied
         answer(OK, b'{"state":"complete"}' if done else b'{"state":"active"}')
 
-    def note_emptied(self) -> None:
-        """At the primary: a depot that takes nothing any more says that nothing is left there."""
+    def record_emptied(self) -> None:
+        """At the primary: records retiring stores that reported that they have no messages left."""
         v = self.views
-        there = Conf.FromString(v.in_force)
-        fresh = [name for name in there.retiring if self.empty.get(name, False) and name not in there.emptied]
+        current = Conf.FromString(v.in_force)
+        fresh = [
+            name for name in current.retiring if self.empty.get(name, False) and name not in current.emptied
+        ]
         if fresh and not v.queue:
-            there.emptied.extend(fresh)
-            there.seq += 1
+            current.emptied.extend(fresh)
+            current.seq += 1
             self.event(216, depots=",".join(fresh))
-            v.put(self.wait(lambda status, body: None), there.SerializeToString())
+            v.put(self.wait(lambda status, body: None), current.SerializeToString())
 
-    def at_home(self, name: str, conf: Conf, left: set[str]) -> float:
-        """Depots that would be left in that one's country, where a partner is at home there."""
+    def stores_in_country(self, name: str, conf: Conf, left: set[str]) -> float:
+        """The number of stores in `left` in the country of store `name`; infinite if no partner needs that
+        country.
+        """
         policy = in_force(conf, self.settings)
         home = policy.country(self.directory.nodes[name].zone) if policy is not None else ""
         if policy is None or all(partner.home != home for partner in conf.home.partners):
             return math.inf
         return sum(policy.country(self.directory.nodes[node].zone) == home for node in left)
 
-    def forget_retired(self) -> None:
-        """At the primary: those that were taken away need not be passed over for ever."""
-        there = Conf.FromString(self.views.in_force)
+    def remove_retired(self) -> None:
+        """At the primary: removes stores that are gone from the list of retiring ones."""
+        current = Conf.FromString(self.views.in_force)
         nodes = self.directory.nodes
         own = self.window.own()
-        kept = [name for name in there.retiring if name not in nodes or not nodes[name].gone or name in own]
-        if len(kept) < len(there.retiring) and not self.views.queue:
-            del there.retiring[:]
-            there.retiring.extend(kept)
-            emptied = [name for name in there.emptied if name in kept]
-            del there.emptied[:]
-            there.emptied.extend(emptied)
-            there.seq += 1
-            self.views.put(self.wait(lambda status, body: None), there.SerializeToString())
-
-    def forwarded(self, link: Link, word: Forward) -> None:
+        remaining = [
+            name for name in current.retiring if name not in nodes or not nodes[name].gone or name in own
+        ]
+        if len(remaining) < len(current.retiring) and not self.views.queue:
+            del current.retiring[:]
+            current.retiring.extend(remaining)
+            emptied = [name for name in current.emptied if name in remaining]
+            del current.emptied[:]
+            current.emptied.extend(emptied)
+            current.seq += 1
+            self.views.put(self.wait(lambda status, body: None), current.SerializeToString())
+
+    def handle_forward(self, link: Link, message: Forward) -> None:
         def answer(status: int, body: bytes) -> None:
-            link.say("forwarded", Forwarded(call=word.call, status=status, body=body))
+            link.say("forwarded", Forwarded(call=message.call, status=status, body=body))
 
         if self.views.state != "primary":
             answer(503, b"")
             return
-        self.carry_out(word.what, word.body, answer)
+        self.carry_out(message.what, message.body, answer)
 
     def called(self, call: Call) -> None:
-        """One call over HTTP; Malformed is its answer."""
+        """Handles an HTTP call; raises Malformed with the status and text of the answer."""
         message = call.message
         path = message.target.split(b"?", 1)[0]
         _, first, *rest = path.split(b"/")
@@ -507,39 +527,39 @@
             raise Malformed(400, "the name in the path is not ASCII") from None
         match first, message.method, bool(name):
             case b"workers", b"PUT", True:
-                self.beaten(call, name, message.body)
+                self.worker_heartbeat(call, name, message.body)
             case b"workers", b"DELETE", True:
                 if not is_worker_id(name):
                     raise Malformed(400, BAD_ID)
-                news, changed = self.registry.left(self.now, name)
-                self.confirm(call, name, news, changed)
+                update, changed = self.registry.left(self.now, name)
+                self.confirm(call, name, update, changed)
             case b"conf", b"PUT", False:
                 match check(message.body):
                     case Success(found):
                         self.at_primary(
                             "put",
                             packed(found, message.body),
-                            lambda s, b: self.told_conf(call, found.gen, s),
+                            lambda s, b: self.answer_conf(call, found.gen, s),
                         )
                     case failure:
                         raise Malformed(400, failure.failure())
             case b"conf", b"GET", False:
-                self.at_primary("get", b"", lambda s, b: self.told(call, s, b))
+                self.at_primary("get", b"", lambda s, b: self.answer_call(call, s, b))
             case b"home", b"PUT", False:
-                self.homed(call, message)
+                self.put_policy(call, message)
             case b"home", b"GET", False:
-                self.at_primary("policy", b"", lambda s, b: self.told_home(call, s, b))
+                self.at_primary("policy", b"", lambda s, b: self.answer_policy(call, s, b))
             case b"retire", b"POST" | b"GET", True:
                 what = "retire" if message.method == b"POST" else "retired"
-                self.at_primary(what, name.encode(), lambda s, b: self.told(call, s, b))
+                self.at_primary(what, name.encode(), lambda s, b: self.answer_call(call, s, b))
             case b"maintenance", b"PUT" | b"GET", False if not rest:
                 what = "window/start" if message.method == b"PUT" else "window/get"
-                self.at_primary(what, message.body, lambda s, b: self.told_window(call, s, b))
+                self.at_primary(what, message.body, lambda s, b: self.answer_window(call, s, b))
             case b"maintenance", b"POST", True if name in ("pause", "resume", "abort", "back"):
                 self.at_primary(
                     "window/" + name,
-                    racked(message.body) if name == "back" else b"",
-                    lambda s, b: self.told_window(call, s, b),
+                    rack_name(message.body) if name == "back" else b"",
+                    lambda s, b: self.answer_window(call, s, b),
                 )
             case ((b"workers" | b"retire"), _, False):
                 raise Malformed(404, "the path names nobody")
@@ -548,33 +568,37 @@
             case _:
                 raise Malformed(404, "no such call")
 
-    def ok(self, call: Call, body: bytes = b"{}") -> None:
+    def answer_ok(self, call: Call, body: bytes = b"{}") -> None:
         call.answer(200, body, "Content-Type: application/json")
 
-    def told(self, call: Call, status: int, body: bytes) -> None:
+    def answer_call(self, call: Call, status: int, body: bytes) -> None:
         if status == 200:
-            self.ok(call, body or b"{}")
+            self.answer_ok(call, body or b"{}")
         elif status == 404:
             body = body or b'{"err":"there is no configuration yet"}'
             call.answer(404, body, "Content-Type: application/json")
         elif status == 409:
-            call.answer(409, b'{"err":"too few machines would be left"}', "Content-Type: application/json")
+            call.answer(409, b'{"err":"too few stores would be left"}', "Content-Type: application/json")
         elif status == UNABLE:
-            self.unable(call, "no primary can answer now")
+            self.answer_unavailable(call, "no primary is available")
         else:
-            call.answer(status, b'{"err":"it may be in force: ask again"}', "Content-Type: application/json")
+            call.answer(
+                status,
+                b'{"err":"outcome unknown, it may be in force: retry"}',
+                "Content-Type: application/json",
+            )
 
-    def told_conf(self, call: Call, number: int, status: int) -> None:
+    def answer_conf(self, call: Call, number: int, status: int) -> None:
         if status == CONFLICT:
             why = f"gen {number} stands for another configuration: take a higher number"
             call.answer(CONFLICT, json.dumps({"err": why}).encode(), "Content-Type: application/json")
-        elif status == SUPERSEDED:  # the highest number prevails: it alters nothing
-            self.ok(call, json.dumps({"gen": number, "superseded": True}).encode())
+        elif status == SUPERSEDED:  # the highest number prevails, so this one has no effect
+            self.answer_ok(call, json.dumps({"gen": number, "superseded": True}).encode())
         else:
-            self.told(call, status, b"")
+            self.answer_call(call, status, b"")
 
-    def unable(self, call: Call, why: str) -> None:
-        """Nothing was promised: the caller goes on to another office."""
+    def answer_unavailable(self, call: Call, why: str) -> None:
+        """Answers 503: the call had no confirmed effect, and the caller tries another controller."""
         call.answer(
             UNABLE, json.dumps({"err": why}).encode(), "Content-Type: application/json", "Retry-After: 1"
         )
@@ -582,108 +606,110 @@
     def window_moved(self, serial: int, phase: str, what: str, at: float) -> None:
         self.event(215, window=serial, phase=phase, what=what, at=at)
 
-    def told_window(self, call: Call, status: int, body: bytes) -> None:
+    def answer_window(self, call: Call, status: int, body: bytes) -> None:
         if status == 200 or not body:
-            self.told(call, status, body)
+            self.answer_call(call, status, body)
         else:
             call.answer(
                 status, body, "Content-Type: application/json", *(["Retry-After: 1"] if status == 503 else [])
             )
 
-    def homed(self, call: Call, message: Message) -> None:
-        """Another policy of where partners' work may be."""
+    def put_policy(self, call: Call, message: Message) -> None:
+        """Handles a new data-residency policy."""
         match check_home(message.body, self.settings.zones):
             case Success(home):
                 scheme, _, key = message.headers.get(b"authorization", b"").partition(b" ")
                 if scheme.lower() == b"bearer":
                     home.by = digest(key.strip().decode("latin-1"))
-                self.at_primary("home", home.SerializeToString(), lambda s, b: self.told_home(call, s, b))
+                self.at_primary("home", home.SerializeToString(), lambda s, b: self.answer_policy(call, s, b))
             case failure:
                 raise Malformed(400, failure.failure())
 
-    def told_home(self, call: Call, status: int, body: bytes) -> None:
+    def answer_policy(self, call: Call, status: int, body: bytes) -> None:
         if status in (403, 404, 422):
             why = body.decode() or "there is no policy"
             call.answer(status, json.dumps({"err": why}).encode(), "Content-Type: application/json")
         else:
-            self.told(call, status, body)
+            self.answer_call(call, status, body)
 
-    def beaten(self, call: Call, name: str, body: bytes) -> None:
+    def worker_heartbeat(self, call: Call, name: str, body: bytes) -> None:
         match read_beat(name, body):
             case Success(beat):
-                news, changed = self.registry.beat(self.now, beat)
+                update, changed = self.registry.beat(self.now, beat)
                 if changed:
                     self.event(211, worker=beat.id, svc=beat.svc, draining=beat.draining)
-                # cut off from the others, which may have told counters that the worker is silent
+                # without a majority the others may have reported the worker as silent to gateways
                 changed = changed or not self.views.reaches
                 if beat.draining:
-                    self.confirm(call, name, news, changed)
+                    self.confirm(call, name, update, changed)
                     return
-                self.spread(news, changed)
-                if self.in_contact:
-                    self.ok(call)
+                self.spread(update, changed)
+                if self.in_touch:
+                    self.answer_ok(call)
                 else:
-                    self.unable(call, "this scheduler is not in touch with a majority")
+                    self.answer_unavailable(call, "this scheduler is not in touch with a majority")
             case failure:
                 raise Malformed(400, failure.failure())
 
     @property
-    def in_contact(self) -> bool:
-        """Whether a majority of the voters, itself included, was heard of late."""
-        heard = {link.peer.ip for link in self.of("office") if self.now - link.heard_at < CONTACT}
+    def in_touch(self) -> bool:
+        """Whether a majority of the voters, including itself, was heard from within CONTACT_TIMEOUT."""
+        heard = {link.peer.ip for link in self.of("office") if self.now - link.heard_at < CONTACT_TIMEOUT}
         return Views.enough(self.views.view, {self.ip} | heard)
 
-    def confirm(self, call: Call, worker: str, news: News, changed: bool) -> None:
-        """That a worker drains or has left is a promise that nothing new comes: a majority must know first,
-        and all that are in touch with it have been told by then.
+    def confirm(self, call: Call, worker: str, update: News, changed: bool) -> None:
+        """Confirms to a worker that it drains or has left, which promises that no new work arrives. A
+        majority must have the update first, and by then all nodes linked to that majority have been sent it.
         """
-        self.spread(news, changed, offices=False)
+        self.spread(update, changed, offices=False)
         known = self.directory.workers.get(worker)
-        told = News(workers=[known] if known is not None else [Worker(id=worker, gone=True)])
+        notice = News(workers=[known] if known is not None else [Worker(id=worker, gone=True)])
 
         def answer(confirmed: bool) -> None:
             if confirmed:
-                self.ok(call)
+                self.answer_ok(call)
             else:
-                self.unable(call, "this scheduler cannot reach a majority")
+                self.answer_unavailable(call, "this scheduler cannot reach a majority")
 
-        self.notices.tell(self.now, told, self.of("office"), answer)
+        self.notices.tell(self.now, notice, self.of("office"), answer)
 
-    # ---- what it remembers of the directory
+    # ---- stored copy of the directory
 
     def memory(self) -> bytes | None:
-        """For the disk, if it has changed."""
-        if not self.changed:
+        """The directory to store; None if it has not changed."""
+        if not self.directory_changed:
             return None
-        self.changed = False
+        self.directory_changed = False
         found = self.directory.whole()
         found.ClearField("conf")
         return found.SerializeToString()
 
-    def recall(self, told: bytes) -> None:
-        """Who was there: workers are tried before their next beat, and depots know whom to wait for."""
-        self.registry.take(News.FromString(told))
+    def recall(self, stored: bytes) -> None:
+        """Loads the stored directory, so that workers get work before their next heartbeat, and stores have
+        the list of nodes to wait for.
+        """
+        self.registry.take(News.FromString(stored))
 
     # ---- time
 
     def tick(self) -> None:
         self.views.tick(self.now)
-        if self.views.reaches:  # else it may be this office that hears nothing
+        if self.views.reaches:  # otherwise this controller may be the one that is cut off
             self.spread(self.registry.tick(self.now), True, offices=False)
             if self.views.active:
                 self.spread(self.registry.missing(self.now, {*self.links, self.node}), True)
-                self.note_emptied()
-                self.forget_retired()
+                self.record_emptied()
+                self.remove_retired()
         self.window.tick()
         self.notices.tick(self.now)
-        # a put may be in force though nobody heard of it: no clear answer
+        # a put may be in force without an answer, so the outcome is unknown
         for call in [call for call, (until, _) in self.waiting.items() if until <= self.now]:
             self.reply(call, 504, b"")
 
-    # ---- its end
+    # ---- shutdown
 
     def leave(self) -> None:
-        """It is to end: what rests on it goes elsewhere first, where another can take it."""
+        """Starts a shutdown: leadership and membership are handed over first, if another can take them."""
         self.left_at = self.now
         self.views.leave()
         for link in self.of("office"):
@@ -691,12 +717,12 @@
 
     @property
     def gone(self) -> bool:
-        """Nothing rests on it any more, or the time that it had for that is over."""
+        """Whether the shutdown may end: the handover is complete, or its time is over."""
         age = self.now - self.left_at
         return (
             bool(self.left_at)
-            and age >= LEAVE
-            and (not self.views.needed or age >= HANDOVER * self.settings.bounds.grace)
+            and age >= MIN_SHUTDOWN
+            and (not self.views.needed or age >= HANDOVER_SHARE * self.settings.bounds.grace)
         )
 
     def figures(self) -> dict[str, Any]:
--- a/opalwick/post/office/window.py
+++ b/opalwick/post/office/window.py
@@ -1,9 +1,9 @@
-"""The maintenance window at an office: the conductor is fed with what the office knows, and what it wants is
-written as a change of the configuration is. No I/O.
+"""The maintenance window at a controller: runs the maintenance coordinator on the controller's state. No I/O.
 
-Only the active primary conducts. A majority made it that, for as long as a majority answers; its epoch is the
-conductor's number, and a disk refuses a write of an older one. So there is one conductor, and one that wakes
-late finds that nothing of it comes into force.
+What the coordinator decides is written like a change of the configuration. Only the active primary runs it,
+for as long as a majority answers. The primary's epoch is the coordinator's fencing token: disks refuse writes
+of an older epoch. So only one coordinator is effective, and nothing from one that resumes late comes into
+force.
 """
 
 from __future__ import annotations
@@ -27,27 +27,27 @@
 from opalwick.post.station import Link
 from opalwick.post.wire_pb2 import Conf, Node, Pulse
 
-LOOK = 0.25  # s between looks: as often as pulses come
-HEARD = 1.0  # s without a word after which a machine is not there: four pulses
-MEAN = 5.0  # s over which the demand is taken: a burst of a second is no reason to call a drain back
-DUE = 2.0  # s of a counter's last figures that still count in the demand
-WARM_IN = 8  # voters' silence and the like: entries of `why` that are told
+CHECK_INTERVAL = 0.25  # s between runs of the coordinator, as often as keepalives arrive
+PEER_TIMEOUT = 1.0  # s without a message after which a machine counts as absent: four keepalives
+DEMAND_WINDOW = 5.0  # s over which demand is averaged: a burst of 1 s must not revert a drain
+DEMAND_TIMEOUT = 2.0  # s for which a gateway's last report counts towards demand
+MAX_REASONS = 8  # most entries of `why` in the report
 
 Answer = Callable[[int, bytes], None]
 
 
-class Told:
-    """What a counter said last."""
+class GatewayReport:
+    """The last report of a gateway."""
 
     __slots__ = ("at", "due", "resting", "seq")
 
-    def __init__(self, at: float, word: Pulse) -> None:
-        self.at, self.seq, self.resting = at, int(word.seq), int(word.resting)
-        self.due = {svc: int(count) for svc, count in word.due.items()}
+    def __init__(self, at: float, message: Pulse) -> None:
+        self.at, self.seq, self.resting = at, int(message.seq), int(message.resting)
+        self.due = {svc: int(count) for svc, count in message.due.items()}
 
 
-class Host(Protocol):
-    """What the conductor's host knows; the office's role is the one implementation."""
+class Controller(Protocol):
+    """What the coordinator needs from its controller; implemented by the controller's role."""
 
     node: str
     zone: str
@@ -56,119 +56,128 @@
     views: Views
     registry: Registry
     directory: Directory
-    empty: dict[str, bool]  # depots that say that nothing is left there
+    empty: dict[str, bool]  # by store: whether it reported that it has no messages left
 
     def link(self, node: str) -> Link | None: ...
 
     def nodes(self, role: str) -> list[Node]: ...
 
     def wait(self, answer: Answer) -> int:
-        """A number under which `answer` is called once a change is in force."""
+        """Returns a call number; `answer` is called with the outcome of that change."""
         ...
 
     def window_moved(self, serial: int, phase: str, what: str, at: float) -> None: ...
 
 
 class Window:
-    def __init__(self, office: Host) -> None:
-        self.o, self.conductor = office, Conductor()
-        self.counters: dict[str, Told] = {}
-        self.settled: dict[str, bool] = {}  # depots
+    """The maintenance window of one controller."""
+
+    def __init__(self, office: Controller) -> None:
+        self.controller, self.conductor = office, Conductor()
+        self.gateway_reports: dict[str, GatewayReport] = {}
+        self.settled: dict[str, bool] = {}  # by store: whether its replicas are up to date
         self.demand: dict[str, float] = {}
-        self.look_at = self.mean_at = -1e9
-        self.body = b""  # of the state that is adopted
+        self.check_at = self.averaged_at = -1e9
+        self.body = b""  # of the adopted state
 
-    # ---- what is heard
+    # ---- received reports
 
-    def pulse(self, node: str, role: str, word: Pulse) -> None:
+    def pulse(self, node: str, role: str, message: Pulse) -> None:
+        """Handles the keepalive of a gateway or store."""
         if role == "depot":
-            self.settled[node] = word.settled
-        elif role == "counter" and word.seq:
-            self.counters[node] = Told(self.o.now, word)
+            self.settled[node] = message.settled
+        elif role == "counter" and message.seq:
+            self.gateway_reports[node] = GatewayReport(self.controller.now, message)
 
     def published(self, conf: Conf) -> None:
-        """It is in force, and this office is the primary."""
+        """Handles a configuration that came into force while this controller is the primary."""
         body = conf.window.state
         if body != self.body or self.conductor.state is None:
             self.body = body
-            self.conductor.adopt(read(body), self.o.now)
-
-    # ---- what is there
-
-    def there(self, node: str) -> bool:
-        link = self.o.link(node)
-        return node == self.o.node or (link is not None and self.o.now - link.heard_at < HEARD)
-
-    def average(self) -> None:
-        """The demand, from what counters say is due."""
-        now, part = self.o.now, min(1.0, max(0.0, self.o.now - self.mean_at) / MEAN)
-        self.mean_at = now
-        sums: dict[str, float] = {}
-        for told in self.counters.values():
-            if now - told.at < DUE:
-                for svc, count in told.due.items():
-                    sums[svc] = sums.get(svc, 0.0) + count
-        for svc in sorted({*sums, *self.demand}):
+            self.conductor.adopt(read(body), self.controller.now)
+
+    # ---- state of the fleet
+
+    def is_present(self, node: str) -> bool:
+        link = self.controller.link(node)
+        return node == self.controller.node or (
+            link is not None and self.controller.now - link.heard_at < PEER_TIMEOUT
+        )
+
+    def average_demand(self) -> None:
+        """Updates the average demand from the due messages that gateways reported."""
+        now, part = (
+            self.controller.now,
+            min(1.0, max(0.0, self.controller.now - self.averaged_at) / DEMAND_WINDOW),
+        )
+        self.averaged_at = now
+        totals: dict[str, float] = {}
+        for report in self.gateway_reports.values():
+            if now - report.at < DEMAND_TIMEOUT:
+                for svc, count in report.due.items():
+                    totals[svc] = totals.get(svc, 0.0) + count
+        for svc in sorted({*totals, *self.demand}):
             known = self.demand.get(svc, 0.0)
-            self.demand[svc] = known + part * (sums.get(svc, 0.0) - known)
+            self.demand[svc] = known + part * (totals.get(svc, 0.0) - known)
 
-    def rested(self, conf: Conf) -> bool:
-        """Every counter that may send has applied the change, and has nothing out at who rests."""
-        for node in self.o.nodes("counter"):
-            told = self.counters.get(node.node)
+    def drained(self, conf: Conf) -> bool:
+        """Whether every gateway has applied the change and has no delivery open at a resting worker."""
+        for node in self.controller.nodes("counter"):
+            report = self.gateway_reports.get(node.node)
             if (
-                told is None
-                or not self.there(node.node)
-                or told.seq < conf.seq
-                or told.resting
-                or (self.o.now - told.at > HEARD)
+                report is None
+                or not self.is_present(node.node)
+                or report.seq < conf.seq
+                or report.resting
+                or (self.controller.now - report.at > PEER_TIMEOUT)
             ):
                 return False
         return True
 
     def fleet(self) -> Fleet:
-        o = self.o
-        v, conf = o.views, Conf.FromString(o.views.in_force)
+        """The workers and machines that are present now."""
+        controller = self.controller
+        v, conf = controller.views, Conf.FromString(controller.views.in_force)
         static = {s.name for s in conf.services if s.static}
-        chill = o.registry.chill_to
+        chill = controller.registry.chill_to
         units = [
-            Unit(w.id, w.svc, w.zone, w.host, w.capacity, chill.get(w.id, 0.0) <= o.now)
-            for w in sorted(o.directory.workers.values(), key=lambda w: w.id)
+            Unit(w.id, w.svc, w.zone, w.host, w.capacity, chill.get(w.id, 0.0) <= controller.now)
+            for w in sorted(controller.directory.workers.values(), key=lambda w: w.id)
             if not (w.gone or w.silent or w.draining or w.svc in static)
         ]
         machines, missing = [], []
-        known = {node.node: node for node in o.directory.nodes.values() if not node.gone}
+        known = {node.node: node for node in controller.directory.nodes.values() if not node.gone}
         retiring = set(conf.retiring)
         for name, node in sorted(known.items()):
-            if not self.there(name):
+            if not self.is_present(name):
                 missing.append(name)
                 continue
             if node.role == "office" and node.ip not in v.voters:
-                continue  # it has no part in the majority
+                continue  # without a vote it does not count for the majority
             settled = (
                 node.role == "counter"
-                or name == o.node
+                or name == controller.node
                 or (node.role == "depot" and self.settled.get(name, False))
-                or (node.role == "office" and o.now - v.heard_at.get(node.ip, -1e9) < HEARD)
+                or (node.role == "office" and controller.now - v.heard_at.get(node.ip, -1e9) < PEER_TIMEOUT)
             )
-            # one that is emptied takes nothing any more, whoever ordered it
+            # a store that is being emptied accepts no messages, whoever ordered it
             if not (node.role == "depot" and name in retiring and name not in self.own()):
                 machines.append(Machine(name, node.role, node.zone, int(node.life), settled))
-        if o.node not in known:
-            machines.append(Machine(o.node, "office", o.zone, o.life))
+        if controller.node not in known:
+            machines.append(Machine(controller.node, "office", controller.zone, controller.life))
         return Fleet(
             tuple(units),
             tuple(machines),
             len(v.voters),
             dict(self.demand),
             tuple(missing),
-            frozenset(name for name, empty in o.empty.items() if empty and self.there(name)),
-            self.rested(conf),
+            frozenset(name for name, empty in controller.empty.items() if empty and self.is_present(name)),
+            self.drained(conf),
             max((route.limit for route in conf.routes), default=0.0),
         )
 
     def own(self) -> list[str]:
-        """Depots that are emptied for the window."""
+        """Stores that are emptied for the window."""
         state = self.conductor.state
         return state.depots if state is not None else []
 
@@ -176,22 +185,27 @@
 
     def tick(self) -> None:
         c = self.conductor
-        if self.o.views.state != "primary":
+        if self.controller.views.state != "primary":
             if c.state is not None:
                 c.forget()
                 self.body = b""
             return
-        if c.state is None or c.state.over or self.o.now < self.look_at or not self.o.views.active:
+        if (
+            c.state is None
+            or c.state.over
+            or self.controller.now < self.check_at
+            or not self.controller.views.active
+        ):
             return
-        self.look_at = self.o.now + LOOK
-        self.average()
-        wanted = c.look(self.o.now, self.fleet())
+        self.check_at = self.controller.now + CHECK_INTERVAL
+        self.average_demand()
+        wanted = c.look(self.controller.now, self.fleet())
         if wanted is not None:
             self.want(wanted, lambda status, _: None if status == 200 else c.refused())
 
     def want(self, state: State, answer: Answer) -> None:
-        """It comes into force once the backups have it."""
-        v = self.o.views
+        """Writes a new state; it comes into force once the backups have it."""
+        v = self.controller.views
         newest = Conf.FromString(v.newest())
         before = read(newest.window.state)
         own = before.depots if before is not None else []
@@ -211,57 +225,59 @@
         newest.seq += 1
         if state.log:
             last = state.log[-1]
-            self.o.window_moved(state.serial, state.phase, last["what"], last["at_s"])
-        v.put(self.o.wait(answer), newest.SerializeToString())
+            self.controller.window_moved(state.serial, state.phase, last["what"], last["at_s"])
+        v.put(self.controller.wait(answer), newest.SerializeToString())
 
     # ---- operators
 
     def carry_out(self, what: str, body: bytes, answer: Answer) -> None:
-        """At the primary. Answers with JSON, whatever the status."""
+        """At the primary: executes an operator's call. The answer is JSON with every status."""
         c = self.conductor
-        if not self.o.views.active:
-            answer(503, fault("no primary can answer now"))
+        if not self.controller.views.active:
+            answer(503, error_body("no primary is available"))
             return
         if what == "get":
             if c.state is None:
-                answer(404, fault("no window was ever started"))
+                answer(404, error_body("no window was ever started"))
             else:
-                answer(200, json.dumps(self.told()).encode())
+                answer(200, json.dumps(self.report()).encode())
             return
         if what == "start":
-            newest = Conf.FromString(self.o.views.newest())
+            newest = Conf.FromString(self.controller.views.newest())
             found = check(body)
             if not newest.gen:
-                answer(409, fault("there is no configuration yet"))
+                answer(409, error_body("there is no configuration yet"))
                 return
             if not isinstance(found, Success):
-                answer(400, fault(found.failure()))
+                answer(400, error_body(found.failure()))
                 return
-            self.average()
+            self.average_demand()
             wanted = c.start(found.unwrap(), self.fleet())
         else:
-            wanted = c.ordered(what, self.o.now, body.decode())
+            wanted = c.ordered(what, self.controller.now, body.decode())
         if isinstance(wanted, Refused):
-            answer(wanted.status, fault(wanted.why))
+            answer(wanted.status, error_body(wanted.why))
             return
         if wanted is c.state:
             answer(200, b"{}")
             return
-        c.wanted_at = self.o.now
+        c.wanted_at = self.controller.now
 
-        def told(status: int, _: bytes) -> None:
+        def on_result(status: int, _: bytes) -> None:
             if status != 200:
                 c.refused()
-            answer(status, b"{}" if status == 200 else fault("it may be in force: ask again"))
+            answer(
+                status, b"{}" if status == 200 else error_body("outcome unknown, it may be in force: retry")
+            )
 
-        self.want(wanted, told)
+        self.want(wanted, on_result)
 
-    def told(self) -> dict[str, Any]:
-        """The state, and what is there against what is needed."""
-        c, o = self.conductor, self.o
+    def report(self) -> dict[str, Any]:
+        """The state, with present against required capacity."""
+        c, controller = self.conductor, self.controller
         s = c.state
         assert s is not None
-        now = s if s.over else c.now_as(o.now)
+        now = s if s.over else c.now_as(controller.now)
         fleet = self.fleet()
         there = contents(s.declared, fleet)
         down = [there[name] for name in s.of(*RESTING)]
@@ -272,13 +288,13 @@
         return {
             "window": s.declared.name,
             "serial": s.serial,
-            "epoch": o.views.view.epoch,
-            "conductor": o.node,
+            "epoch": controller.views.view.epoch,
+            "conductor": controller.node,
             "phase": s.phase,
             "step": s.at,
             "steps": [list(one) for one in s.steps],
             "ran_s": now.ran_s,
-            "why": c.why[:WARM_IN],
+            "why": c.why[:MAX_REASONS],
             "late": c.late,
             "racks": {
                 name: {key: value for key, value in asdict(course).items() if key != "ids"}
@@ -297,5 +313,5 @@
         }
 
 
-def fault(why: str) -> bytes:
+def error_body(why: str) -> bytes:
     return json.dumps({"err": why}).encode()
