--- a/opalwick/post/maintenance/__init__.py
+++ b/opalwick/post/maintenance/__init__.py
@@ -1,5 +1,7 @@
-"""The maintenance window: racks go down in turn, and everybody keeps enough (`docs/design/maintenance.md`).
+"""The maintenance window: racks go down in turn while capacity stays sufficient
+(`docs/design/maintenance.md`).
 
-`racks` (what is declared) -> `fleet` (what is there) -> `needs` -> `planner` -> `conductor`; `shares` beside
-them. All are without socket, disk and clock. Nothing here runs while no window is declared.
+`racks` (the declaration) -> `fleet` (what is present) -> `needs` -> `planner` -> `conductor` (the
+coordinator); `shares` is used by gateways. None of these uses sockets, disks or clocks. Nothing runs without
+a window.
 """
--- a/opalwick/post/maintenance/conductor.py
+++ b/opalwick/post/maintenance/conductor.py
@@ -29,7 +29,7 @@
     RESTING,
     RUNNING,
     WAITING,
-    Course,
+    RackState,
     State,
 )
 
@@ -136,13 +136,13 @@
                 harm or course.recalled or all(unit.warm for unit in there[name].units)
             ):
                 # one at a time: each is let in and looked at before the next
-                return self.moved(now, [name], BACK).told(
+                return self.moved(now, [name], BACK).logged(
                     "back", rack=name, cold=not all(unit.warm for unit in there[name].units)
                 )
         draining = s.of(DRAINING)
         if draining and (harm or s.phase != RUNNING):
             self.calm_at = now + CALM
-            return self.moved(now, draining, WAITING, depots=(), slots={}).told(
+            return self.moved(now, draining, WAITING, depots=(), slots={}).logged(
                 "drain called back", racks=draining, why=texts(harm) or [s.phase]
             )
         recalled = [
@@ -154,7 +154,7 @@
                 name: replace(course, recalled=course.recalled or name in recalled)
                 for name, course in found.racks.items()
             }
-            return replace(found, racks=racks).told("recalled", racks=recalled, why=texts(harm) or [s.phase])
+            return replace(found, racks=racks).logged("recalled", racks=recalled, why=texts(harm) or [s.phase])
         if draining:
             return self.hand_over(now, fleet, there, draining)
         if away := s.of(AWAY):
@@ -163,11 +163,11 @@
             ]
             return None
         if s.phase == ABORTING:
-            return replace(self.now_as(now), phase=ABORTED).told("aborted")
+            return replace(self.now_as(now), phase=ABORTED).logged("aborted")
         if s.at >= len(s.steps) or not any(
             s.racks[name].state == WAITING for step in s.steps[s.at :] for name in step
         ):
-            return replace(self.now_as(now), phase=DONE, at=len(s.steps)).told("done")
+            return replace(self.now_as(now), phase=DONE, at=len(s.steps)).logged("done")
         if s.phase != RUNNING:
             return None
         if all(s.racks[name].state in (BACK, LOST) for name in s.steps[s.at]):
@@ -196,7 +196,7 @@
             found = plan(s.declared, fleet, left, s.of(*RESTING))
             self.why = texts(harm)
             if isinstance(found, Plan):
-                return replace(self.now_as(now), steps=(*s.steps[: s.at], *found.steps)).told(
+                return replace(self.now_as(now), steps=(*s.steps[: s.at], *found.steps)).logged(
                     "planned anew", steps=[list(one) for one in found.steps], why=texts(harm)
                 )
             return None
@@ -209,7 +209,7 @@
             )
             for name in step
         }
-        return replace(racks, racks=racks.racks | drained).told("drains", racks=step)
+        return replace(racks, racks=racks.racks | drained).logged("drains", racks=step)
 
     def hand_over(
         self, now: float, fleet: Fleet, there: dict[str, Content], names: list[str]
@@ -232,7 +232,7 @@
             )
             for name in names
         }
-        return replace(found, racks=found.racks | noted).told("handed over", racks=names)
+        return replace(found, racks=found.racks | noted).logged("handed over", racks=names)
 
     # ---- operators
 
@@ -244,8 +244,8 @@
             return Refused(409, found.why)
         serial = 1 + (self.state.serial if self.state is not None else 0)
         return State(
-            serial, declared, found.steps, {rack.name: Course() for rack in declared.racks}, fair=found.fair
-        ).told("started", steps=[list(step) for step in found.steps])
+            serial, declared, found.steps, {rack.name: RackState() for rack in declared.racks}, fair=found.fair
+        ).logged("started", steps=[list(step) for step in found.steps])
 
     def ordered(self, what: str, now: float, rack: str = "") -> State | Refused:
         """`pause`, `resume`, `abort`, `back`."""
@@ -258,7 +258,7 @@
             if rack not in s.racks or s.racks[rack].state not in (AWAY, LOST):
                 return Refused(409, f"no rack {rack!r} is away")
             found = self.now_as(now)
-            return replace(found, racks=found.racks | {rack: replace(found.racks[rack], as_is=True)}).told(
+            return replace(found, racks=found.racks | {rack: replace(found.racks[rack], as_is=True)}).logged(
                 "said to be back", rack=rack
             )
         if s.phase == ABORTING:
@@ -268,7 +268,7 @@
         found = self.moved(now, self.late, LOST) if what != "pause" else self.now_as(now)
         if found.phase == to and found.racks.keys() and not self.late:
             return s
-        return replace(found, phase=to).told(to, **({"without": self.late} if self.late else {}))
+        return replace(found, phase=to).logged(to, **({"without": self.late} if self.late else {}))
 
     def figures(self) -> dict[str, Any]:
         """For operators, beside the state."""
@@ -287,7 +287,7 @@
     return dict(sorted(found.items()))
 
 
-def returned(course: Course, there: Content) -> bool:
+def returned(course: RackState, there: Content) -> bool:
     """Whether all that was handed over is there again, in a new life, or an operator has said so."""
     if course.as_is or not (course.lives or course.slots):
         return course.as_is  # of an empty rack nothing could be seen to return
--- a/opalwick/post/maintenance/fleet.py
+++ b/opalwick/post/maintenance/fleet.py
@@ -1,4 +1,4 @@
-"""What is there of a fleet at one moment, as the planner and the conductor are told it."""
+"""Snapshot of a fleet, the input of the planner and the coordinator."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Unit(NamedTuple):
-    """A worker that is live: it beats and does not drain by itself."""
+    """A live worker: it sends heartbeats and is not draining for another reason."""
 
     id: str
     svc: str
@@ -21,41 +21,45 @@
 
 
 class Machine(NamedTuple):
-    """One of the system's own that is linked and serves."""
+    """A process of the system itself that is linked and serves."""
 
     name: str
-    role: str  # counter, depot, office
+    role: str  # counter (gateway), depot (store), office (controller)
     zone: str
     life: int
-    settled: bool = True  # a depot has caught up, an office hears the primary
+    settled: bool = True  # a store has caught up, a controller has a primary
 
 
 class Fleet(NamedTuple):
+    """The workers and machines that are present, and the demand."""
+
     units: tuple[Unit, ...] = ()
     machines: tuple[Machine, ...] = ()
-    voters: int = 0  # offices that vote, whether they are there or not
-    demand: Mapping[str, float] = {}  # by service: messages due and not ended
-    missing: tuple[str, ...] = ()  # machines that were there of late and are not
-    empty: frozenset[str] = frozenset()  # depots that are to be taken away, and keep nothing more
-    rested: bool = False  # no counter has a delivery out at who rests
-    limit: float = 0.0  # s that a delivery may take at most
+    voters: int = 0  # controllers with a vote, present or not
+    demand: Mapping[str, float] = {}  # by service: messages that are due and not completed
+    missing: tuple[str, ...] = ()  # machines that were present recently and are not now
+    empty: frozenset[str] = frozenset()  # retiring stores that have no messages left
+    rested: bool = False  # no gateway has a delivery open at a resting worker
+    limit: float = 0.0  # s, the longest time limit of a delivery
 
 
 class Content(NamedTuple):
-    """What of a fleet stands in a rack."""
+    """The part of a fleet that is in one rack."""
 
     units: tuple[Unit, ...]
     machines: tuple[Machine, ...]
 
 
 def contents(declared: Declaration, fleet: Fleet) -> dict[str, Content]:
-    """By rack. Who stands in two (by zone and by address) belongs to the first, and rests with either."""
+    """By rack. A worker that matches two racks (by zone and by address) counts as in the first; it rests
+    while either is down.
+    """
     found: dict[str, Content] = {}
-    taken = set[str]()
+    assigned = set[str]()
     for rack in declared.racks:
         rests = Resting(rack.rules)
-        units = tuple(u for u in fleet.units if u.id not in taken and rests(u.id, u.zone, u.host))
-        taken.update(u.id for u in units)
+        units = tuple(u for u in fleet.units if u.id not in assigned and rests(u.id, u.zone, u.host))
+        assigned.update(u.id for u in units)
         names = set(rack.machines)
         found[rack.name] = Content(units, tuple(m for m in fleet.machines if m.name in names))
     return found
--- a/opalwick/post/maintenance/needs.py
+++ b/opalwick/post/maintenance/needs.py
@@ -1,5 +1,6 @@
-"""Whether what is left of a fleet is enough. Fewer left is never better: what holds with more racks down
-holds with fewer."""
+"""Checks whether the remaining part of a fleet is enough. The check is monotonic: a need that is met with
+some racks down is also met with fewer down.
+"""
 
 from __future__ import annotations
 
@@ -22,29 +23,29 @@
 
 
 def hurt(declared: Declaration, fleet: Fleet, down: Iterable[Content]) -> list[Hurt]:
-    """The needs that are not met while these are down."""
-    gone = {one.id for content in down for one in content.units}
-    off = {one.name for content in down for one in content.machines}
+    """The needs that are not met while the contents `down` are down."""
+    units_down = {one.id for content in down for one in content.units}
+    machines_down = {one.name for content in down for one in content.machines}
     found = []
 
-    def must(need: str, has: float, needs: float) -> None:
+    def require(need: str, has: float, needs: float) -> None:
         if has + 1e-9 < needs:
             found.append(Hurt(need, has, needs))
 
-    left = [unit for unit in fleet.units if unit.id not in gone and unit.warm]
+    left = [unit for unit in fleet.units if unit.id not in units_down and unit.warm]
     for need in declared.needs:
         live = [unit for unit in left if unit.svc == need.service]
-        must(
+        require(
             f"slots of {need.service} for {need.share:g} of its demand",
             sum(unit.slots for unit in live),
             need.share * fleet.demand.get(need.service, 0.0),
         )
-        must(f"workers of {need.service}", len(live), need.least)
-        must(f"zones with a worker of {need.service}", len({unit.zone for unit in live}), need.zones)
-    there = [machine for machine in fleet.machines if machine.name not in off]
+        require(f"workers of {need.service}", len(live), need.least)
+        require(f"zones with a worker of {need.service}", len({unit.zone for unit in live}), need.zones)
+    present = [machine for machine in fleet.machines if machine.name not in machines_down]
     own = declared.own
-    must("depots", sum(m.role == "depot" and m.settled for m in there), own.copies + own.spare)
-    must("counters", sum(m.role == "counter" for m in there), own.counters)
+    require("depots", sum(m.role == "depot" and m.settled for m in present), own.copies + own.spare)
+    require("counters", sum(m.role == "counter" for m in present), own.counters)
     if fleet.voters:
-        must("offices", sum(m.role == "office" and m.settled for m in there), fleet.voters // 2 + 1)
+        require("offices", sum(m.role == "office" and m.settled for m in present), fleet.voters // 2 + 1)
     return found
--- a/opalwick/post/maintenance/report.py
+++ b/opalwick/post/maintenance/report.py
@@ -1,23 +1,24 @@
-"""What a window did, as a page with plots: live slots against needs, and who bore how much of the outage."""
+"""Report of a maintenance window, with plots of live slots against needs and of each tenant's outage."""
 
 from __future__ import annotations
 
 from html import escape
 from typing import Any
 
-WIDE, HIGH, LEFT = 900, 160, 60  # of a plot, in pixels
+WIDTH, HEIGHT, MARGIN = 900, 160, 60  # size of a plot and its left margin, in pixels
 COLOURS = ("#1b6ca8", "#c2571a", "#3d8b40", "#7a4fa3", "#a02c4c")
 
 
 def parts(found: dict[str, Any]) -> list[dict[str, Any]]:
-    """Of each tenant: slot-seconds away, its part of all of them, and the part that its slots and weight make
-    fair, as the plan's least has it."""
+    """By tenant: slot-seconds lost, its part of the total, and its fair part by slots and weight, relative to
+    the least loss in the plan.
+    """
     declared, lost = found["declared"], found["lost"]
     weight: dict[str, float] = {}
     for need in declared["needs"]:
         tenant = need["tenant"] or need["service"]
         weight[tenant] = weight.get(tenant, 0.0) + need["weight"]
-    # the least loss of a tenant over its slots and weight, times these, is what it had to lose
+    # the least loss per slot and weight, times slots and weight, is the unavoidable loss
     fair = {t: found["fair"].get(t, 0.0) * weight.get(t, 1.0) * slots(found, t) for t in lost}
     whole, due = sum(lost.values()) or 1.0, sum(fair.values()) or 1.0
     return [
@@ -33,43 +34,45 @@
 
 
 def slots(found: dict[str, Any], tenant: str) -> float:
-    """Of its services, as they are live and away."""
+    """The live slots of a tenant's services; at least 1."""
     of = {need["service"]: need["tenant"] or need["service"] for need in found["declared"]["needs"]}
     return sum(count for svc, count in found["live"].items() if of.get(svc, svc) == tenant) or 1.0
 
 
-def steps(points: list[tuple[float, float]], end: float, most: float, colour: str, dash: str = "") -> str:
+def steps(points: list[tuple[float, float]], end: float, top: float, colour: str, dash: str = "") -> str:
+    """An SVG step line."""
+
     def x(at: float) -> float:
-        return LEFT + (WIDE - LEFT) * at / (end or 1.0)
+        return MARGIN + (WIDTH - MARGIN) * at / (end or 1.0)
 
     def y(value: float) -> float:
-        return HIGH - 20 - (HIGH - 40) * value / (most or 1.0)
+        return HEIGHT - 20 - (HEIGHT - 40) * value / (top or 1.0)
 
-    way, last = [], None
+    vertices, last = [], None
     for at, value in points:
         if last is not None:
-            way.append(f"{x(at):.1f},{y(last):.1f}")
-        way.append(f"{x(at):.1f},{y(value):.1f}")
+            vertices.append(f"{x(at):.1f},{y(last):.1f}")
+        vertices.append(f"{x(at):.1f},{y(value):.1f}")
         last = value
     return (
         f'<polyline fill="none" stroke="{colour}" stroke-width="1.5" stroke-dasharray="{dash}" '
-        f'points="{" ".join(way)}"/>'
+        f'points="{" ".join(vertices)}"/>'
     )
 
 
 def plot(title: str, lines: list[tuple[str, list[tuple[float, float]], str, str]], end: float) -> str:
-    most = max((value for _, points, _, _ in lines for _, value in points), default=1.0) * 1.1
-    drawn = "".join(steps(points, end, most, colour, dash) for _, points, colour, dash in lines)
+    top = max((value for _, points, _, _ in lines for _, value in points), default=1.0) * 1.1
+    drawn = "".join(steps(points, end, top, colour, dash) for _, points, colour, dash in lines)
     names = " ".join(f'<tspan fill="{colour}">{escape(name)}</tspan>' for name, _, colour, _ in lines)
     return (
-        f'<svg width="{WIDE}" height="{HIGH}"><text x="0" y="14">{escape(title)}: {names}</text>'
-        f'<text x="0" y="{HIGH - 20}">0</text><text x="0" y="34">{most:.0f}</text>'
-        f'<text x="{WIDE - 60}" y="{HIGH - 4}">{end:.0f} s</text>{drawn}</svg>'
+        f'<svg width="{WIDTH}" height="{HEIGHT}"><text x="0" y="14">{escape(title)}: {names}</text>'
+        f'<text x="0" y="{HEIGHT - 20}">0</text><text x="0" y="34">{top:.0f}</text>'
+        f'<text x="{WIDTH - 60}" y="{HEIGHT - 4}">{end:.0f} s</text>{drawn}</svg>'
     )
 
 
 def live(samples: list[dict[str, Any]]) -> str:
-    """A plot a service: live slots, and what the need asks for."""
+    """A plot for each service, of live and required slots, and one of the slot-seconds lost."""
     end = max(one["ran_s"] for one in samples)
     found = []
     for need in samples[-1]["declared"]["needs"]:
@@ -104,6 +107,7 @@
 
 
 def rows(found: list[dict[str, Any]]) -> str:
+    """An HTML table."""
     if not found:
         return "<p>none</p>"
     head = "".join(f"<th>{escape(key)}</th>" for key in found[0])
@@ -115,6 +119,7 @@
 
 
 def page(found: dict[str, Any], samples: list[dict[str, Any]]) -> str:
+    """The report as an HTML page; `samples` is the record of `watch`, or empty."""
     log = [
         {
             "at": one["at_s"],
@@ -128,7 +133,7 @@
 <style>body{{font:14px sans-serif;margin:2em}}td,th{{padding:2px 10px;text-align:left}}
 text{{font:12px sans-serif}}</style>
 <h1>{escape(found["window"])}: {escape(found["phase"])} after {found["ran_s"]:.1f} s</h1>
-{live(samples) if samples else "<p>no record was given: nothing is drawn</p>"}
+{live(samples) if samples else "<p>No record given: no plots.</p>"}
 <h2>Shares of the outage</h2>{rows(parts(found))}
 <h2>Steps</h2>{rows(log)}
 """
--- a/opalwick/post/maintenance/resting.py
+++ b/opalwick/post/maintenance/resting.py
@@ -1,4 +1,6 @@
-"""Whose workers get no deliveries while their rack is drained or away. Counters import this and no more."""
+"""Selects the workers that get no deliveries while their rack is drained or away. Gateways import only this
+module of the package.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +9,7 @@
 
 
 class Resting:
-    """By the rules `id:ID`, `zone:ZONE`, `net:CIDR`."""
+    """Whether a worker matches one of the rules `id:ID`, `zone:ZONE`, `net:CIDR`."""
 
     __slots__ = ("ids", "nets", "rules", "zones")
 
@@ -18,7 +20,7 @@
         for rule in self.rules:
             kind, _, value = rule.partition(":")
             if kind == "net":
-                from ipaddress import IPv4Network  # no process needs it that has no such rule
+                from ipaddress import IPv4Network  # not needed without such a rule
 
                 self.nets.append(IPv4Network(value))
             else:
@@ -36,6 +38,6 @@
 
         try:
             address = IPv4Address(host)
-        except ValueError:  # a name: no range holds it
+        except ValueError:  # a host name matches no range
             return False
         return any(address in net for net in self.nets)
--- a/opalwick/post/maintenance/shares.py
+++ b/opalwick/post/maintenance/shares.py
@@ -1,10 +1,11 @@
-"""Weighted max-min shares of a service while it is short, as one counter holds them. No socket, no clock.
-
-A service is short here once the messages that are due at this counter keep its part of the workers' slots
-busy. Until then everybody may have all: what one leaves unused is lent. From then on a partner is taken in
-only within its share of the places, which are three to a slot, so that who borrowed gets no more until it has
-given back, and who has not borrowed is still served. Nothing that was taken in is dropped. So at most a third
-more than the places is held, and a partner that stays within its share waits behind no more than that.
+"""Weighted max-min fair shares of a service with scarce capacity, at one gateway. No socket, no clock.
+
+A service is short at a gateway once the due messages there keep the gateway's part of the workers' slots
+busy. Until then every partner may use all places: unused shares are lent. From then on, messages of a partner
+are accepted only within its share of the places, of which there are three to a slot. So a partner that
+borrowed gets no more until enough of its messages have ended, and one that did not is still served. Accepted
+messages are never dropped. So at most a third more than the places is held, and a partner that stays within
+its share waits behind no more than that.
 """
 
 from __future__ import annotations
@@ -13,41 +14,46 @@
 from collections.abc import Mapping
 from typing import Any
 
-DEPTH = 3.0  # messages due to each slot: one that runs, and by right two that wait
-LENT = 1.0 / DEPTH  # part of the places up to which what others leave is lent: each slot busy, nobody waiting
-SOONEST, LATEST = 0.1, 5.0  # s of Retry-After: within a client's patience, and one in which a window changes
-STEP = 0.25  # part of its share that each lower priority leaves to the higher ones of the same partner
-LEAST = 0.25  # part that the lowest has: none is shut out by priority alone
-MEAN = 2.0  # s over which the pace of ends is taken
-
-
-def maxmin(wants: Mapping[str, float], weights: Mapping[str, float], whole: float) -> dict[str, float]:
-    """Each gets what it wants, or the same part for its weight as all others that do not: water filling."""
-    found = dict.fromkeys(wants, 0.0)
-    left, open_ = whole, sorted(name for name, want in wants.items() if want > 0.0)
-    while open_ and left > 1e-12:
-        unit = left / sum(weights.get(name, 1.0) for name in open_)
-        full = [name for name in open_ if wants[name] - found[name] <= unit * weights.get(name, 1.0)]
+DEPTH = 3.0  # due messages per slot: one that runs and two that wait
+# part of the places up to which unused shares are lent: each slot is busy and nothing waits
+LENT = 1.0 / DEPTH
+# s, range of Retry-After: within a client's waiting time, and the time in which a window changes
+MIN_RETRY_AFTER, MAX_RETRY_AFTER = 0.1, 5.0
+PRIORITY_STEP = 0.25  # part of a partner's share that each lower priority leaves to its higher ones
+MIN_PRIORITY_SHARE = 0.25  # part left to the lowest priority, so that priority alone excludes nothing
+AVERAGING_TIME = 2.0  # s over which demand and the rate of completions are averaged
+
+
+def maxmin(wants: Mapping[str, float], weights: Mapping[str, float], total: float) -> dict[str, float]:
+    """Max-min fair allocation by water filling: each gets what it wants, or else an amount that is
+    proportional to its weight among all that want more.
+    """
+    allocation = dict.fromkeys(wants, 0.0)
+    rest, open_ = total, sorted(name for name, want in wants.items() if want > 0.0)
+    while open_ and rest > 1e-12:
+        unit = rest / sum(weights.get(name, 1.0) for name in open_)
+        full = [name for name in open_ if wants[name] - allocation[name] <= unit * weights.get(name, 1.0)]
         for name in full or open_:
-            given = wants[name] - found[name] if full else unit * weights.get(name, 1.0)
-            found[name] += given
-            left -= given
+            given = wants[name] - allocation[name] if full else unit * weights.get(name, 1.0)
+            allocation[name] += given
+            rest -= given
         if not full:
             break
         open_ = [name for name in open_ if name not in full]
-    return found
+    return allocation
 
 
 class Share:
-    """Of one service."""
+    """The shares of the partners in one service."""
 
     def __init__(self, partners: Mapping[str, str], weights: Mapping[str, float], now: float) -> None:
         self.partners, self.weights = dict(partners), dict(weights)
-        self.places = 0.0  # messages due that this counter may hold
+        self.places = 0.0  # due messages that this gateway may hold
         self.held: dict[str, int] = {}  # by partner
-        self.wanted: dict[str, float] = {}  # of late: what lends no more than it does not want
+        # recent demand by partner; only what a partner does not want is lent
+        self.wanted: dict[str, float] = {}
         self.prios: dict[str, set[int]] = {}
-        self.ends, self.pace, self.at = 0, 0.0, now
+        self.ends, self.completion_rate, self.observed_at = 0, 0.0, now
         self.taken = 0
         self.figures = {"refused": 0, "lent": 0}
 
@@ -55,43 +61,44 @@
         return self.partners.get(route, route)
 
     def observe(self, now: float, places: float, held: Mapping[str, int], ended: int) -> None:
-        """What is due here by partner, and how many have ended here since the last time."""
-        passed = now - self.at
+        """Updates the due messages by partner, and the number that have ended since the last call."""
+        passed = now - self.observed_at
         if passed > 0.0:
-            part = min(1.0, passed / MEAN)
-            self.pace += part * (ended / passed - self.pace)
+            part = min(1.0, passed / AVERAGING_TIME)
+            self.completion_rate += part * (ended / passed - self.completion_rate)
             for partner in {*self.wanted, *held}:
                 wants = float(held.get(partner, 0))
                 known = self.wanted.get(partner, 0.0)
                 self.wanted[partner] = max(wants, known + part * (wants - known))
-        self.places, self.held, self.at = places, dict(held), now
+        self.places, self.held, self.observed_at = places, dict(held), now
 
     @property
     def short(self) -> bool:
+        """Whether the slots are all busy, so that nothing more is lent."""
         return sum(self.held.values()) >= LENT * self.places
 
     def allotted(self, partner: str) -> float:
-        """Its part of the places, had it any number to bring in."""
+        """The partner's part of the places if it had unlimited demand."""
         wants = {name: want for name, want in self.wanted.items() if want > 0.0}
         wants[partner] = self.places + 1.0
         return maxmin(wants, self.weights, self.places)[partner]
 
     def ask(self, route: str, prio: int) -> float:
-        """Nought: it may come in, and is counted. Else the seconds after which to come again. The highest
-        priority is 0."""
+        """Requests a place for a message: 0 if it is accepted (and counted), else the seconds until a retry.
+        Priority 0 is the highest."""
         partner = self.partner(route)
         ranks = self.prios.setdefault(partner, set())
         ranks.add(prio)
         held = self.held.get(partner, 0)
-        part = max(LEAST, 1.0 - STEP * sum(other < prio for other in ranks))
+        part = max(MIN_PRIORITY_SHARE, 1.0 - PRIORITY_STEP * sum(other < prio for other in ranks))
         if self.short:
             allotted = part * self.allotted(partner)
             if held + 1 > max(1.0, allotted):
                 self.figures["refused"] += 1
                 over = held + 1 - allotted
-                own = self.pace * allotted / self.places if self.places else 0.0
-                wait = over / own if own > 0.0 else LATEST
-                return min(LATEST, max(SOONEST, wait / part))
+                refill_rate = self.completion_rate * allotted / self.places if self.places else 0.0
+                wait = over / refill_rate if refill_rate > 0.0 else MAX_RETRY_AFTER
+                return min(MAX_RETRY_AFTER, max(MIN_RETRY_AFTER, wait / part))
         elif held + 1 > self.allotted(partner):
             self.figures["lent"] += 1
         self.held[partner] = held + 1
@@ -100,10 +107,10 @@
 
 
 def packed(shares: list[Any]) -> bytes:
-    """As counters read it; nothing for none."""
+    """The form that gateways read; empty if there are no shares."""
     return json.dumps([[s.service, s.routes, s.weights] for s in shares]).encode() if shares else b""
 
 
 def read(body: bytes, now: float) -> dict[str, Share]:
-    """By service."""
+    """The shares by service; `body` comes from `packed`."""
     return {svc: Share(partners, weights, now) for svc, partners, weights in json.loads(body or b"[]")}
--- a/opalwick/post/maintenance/state.py
+++ b/opalwick/post/maintenance/state.py
@@ -1,7 +1,7 @@
-"""What a conductor keeps on the offices' disks: all that the next one needs to go on from there.
+"""The maintenance coordinator's state on the controllers' disks, from which a new coordinator continues.
 
-It changes as a whole; what counters and depots are told follows from it (`rules`, `depots`), so that nothing
-is done that is not saved, and nothing is saved that is not done.
+It changes as a whole. What gateways and stores receive is derived from it (`rules`, `depots`), so every
+action is saved, and everything saved is acted upon.
 """
 
 from __future__ import annotations
@@ -17,66 +17,71 @@
 RUNNING, PAUSED, ABORTING, DONE, ABORTED = "running", "paused", "aborting", "done", "aborted"
 OVER = (DONE, ABORTED)
 WAITING, DRAINING, AWAY, BACK, LOST = "waiting", "draining", "away", "back", "lost"
-RESTING = (DRAINING, AWAY, LOST)  # racks whose workers get nothing
-LOG = 200  # entries of the log that are kept: a window of twenty racks has a hundred
+RESTING = (DRAINING, AWAY, LOST)  # states of racks whose workers get no deliveries
+MAX_LOG = 200  # log entries to keep; a window of twenty racks has a hundred
 
 _DECLARED = BasicDecoder(Declaration)
 
 
 @dataclass(frozen=True, slots=True)
-class Course:
-    """How it stands with one rack."""
+class RackState:
+    """The progress of one rack."""
 
     state: str = WAITING
-    for_s: float = 0.0  # in this state, when it was saved
-    ids: tuple[str, ...] = ()  # workers that were there as it was handed over
-    slots: dict[str, int] = field(default_factory=dict)  # and their slots, by service
-    lives: dict[str, int] = field(default_factory=dict)  # and its machines'
-    depots: tuple[str, ...] = ()  # of these, to be emptied: not those that were so before
-    recalled: bool = False  # it is wanted back: a need is hurt
-    as_is: bool = False  # an operator says that it is back, whatever its lives are
+    for_s: float = 0.0  # s in this state at the time of saving
+    ids: tuple[str, ...] = ()  # workers present when the rack was handed over
+    slots: dict[str, int] = field(default_factory=dict)  # their slots by service
+    lives: dict[str, int] = field(default_factory=dict)  # incarnations of its machines
+    depots: tuple[str, ...] = ()  # stores among them to be emptied, without those that were retiring before
+    recalled: bool = False  # the rack is requested back, because a need is not met
+    as_is: bool = False  # an operator reported it as back, whatever its incarnations are
 
 
 @dataclass(frozen=True, slots=True)
 class State:
-    serial: int  # of the window: grows with each that is started
+    """The state of a maintenance window."""
+
+    serial: int  # of the window, incremented with each start
     declared: Declaration
     steps: tuple[tuple[str, ...], ...]
-    racks: dict[str, Course]
+    racks: dict[str, RackState]
     phase: str = RUNNING
-    at: int = 0  # of the steps
+    at: int = 0  # index of the current step
     ran_s: float = 0.0
-    lost: dict[str, float] = field(default_factory=dict)  # by tenant: slot-seconds away
-    fair: dict[str, float] = field(default_factory=dict)  # as planned: the least per slot and weight
+    lost: dict[str, float] = field(default_factory=dict)  # by tenant: slot-seconds lost
+    # by tenant, as planned: the least loss per slot and weight
+    fair: dict[str, float] = field(default_factory=dict)
     log: tuple[dict[str, Any], ...] = ()
 
     def of(self, *states: str) -> list[str]:
+        """The racks in one of these states."""
         return [name for name, course in self.racks.items() if course.state in states]
 
     @property
     def rules(self) -> list[str]:
-        """Whose workers rest."""
+        """The rules that select the resting workers."""
         return [rule for name in self.of(*RESTING) for rule in self.declared.rack(name).rules]
 
     @property
     def depots(self) -> list[str]:
-        """That are to be empty."""
+        """The stores to be emptied."""
         return [depot for name in self.of(*RESTING) for depot in self.racks[name].depots]
 
     @property
     def over(self) -> bool:
         return self.phase in OVER
 
-    def told(self, what: str, **more: Any) -> State:
+    def logged(self, what: str, **more: Any) -> State:
+        """The state with another log entry."""
         entry = {"at_s": round(self.ran_s, 3), "what": what, **more}
-        return replace(self, log=(*self.log, entry)[-LOG:])
+        return replace(self, log=(*self.log, entry)[-MAX_LOG:])
 
     def body(self) -> bytes:
         return json.dumps(asdict(self), separators=(",", ":")).encode()
 
 
 def read(body: bytes) -> State | None:
-    """Empty: none. It was written by an office, so that it is whole."""
+    """The state from its JSON text; None if empty. It was written by a controller, so it is valid."""
     if not body:
         return None
     given = json.loads(body)
@@ -84,7 +89,7 @@
     given["steps"] = tuple(map(tuple, given["steps"]))
     given["log"] = tuple(given["log"])
     given["racks"] = {
-        name: Course(**(course | {key: tuple(course[key]) for key in ("ids", "depots")}))
+        name: RackState(**(course | {key: tuple(course[key]) for key in ("ids", "depots")}))
         for name, course in given["racks"].items()
     }
     return State(**given)
--- a/tests/test_post_maintenance.py
+++ b/tests/test_post_maintenance.py
@@ -21,7 +21,7 @@
 from opalwick.post.maintenance.planner import FAIR, Impossible, Plan, Planner, plan
 from opalwick.post.maintenance.racks import Declaration, parse
 from opalwick.post.maintenance.resting import Resting
-from opalwick.post.maintenance.shares import LATEST, Share, maxmin
+from opalwick.post.maintenance.shares import MAX_RETRY_AFTER, Share, maxmin
 from opalwick.post.maintenance.state import AWAY, DRAINING, State, read
 
 FILE = """name = "night"
@@ -599,7 +599,7 @@
     assert s.ask("gate", 0) == 0.0  # and another still comes in, within its half
     s.observe(0.2, 12.0, {"crowd": 12, "gate": 1}, 6)
     waits = [s.ask("crowd", 0) for _ in range(3)]
-    assert all(0.0 < w <= LATEST for w in waits)
+    assert all(0.0 < w <= MAX_RETRY_AFTER for w in waits)
     assert [s.ask("gate", 0) for _ in range(5)] == [0.0] * 5 and s.ask("gate", 0) > 0.0
     s.observe(0.3, 12.0, {"crowd": 4, "gate": 6}, 8)
     assert [s.ask("crowd", 0) for _ in range(2)] == [0.0] * 2 and s.ask("crowd", 0) > 0.0
