--- a/opalwick/post/maintenance/commands.py
+++ b/opalwick/post/maintenance/commands.py
@@ -1,4 +1,4 @@
-"""`opalwick post maintenance`: a window planned, started, watched, stopped, resumed, told of."""
+"""`opalwick post maintenance`: plans, starts, watches, controls and reports a maintenance window."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from opalwick.post.asking import At, Json, Place, Problem, ask, everybody, given, table, told
 from opalwick.post.settings import endpoint
 
-NO = 1
-Record = Annotated[str, Parameter(help="Keeps what is seen there, a JSON line each time.")]
-EVERY = 1.0  # s between looks of `watch`: as often as a rack's state may well change
-PATIENCE = 30.0  # s that `watch` goes on asking: a new primary is there within two
+EXIT_FAILED = 1
+Record = Annotated[str, Parameter(help="Appends each status to this file, as a JSON line.")]
+POLL_INTERVAL = 1.0  # s between the polls of `watch`, about as often as a rack's state may change
+WATCH_TIMEOUT = 30.0  # s until `watch` gives up without an answer: a new primary is elected within 2 s
 OVER = ("done", "aborted")
 
-maintenance = App(name="maintenance", help="Racks go down in turn, and everybody keeps enough.")
+maintenance = App(name="maintenance", help="Takes racks down in turn while capacity stays sufficient.")
 
 
 def declared(file: str) -> Any:
-    """Problem with file, line and key."""
+    """Parses a declaration; raises Problem with file, line and key."""
     from returns.result import Success
 
     from opalwick.post.maintenance.racks import parse
@@ -34,11 +34,11 @@
 
 
 def fleet(answers: dict[Place, Any]) -> Any:
-    """What processes say of themselves, as the planner is told it."""
+    """The planner's snapshot of the fleet from the statuses of all processes; raises Problem."""
     from opalwick.post.maintenance.fleet import Fleet, Machine, Unit
 
-    said = [one for one in answers.values() if isinstance(one, dict)]
-    office = next((one for one in said if one["role"] == "office" and one["active"]), None)
+    statuses = [one for one in answers.values() if isinstance(one, dict)]
+    office = next((one for one in statuses if one["role"] == "office" and one["active"]), None)
     if office is None:
         raise Problem("no active primary answers")
     units = tuple(
@@ -48,17 +48,17 @@
     )
     machines = tuple(
         Machine(one["node"], one["role"], one["zone"], one["life"], one.get("settled", True))
-        for one in sorted(said, key=lambda one: str(one["node"]))
+        for one in sorted(statuses, key=lambda one: str(one["node"]))
     )
     demand: dict[str, float] = {}
-    for one in said:
+    for one in statuses:
         for svc, desk in one.get("desks", {}).items():
             demand[svc] = demand.get(svc, 0.0) + (desk["queue"] or 0) + (desk["jobs"] or 0)
     return Fleet(units, machines, len(office["view"]["voters"]), demand)
 
 
 def offices(answers: dict[Place, Any]) -> list[Place]:
-    """Where they are called."""
+    """The addresses of the controllers' HTTP calls."""
     found = [
         endpoint(one.get("ctl", ""))
         for one in answers.values()
@@ -68,8 +68,10 @@
 
 
 def order(places: list[Place], method: str, path: str, body: bytes | None = None) -> tuple[int, Any]:
-    """To the first that answers clearly: each passes it on to the primary."""
-    last: tuple[int, Any] = 0, "no office answers"
+    """Calls one controller after the other until one gives a definite answer. Each forwards to the primary.
+    Raises Problem if none does.
+    """
+    last: tuple[int, Any] = 0, "no controller answers"
     for where in places:
         try:
             last = ask(where, path, method, body)
@@ -81,21 +83,21 @@
 
 
 def ordered(at: str, what: str, body: bytes | None = None) -> int:
-    status, said = order(offices(everybody(at)), "POST", f"/maintenance/{what}", body)
+    status, answer = order(offices(everybody(at)), "POST", f"/maintenance/{what}", body)
     if status == 200:
         return 0
-    print(said.get("err", said) if isinstance(said, dict) else said)
-    return NO
+    print(answer.get("err", answer) if isinstance(answer, dict) else answer)
+    return EXIT_FAILED
 
 
 @maintenance.command
 def plan(file: str, /, *, at: At = "", json: Json = False) -> int:
-    """Which racks would go down when, by what is there now; exit code 1 where no plan keeps every need.
+    """Shows when racks would go down, by the current fleet; exit code 1 if no plan meets every need.
 
     Parameters
     ----------
     file
-        what is declared (TOML or JSON)
+        the declaration (TOML or JSON)
     """
     from opalwick.post.maintenance.planner import Impossible, Planner
 
@@ -110,12 +112,12 @@
             },
             json,
         ):
-            print(found.why if found.sure else f"{found.why}: none was found, one may exist")
+            print(found.why if found.sure else f"{found.why}: no plan was found, but one may exist")
             table(
-                "what stands in the way",
+                "needs that prevent it",
                 [{"rack": rack, "need": str(one)} for rack, why in found.stands.items() for one in why],
             )
-        return NO
+        return EXIT_FAILED
     if told({"steps": found.steps, "seconds": found.seconds, "loss": found.loss, "fair": found.fair}, json):
         return 0
     table(
@@ -126,7 +128,7 @@
         ],
     )
     table(
-        "seconds away, over slots and weight",
+        "seconds away, per slot and weight",
         [
             {"tenant": t, "planned": round(loss, 1), "least": round(found.fair[t], 1)}
             for t, loss in found.loss.items()
@@ -137,42 +139,42 @@
 
 @maintenance.command
 def start(file: str, /, *, at: At = "") -> int:
-    """Plans by what is there now, and begins.
+    """Plans by the current fleet and starts the window.
 
     Parameters
     ----------
     file
-        what is declared (TOML or JSON)
+        the declaration (TOML or JSON)
     """
     body = json.dumps(declared(file).json()).encode()
-    status, said = order(offices(everybody(at)), "PUT", "/maintenance", body)
+    status, answer = order(offices(everybody(at)), "PUT", "/maintenance", body)
     if status == 200:
         return 0
-    print(said.get("err", said) if isinstance(said, dict) else said)
-    return NO
+    print(answer.get("err", answer) if isinstance(answer, dict) else answer)
+    return EXIT_FAILED
 
 
 @maintenance.command
 def pause(*, at: At = "") -> int:
-    """No further rack goes down; what is away comes back."""
+    """Takes no further rack down; racks that are away come back."""
     return ordered(at, "pause")
 
 
 @maintenance.command
 def resume(*, at: At = "") -> int:
-    """Goes on, without the racks that are away for too long."""
+    """Continues, without the racks that are away for too long."""
     return ordered(at, "resume")
 
 
 @maintenance.command
 def abort(*, at: At = "") -> int:
-    """Wants back what is away, and ends the window."""
+    """Requests racks back that are away, and ends the window."""
     return ordered(at, "abort")
 
 
 @maintenance.command
 def back(rack: str, /, *, at: At = "") -> int:
-    """A rack is back as it is: it did not go down after all, or not all of it is there.
+    """Reports a rack as back: it did not go down, or not all of it has returned.
 
     Parameters
     ----------
@@ -183,26 +185,28 @@
 
 
 def current(places: list[Place]) -> dict[str, Any]:
-    status, said = order(places, "GET", "/maintenance")
+    """The status of the current window; raises Problem."""
+    status, answer = order(places, "GET", "/maintenance")
     if status != 200:
-        raise Problem(said["err"] if isinstance(said, dict) else str(said))
-    return dict(said)
+        raise Problem(answer["err"] if isinstance(answer, dict) else str(answer))
+    return dict(answer)
 
 
 def line(found: dict[str, Any]) -> str:
+    """The status in one line of text."""
     racks = ", ".join(
-        f"{name} {one['state']}" + (" (wanted back)" if one["recalled"] else "")
+        f"{name} {one['state']}" + (" (requested back)" if one["recalled"] else "")
         for name, one in found["racks"].items()
         if one["state"] != "waiting"
     )
-    waits = f"; waits: {'; '.join(found['why'])}" if found["why"] else ""
+    waits = f"; waiting: {'; '.join(found['why'])}" if found["why"] else ""
     many = len(found["steps"])
     return f"{found['phase']}, step {min(found['step'] + 1, many)} of {many}: {racks or 'all up'}{waits}"
 
 
 @maintenance.command
 def watch(*, at: At = "", record: Record = "", once: Annotated[bool, Parameter(negative="")] = False) -> int:
-    """Shows how the window goes until it is over; exit code 1 if it was aborted."""
+    """Shows the progress of the window until it is over; exit code 1 if it was aborted."""
     from rich.console import Console
     from rich.progress import BarColumn, Progress, TextColumn
 
@@ -219,10 +223,10 @@
         while True:
             try:
                 found, silent = current(places), 0.0
-            except Problem:  # the window may have taken down who was asked
-                if (silent := silent + EVERY) > PATIENCE:
+            except Problem:  # the controller may be in a rack that went down
+                if (silent := silent + POLL_INTERVAL) > WATCH_TIMEOUT:
                     raise
-                time.sleep(EVERY)
+                time.sleep(POLL_INTERVAL)
                 continue
             if record:
                 with Path(record).open("a") as file:
@@ -234,19 +238,19 @@
                 before = now
             if once or found["phase"] in OVER:
                 return int(found["phase"] == "aborted")
-            time.sleep(EVERY)
+            time.sleep(POLL_INTERVAL)
 
 
 @maintenance.command
 def report(*, at: At = "", record: str = "", out: str = "", json: Json = False) -> int:
-    """What the window did, step by step.
+    """Reports what the window did, step by step.
 
     Parameters
     ----------
     record
-        what `watch --record` kept: live slots against needs are drawn from it
+        file written by `watch --record`, from which live slots are plotted against needs
     out
-        an HTML page with plots
+        file for an HTML page with plots
     """
     from opalwick.post.maintenance.report import page, parts
 
@@ -283,10 +287,11 @@
 
 
 def read(file: str) -> list[dict[str, Any]]:
+    """The lines of a record; raises Problem."""
     found = []
     for number, text in enumerate(given(file).splitlines(), 1):
         try:
             found.append(dict(json.loads(text)))
         except (ValueError, TypeError):
-            raise Problem(f"{file}:{number}: this line is no record of a window") from None
+            raise Problem(f"{file}:{number}: this line is not a record of a window") from None
     return found
--- a/opalwick/post/maintenance/conductor.py
+++ b/opalwick/post/maintenance/conductor.py
@@ -1,10 +1,11 @@
-"""Takes racks down as planned, by what is live now: drain, wait until empty, hand over, wait for the return
-and for warmth, check, next. No socket, no disk, no clock.
-
-`look()` returns the next state that it wants; the office has it on its own and its backups' disks before it
-is in force, and says so with `adopt()`. Until then nothing follows from it, and no other is wanted. So one
-that dies has done what is saved and nothing else, and one that was overtaken wants what no disk takes any
-more: a write carries the epoch of the view, which only grows.
+"""The maintenance coordinator: takes racks down as planned. For each step it drains, waits until the racks
+are empty, hands them over, waits for their return and warm-up, and checks the needs. No socket, disk or
+clock.
+
+`look()` returns the next desired state. The controller writes it to its own and its backups' disks and then
+calls `adopt()`. Until then it has no effect, and no other state is requested. So a coordinator that fails has
+done exactly what is saved. The writes of one that was superseded are refused by the disks, because a write
+carries the epoch of the view, which only grows.
 """
 
 from __future__ import annotations
@@ -33,130 +34,142 @@
     State,
 )
 
-QUIET = 0.5  # s beyond a route's limit until what was sent before a drain has ended: words, and clocks
-CALM = 3.0  # s after a drain was called back until the next begins: the demand's mean has settled
-ANSWER = 1.5  # s until a state that nobody said is in force may be wanted again: over a write's 0.8
-BLIND = 1.5  # s that a new conductor only looks: links, pulses and counters' figures come within one
+# s beyond a route's limit until deliveries from before a drain have ended: message transit and clock drift
+DRAIN_MARGIN = 0.5
+SETTLE_TIME = 3.0  # s after a reverted drain until the next one: the average demand has settled
+# s until a state without confirmation may be requested again: longer than a write's 0.8 s
+WRITE_TIMEOUT = 1.5
+# s that a new coordinator only observes: links, keepalives and gateways' reports arrive within 1 s
+OBSERVATION_TIME = 1.5
 
 
 class Refused(NamedTuple):
+    """An order that was refused, with the HTTP status and the reason."""
+
     status: int
     why: str
 
 
 class Conductor:
+    """The state machine of the maintenance window."""
+
     def __init__(self) -> None:
         self.state: State | None = None
-        self.at = 0.0  # when it was adopted
+        self.at = 0.0  # s, when the state was adopted
         self.wanted_at = -1e9
-        self.seen_at = -1e9
-        self.calm_at = self.blind_until = -1e9
-        self.lost: dict[str, float] = {}  # by tenant, since it was adopted
-        self.why: list[str] = []  # it waits
-        self.late: list[str] = []  # racks that are away for too long
+        self.accounted_at = -1e9
+        self.settled_at = self.observing_until = -1e9
+        self.lost: dict[str, float] = {}  # by tenant: slot-seconds lost since the state was adopted
+        self.why: list[str] = []  # reasons for waiting
+        self.late: list[str] = []  # racks that are away for longer than declared
 
     def adopt(self, state: State | None, now: float) -> None:
-        """It is in force: its own, or as it was found."""
+        """Takes over a state that is in force, its own or a predecessor's."""
         if state is not None and self.state is None:
-            self.blind_until = now + BLIND
+            self.observing_until = now + OBSERVATION_TIME
         self.state, self.at, self.lost, self.wanted_at = state, now, {}, -1e9
         self.why = []
 
     def forget(self) -> None:
-        """No conductor any more: another one has its state by now."""
-        self.state, self.wanted_at, self.seen_at = None, -1e9, -1e9
+        """Stops coordinating; another coordinator has the state."""
+        self.state, self.wanted_at, self.accounted_at = None, -1e9, -1e9
 
     def refused(self) -> None:
-        """What was wanted is not in force."""
+        """The desired state was not written."""
         self.wanted_at = -1e9
 
     # ---- time
 
     def age(self, name: str, now: float) -> float:
-        """s that a rack is in its state, or less: what a dead conductor saw is not counted twice."""
+        """Seconds that a rack has been in its state; too low after a failure, but never too high."""
         assert self.state is not None
         return self.state.racks[name].for_s + now - self.at
 
     def now_as(self, now: float) -> State:
-        """The state with its spans and losses as of now."""
+        """The state with durations and losses as of now."""
         s = self.state
         assert s is not None
         spent = now - self.at
-        racks = {name: replace(course, for_s=course.for_s + spent) for name, course in s.racks.items()}
+        racks = {
+            name: replace(rack_state, for_s=rack_state.for_s + spent) for name, rack_state in s.racks.items()
+        }
         lost = {
             tenant: s.lost.get(tenant, 0.0) + self.lost.get(tenant, 0.0) for tenant in {*s.lost, *self.lost}
         }
         return replace(s, racks=racks, ran_s=s.ran_s + spent, lost=dict(sorted(lost.items())))
 
-    def moved(self, now: float, names: Iterable[str], to: str, **more: Any) -> State:
+    def with_state(self, now: float, names: Iterable[str], target: str, **more: Any) -> State:
+        """The state with these racks in the state `target`."""
         s = self.now_as(now)
         racks = dict(s.racks)
         for name in names:
-            racks[name] = replace(racks[name], state=to, for_s=0.0, **more)
+            racks[name] = replace(racks[name], state=target, for_s=0.0, **more)
         return replace(s, racks=racks)
 
-    def account(self, now: float, there: dict[str, Content]) -> None:
-        """Slots that are away now."""
+    def account(self, now: float, present: dict[str, Content]) -> None:
+        """Adds the slots that are away to the losses."""
         s = self.state
         assert s is not None
-        passed, self.seen_at = now - max(self.seen_at, self.at), now
+        passed, self.accounted_at = now - max(self.accounted_at, self.at), now
         for name in s.of(*RESTING):
-            course = s.racks[name]
-            slots = course.slots or summed(there[name])
+            rack_state = s.racks[name]
+            slots = rack_state.slots or slots_by_service(present[name])
             for svc, count in slots.items():
                 tenant = s.declared.tenant(svc)
                 self.lost[tenant] = self.lost.get(tenant, 0.0) + count * max(0.0, passed)
 
-    # ---- what is next
+    # ---- decisions
 
     def look(self, now: float, fleet: Fleet) -> State | None:
-        """What it wants to be in force next; None: nothing."""
+        """The next desired state; None if nothing is to change."""
         s = self.state
-        if s is None or s.over or now - self.wanted_at < ANSWER:
+        if s is None or s.over or now - self.wanted_at < WRITE_TIMEOUT:
             return None
-        there = contents(s.declared, fleet)
-        self.account(now, there)
-        if now < self.blind_until:
-            self.why = ["it has only just begun to conduct"]
+        present = contents(s.declared, fleet)
+        self.account(now, present)
+        if now < self.observing_until:
+            self.why = ["the coordinator has just started"]
             return None
         self.why, self.late = (
             [],
             [name for name in s.of(AWAY) if self.age(name, now) > s.declared.rack(name).longest_s],
         )
-        found = self.next(now, fleet, there, s)
+        found = self.decide(now, fleet, present, s)
         if found is not None:
             self.wanted_at = now
         return found
 
-    def next(self, now: float, fleet: Fleet, there: dict[str, Content], s: State) -> State | None:
-        harm = hurt(s.declared, fleet, [there[name] for name in s.of(*RESTING)])
+    def decide(self, now: float, fleet: Fleet, present: dict[str, Content], s: State) -> State | None:
+        unmet = hurt(s.declared, fleet, [present[name] for name in s.of(*RESTING)])
         for name in s.of(AWAY, LOST):
-            course = s.racks[name]
-            if returned(course, there[name]) and (
-                harm or course.recalled or all(unit.warm for unit in there[name].units)
+            rack_state = s.racks[name]
+            if returned(rack_state, present[name]) and (
+                unmet or rack_state.recalled or all(unit.warm for unit in present[name].units)
             ):
-                # one at a time: each is let in and looked at before the next
-                return self.moved(now, [name], BACK).logged(
-                    "back", rack=name, cold=not all(unit.warm for unit in there[name].units)
+                # one at a time, so that each is admitted and checked before the next
+                return self.with_state(now, [name], BACK).logged(
+                    "back", rack=name, cold=not all(unit.warm for unit in present[name].units)
                 )
         draining = s.of(DRAINING)
-        if draining and (harm or s.phase != RUNNING):
-            self.calm_at = now + CALM
-            return self.moved(now, draining, WAITING, depots=(), slots={}).logged(
-                "drain called back", racks=draining, why=texts(harm) or [s.phase]
+        if draining and (unmet or s.phase != RUNNING):
+            self.settled_at = now + SETTLE_TIME
+            return self.with_state(now, draining, WAITING, depots=(), slots={}).logged(
+                "drain called back", racks=draining, why=descriptions(unmet) or [s.phase]
             )
         recalled = [
-            name for name in s.of(AWAY) if not s.racks[name].recalled and (harm or s.phase == ABORTING)
+            name for name in s.of(AWAY) if not s.racks[name].recalled and (unmet or s.phase == ABORTING)
         ]
         if recalled:
             found = self.now_as(now)
             racks = {
-                name: replace(course, recalled=course.recalled or name in recalled)
-                for name, course in found.racks.items()
+                name: replace(rack_state, recalled=rack_state.recalled or name in recalled)
+                for name, rack_state in found.racks.items()
             }
-            return replace(found, racks=racks).logged("recalled", racks=recalled, why=texts(harm) or [s.phase])
+            return replace(found, racks=racks).logged(
+                "recalled", racks=recalled, why=descriptions(unmet) or [s.phase]
+            )
         if draining:
-            return self.hand_over(now, fleet, there, draining)
+            return self.hand_over(now, fleet, present, draining)
         if away := s.of(AWAY):
             self.why = [
                 f"rack {name} is away" + (" for too long" if name in self.late else "") for name in away
@@ -172,71 +185,74 @@
             return None
         if all(s.racks[name].state in (BACK, LOST) for name in s.steps[s.at]):
             return replace(self.now_as(now), at=s.at + 1)
-        return self.begin(now, fleet, there, s)
+        return self.begin(now, fleet, present, s)
 
-    def begin(self, now: float, fleet: Fleet, there: dict[str, Content], s: State) -> State | None:
-        """The next step, if all needs are kept by what is live now."""
+    def begin(self, now: float, fleet: Fleet, present: dict[str, Content], s: State) -> State | None:
+        """Begins the next step if all needs are met; otherwise plans again or waits."""
         step = [name for name in s.steps[s.at] if s.racks[name].state == WAITING]
-        own = {machine for name in s.of(*RESTING) for machine in s.declared.rack(name).machines}
-        missing = [name for name in fleet.missing if name not in own]
-        missing += [m.name for m in fleet.machines if not m.settled and m.name not in own]
+        own_machines = {machine for name in s.of(*RESTING) for machine in s.declared.rack(name).machines}
+        missing = [name for name in fleet.missing if name not in own_machines]
+        missing += [m.name for m in fleet.machines if not m.settled and m.name not in own_machines]
         if missing:
-            self.why = [f"{name} is not there" for name in missing]
+            self.why = [f"{name} is not available" for name in missing]
             return None
-        if now < self.calm_at:
-            self.why = ["a drain was called back of late"]
+        if now < self.settled_at:
+            self.why = ["a drain was called back recently"]
             return None
         longest = max(s.declared.rack(name).longest_s for name in step)
         if self.now_as(now).ran_s + longest > s.declared.longest_s:
-            self.why = [f"what is left of the window is shorter than the {longest:g} s of the next step"]
+            self.why = [f"the rest of the window is shorter than the {longest:g} s of the next step"]
             return None
-        harm = hurt(s.declared, fleet, [there[name] for name in (*s.of(*RESTING), *step)])
-        if harm:
+        unmet = hurt(s.declared, fleet, [present[name] for name in (*s.of(*RESTING), *step)])
+        if unmet:
             left = [name for each in s.steps[s.at :] for name in each if s.racks[name].state == WAITING]
             found = plan(s.declared, fleet, left, s.of(*RESTING))
-            self.why = texts(harm)
+            self.why = descriptions(unmet)
             if isinstance(found, Plan):
                 return replace(self.now_as(now), steps=(*s.steps[: s.at], *found.steps)).logged(
-                    "planned anew", steps=[list(one) for one in found.steps], why=texts(harm)
+                    "planned anew", steps=[list(one) for one in found.steps], why=descriptions(unmet)
                 )
             return None
-        racks = self.moved(now, step, DRAINING)
+        racks = self.with_state(now, step, DRAINING)
         drained = {
             name: replace(
                 racks.racks[name],
-                slots=summed(there[name]),
-                depots=tuple(m.name for m in there[name].machines if m.role == "depot"),
+                slots=slots_by_service(present[name]),
+                depots=tuple(m.name for m in present[name].machines if m.role == "depot"),
             )
             for name in step
         }
         return replace(racks, racks=racks.racks | drained).logged("drains", racks=step)
 
     def hand_over(
-        self, now: float, fleet: Fleet, there: dict[str, Content], names: list[str]
+        self, now: float, fleet: Fleet, present: dict[str, Content], names: list[str]
     ) -> State | None:
-        """Once nothing is out there, and nothing is kept there."""
+        """Hands the racks over once they have no open deliveries and their stores are empty."""
         s = self.state
         assert s is not None
-        least = min(self.age(name, now) for name in names)
-        full = [depot for name in names for depot in s.racks[name].depots if depot not in fleet.empty]
-        if not fleet.rested or least < fleet.limit + QUIET or full:
-            self.why = [f"{depot} is not empty" for depot in full] or ["deliveries are out at who rests"]
+        shortest = min(self.age(name, now) for name in names)
+        not_empty = [depot for name in names for depot in s.racks[name].depots if depot not in fleet.empty]
+        if not fleet.rested or shortest < fleet.limit + DRAIN_MARGIN or not_empty:
+            self.why = [f"{depot} is not empty" for depot in not_empty] or [
+                "deliveries to resting workers are open"
+            ]
             return None
-        found = self.moved(now, names, AWAY)
-        noted = {
+        found = self.with_state(now, names, AWAY)
+        recorded = {
             name: replace(
                 found.racks[name],
-                ids=tuple(unit.id for unit in there[name].units),
-                slots=summed(there[name]),
-                lives={m.name: m.life for m in there[name].machines},
+                ids=tuple(unit.id for unit in present[name].units),
+                slots=slots_by_service(present[name]),
+                lives={m.name: m.life for m in present[name].machines},
             )
             for name in names
         }
-        return replace(found, racks=found.racks | noted).logged("handed over", racks=names)
+        return replace(found, racks=found.racks | recorded).logged("handed over", racks=names)
 
     # ---- operators
 
     def start(self, declared: Declaration, fleet: Fleet) -> State | Refused:
+        """The first state of a new window."""
         if self.state is not None and not self.state.over:
             return Refused(409, f"{self.state.declared.name!r} is {self.state.phase}: abort it first")
         found = plan(declared, fleet)
@@ -244,16 +260,20 @@
             return Refused(409, found.why)
         serial = 1 + (self.state.serial if self.state is not None else 0)
         return State(
-            serial, declared, found.steps, {rack.name: RackState() for rack in declared.racks}, fair=found.fair
+            serial,
+            declared,
+            found.steps,
+            {rack.name: RackState() for rack in declared.racks},
+            fair=found.fair,
         ).logged("started", steps=[list(step) for step in found.steps])
 
     def ordered(self, what: str, now: float, rack: str = "") -> State | Refused:
-        """`pause`, `resume`, `abort`, `back`."""
+        """Executes an order: `pause`, `resume`, `abort`, or `back` for a rack."""
         s = self.state
         if s is None or s.over:
-            return Refused(409, "no window is under way")
-        if now - self.wanted_at < ANSWER:
-            return Refused(503, "a change is on its way: again in a moment")
+            return Refused(409, "no window is running")
+        if now - self.wanted_at < WRITE_TIMEOUT:
+            return Refused(503, "a change is in progress: retry shortly")
         if what == "back":
             if rack not in s.racks or s.racks[rack].state not in (AWAY, LOST):
                 return Refused(409, f"no rack {rack!r} is away")
@@ -262,41 +282,41 @@
                 "said to be back", rack=rack
             )
         if s.phase == ABORTING:
-            return Refused(409, "it is being aborted")
-        to = {"pause": PAUSED, "resume": RUNNING, "abort": ABORTING}[what]
-        # to go on while a rack is away for too long is to go on without it
-        found = self.moved(now, self.late, LOST) if what != "pause" else self.now_as(now)
-        if found.phase == to and found.racks.keys() and not self.late:
+            return Refused(409, "the window is being aborted")
+        target = {"pause": PAUSED, "resume": RUNNING, "abort": ABORTING}[what]
+        # resuming while a rack is away for too long means continuing without it
+        found = self.with_state(now, self.late, LOST) if what != "pause" else self.now_as(now)
+        if found.phase == target and found.racks.keys() and not self.late:
             return s
-        return replace(found, phase=to).logged(to, **({"without": self.late} if self.late else {}))
+        return replace(found, phase=target).logged(target, **({"without": self.late} if self.late else {}))
 
     def figures(self) -> dict[str, Any]:
-        """For operators, beside the state."""
+        """Additional figures for operators."""
         return {"why": self.why, "late": self.late}
 
 
-def texts(harm: list[Hurt]) -> list[str]:
-    return [str(one) for one in harm]
+def descriptions(unmet: list[Hurt]) -> list[str]:
+    return [str(one) for one in unmet]
 
 
-def summed(content: Content) -> dict[str, int]:
-    """Its slots, by service."""
+def slots_by_service(content: Content) -> dict[str, int]:
+    """The slots of a rack by service."""
     found: dict[str, int] = {}
     for unit in content.units:
         found[unit.svc] = found.get(unit.svc, 0) + unit.slots
     return dict(sorted(found.items()))
 
 
-def returned(course: RackState, there: Content) -> bool:
-    """Whether all that was handed over is there again, in a new life, or an operator has said so."""
-    if course.as_is or not (course.lives or course.slots):
-        return course.as_is  # of an empty rack nothing could be seen to return
-    here = {machine.name: machine for machine in there.machines if machine.settled}
-    slots = summed(there)
-    if any(name not in here for name in course.lives) or any(
-        slots.get(svc, 0) < count for svc, count in course.slots.items()
+def returned(rack_state: RackState, present: Content) -> bool:
+    """Whether all that was handed over is present again in a new incarnation, or an operator said so."""
+    if rack_state.as_is or not (rack_state.lives or rack_state.slots):
+        return rack_state.as_is  # nothing can be observed to return to an empty rack
+    here = {machine.name: machine for machine in present.machines if machine.settled}
+    slots = slots_by_service(present)
+    if any(name not in here for name in rack_state.lives) or any(
+        slots.get(svc, 0) < count for svc, count in rack_state.slots.items()
     ):
         return False
-    return all(here[name].life > life for name, life in course.lives.items()) and not set(course.ids) & {
-        unit.id for unit in there.units
-    }
+    return all(here[name].life > life for name, life in rack_state.lives.items()) and not set(
+        rack_state.ids
+    ) & {unit.id for unit in present.units}
--- a/opalwick/post/maintenance/planner.py
+++ b/opalwick/post/maintenance/planner.py
@@ -1,12 +1,13 @@
-"""Which racks go down when: steps that keep every need at each moment.
+"""Plans in which steps racks go down, so that every need is met at any time.
 
-A step's racks go down together and the next step begins when all are back, so a rack in a step is away for as
-long as the longest of them. What a tenant loses is its slots times the seconds for which they are away, over
-its weight and its slots. One rack at a time costs each tenant the least that there is; a plan may cost the
-tenant that it costs most `FAIR` times the most that this does. Among plans within that the one with the
-fewest steps is taken, then the fairest: the greatest loss is the least, then the second, and so on.
+The racks of a step go down together, and the next step begins when all are back, so each is away for as long
+as the longest of them. The loss of a tenant is its slots times the seconds for which they are away, divided
+by its weight and its slots. One rack at a time gives each tenant the least possible loss. In a plan, the
+greatest loss of a tenant may be `FAIR` times the greatest loss in that case. Among such plans the one with
+the fewest steps is chosen, then the fairest: the lowest greatest loss, then the lowest second loss, and so
+on.
 
-A function of what is declared and what is there: no clock, no chance of its own.
+The result depends on the declaration and the fleet only, without a clock or true randomness.
 """
 
 from __future__ import annotations
@@ -19,26 +20,28 @@
 from opalwick.post.maintenance.needs import Hurt, hurt
 from opalwick.post.maintenance.racks import Declaration
 
-FAIR = 1.1  # times the loss that cannot be avoided: what a tenant is promised at most
-DRAWN = 24  # orders that are tried beside the few that are known to be good: more found no better
-PASSES = 6  # over all pairs of steps, in the search that follows each: it mostly ends in two
-SMALL = 7  # racks up to which all partitions are tried: 877 of them
+FAIR = 1.1  # limit of the greatest loss of a tenant, relative to the unavoidable one
+RANDOM_ORDERS = 24  # random orders tried beside the heuristic ones; more of them found no better plans
+MAX_PASSES = 6  # limit of passes over all pairs of steps in the local search, which mostly ends after two
+SMALL = 7  # number of racks up to which all partitions are tried (877 of them)
 
 Step = tuple[str, ...]
 
 
 class Plan(NamedTuple):
+    """A plan that meets all needs."""
+
     steps: tuple[Step, ...]
-    seconds: float  # that racks are away, the steps after each other
-    loss: dict[str, float]  # by tenant: slot-seconds over its weight and its slots
-    fair: dict[str, float]  # the least that can be had of that
+    seconds: float  # duration of all steps
+    loss: dict[str, float]  # by tenant: slot-seconds divided by its weight and its slots
+    fair: dict[str, float]  # by tenant: the least possible loss
 
 
 class Impossible(NamedTuple):
-    """`sure`: no plan can exist; else none was found."""
+    """The reason why there is no plan. `sure`: no plan can exist; otherwise none was found."""
 
     why: str
-    stands: dict[str, list[Hurt]]  # by rack: the needs that keep it from going down alone
+    stands: dict[str, list[Hurt]]  # by rack: the needs that prevent it from going down
     sure: bool
 
 
@@ -47,6 +50,8 @@
 
 
 class Planner:
+    """Searches for the best plan."""
+
     def __init__(
         self,
         declared: Declaration,
@@ -54,7 +59,7 @@
         racks: Iterable[str] | None = None,
         gone: Iterable[str] = (),
     ) -> None:
-        """`racks`: those that are still to go; none given: all. `gone`: those that stay away for good."""
+        """`racks`: those that still have to go down; None for all. `gone`: those that are away for good."""
         self.declared, self.fleet = declared, fleet
         self.contents = contents(declared, fleet)
         self.gone = [self.contents[name] for name in gone]
@@ -62,82 +67,89 @@
         self.longest = {rack.name: rack.longest_s for rack in declared.racks}
         self.beside = {rack.name: set(rack.beside) for rack in declared.racks}
         self.tenants = sorted({declared.tenant(unit.svc) for unit in fleet.units})
-        whole = self.slots(fleet.units)
+        total = self.slots(fleet.units)
         self.slots_of = {name: self.slots(self.contents[name].units) for name in self.racks}
-        self.entitled = [(whole[i] or 1.0) * declared.weight(t) for i, t in enumerate(self.tenants)]
-        self.known: dict[frozenset[str], bool] = {}
+        self.entitlements = [(total[i] or 1.0) * declared.weight(t) for i, t in enumerate(self.tenants)]
+        self.feasible_cache: dict[frozenset[str], bool] = {}
         self.fair = self.loss((name,) for name in self.racks)
-        self.most = FAIR * max(self.fair, default=0.0) + 1e-9
+        self.max_loss = FAIR * max(self.fair, default=0.0) + 1e-9
 
     def slots(self, units: Iterable[object]) -> list[float]:
+        """The slots of these workers by tenant, in the order of `tenants`."""
         found = dict.fromkeys(self.tenants, 0.0)
         for unit in units:
             found[self.declared.tenant(unit.svc)] += unit.slots  # type: ignore[attr-defined]
         return list(found.values())
 
-    # ---- what a step is worth
+    # ---- evaluation of steps
 
     def down(self, step: Iterable[str]) -> list[Content]:
+        """What is down during a step."""
         return [*self.gone, *(self.contents[name] for name in step)]
 
     def hurt(self, step: Iterable[str]) -> list[Hurt]:
+        """The needs that are not met during a step."""
         return hurt(self.declared, self.fleet, self.down(step))
 
     def bears(self, step: Iterable[str]) -> bool:
-        """Whether these may be down together."""
-        held = frozenset(step)
-        found = self.known.get(held)
+        """Whether these racks may be down together."""
+        racks = frozenset(step)
+        found = self.feasible_cache.get(racks)
         if found is None:
-            found = self.known[held] = (
-                len(held) <= self.declared.together
-                and all(not self.beside[a] or b in self.beside[a] for a in held for b in held if a != b)
-                and not self.hurt(sorted(held))
+            found = self.feasible_cache[racks] = (
+                len(racks) <= self.declared.together
+                and all(not self.beside[a] or b in self.beside[a] for a in racks for b in racks if a != b)
+                and not self.hurt(sorted(racks))
             )
         return found
 
     def loss(self, steps: Iterable[Step]) -> list[float]:
-        """By tenant."""
+        """The loss of each tenant, in the order of `tenants`."""
         lost = [0.0] * len(self.tenants)
         for step in steps:
             away = max(self.longest[name] for name in step)
             for name in step:
                 for i, slots in enumerate(self.slots_of[name]):
                     lost[i] += away * slots
-        return [one / entitled for one, entitled in zip(lost, self.entitled)]
+        return [one / entitled for one, entitled in zip(lost, self.entitlements)]
 
     def seconds(self, steps: Iterable[Step]) -> float:
+        """The duration of all steps."""
         return sum(max(self.longest[name] for name in step) for step in steps)
 
     def key(self, steps: Steps) -> Key:
-        """The least is the best. Whether it is unfair or too long stands before the number of steps."""
+        """The sort key; the lowest is the best plan. Fairness and duration limits precede the number of
+        steps.
+        """
         loss = self.loss(steps)
         return (
-            max(loss, default=0.0) > self.most,
+            max(loss, default=0.0) > self.max_loss,
             self.seconds(steps) > self.declared.longest_s,
             len(steps),
             tuple(round(one, 9) for one in sorted(loss, reverse=True)),
             steps,
         )
 
-    # ---- ways to a plan
+    # ---- strategies
 
     def singly(self) -> Steps:
         """One rack at a time."""
         return tuple((name,) for name in self.racks)
 
     def greedy(self, order: Iterable[str] | None = None, fair: bool = False) -> Steps:
-        """Each rack into the first step that bears it. `fair`: within `FAIR` too."""
+        """Puts each rack into the first step where that is feasible. `fair`: within the limit `FAIR` too."""
         steps: list[Step] = []
         for name in order if order is not None else self.racks:
             for i, step in enumerate(steps):
-                if self.bears((*step, name)) and (not fair or self.fits(steps, i, name)):
+                if self.bears((*step, name)) and (not fair or self.stays_fair(steps, i, name)):
                     steps[i] = (*step, name)
                     break
             else:
                 steps.append((name,))
         return tuple(steps)
 
-    def fits(self, steps: list[Step], i: int, name: str) -> bool:
+    def stays_fair(self, steps: list[Step], i: int, name: str) -> bool:
+        """Whether the plan stays within `FAIR` with this rack in step `i`."""
         placed = {one for step in steps for one in step} | {name}
         tried = [
             *steps[:i],
@@ -145,9 +157,10 @@
             *steps[i + 1 :],
             *((one,) for one in self.racks if one not in placed),
         ]
-        return max(self.loss(tried), default=0.0) <= self.most
+        return max(self.loss(tried), default=0.0) <= self.max_loss
 
-    def orders(self) -> Iterator[list[str]]:
+    def rack_orders(self) -> Iterator[list[str]]:
+        """Orders of the racks for `greedy`: heuristic ones, then random ones with a fixed seed."""
         partners = {a: sum(self.bears((a, b)) for b in self.racks if b != a) for a in self.racks}
         weight = {a: sum(self.slots_of[a]) for a in self.racks}
         yield list(self.racks)
@@ -155,17 +168,17 @@
         yield sorted(self.racks, key=lambda a: (-self.longest[a], partners[a]))
         yield sorted(self.racks, key=lambda a: -weight[a])
         draw = random.Random("/".join(self.racks))
-        for _ in range(DRAWN):
+        for _ in range(RANDOM_ORDERS):
             order = list(self.racks)
             draw.shuffle(order)
             yield order
 
-    def better(self, steps: Steps) -> Steps:
-        """A rack moved to another step, or two exchanged, for as long as that helps."""
+    def improve(self, steps: Steps) -> Steps:
+        """Local search: moves a rack to another step or swaps two, as long as that improves the plan."""
         best, key = steps, self.key(steps)
-        for _ in range(PASSES):
+        for _ in range(MAX_PASSES):
             before = best
-            for tried in self.near(best):
+            for tried in self.neighbours(best):
                 if (found := self.key(tried)) < key:
                     best, key = tried, found
                     break
@@ -173,28 +186,29 @@
                 break
         return best
 
-    def near(self, steps: Steps) -> Iterator[Steps]:
-        held = [list(step) for step in steps]
-        for i, here in enumerate(held):
-            for name in here:
-                rest = [one for one in here if one != name]
-                for j, there in enumerate(held):
+    def neighbours(self, steps: Steps) -> Iterator[Steps]:
+        """The feasible plans that differ by one move or swap."""
+        groups = [list(step) for step in steps]
+        for i, source in enumerate(groups):
+            for name in source:
+                rest = [one for one in source if one != name]
+                for j, target in enumerate(groups):
                     if i == j:
                         continue
-                    if self.bears((*there, name)):
+                    if self.bears((*target, name)):
                         yield self.tidy(
-                            [*(s for n, s in enumerate(held) if n not in (i, j)), rest, [*there, name]]
+                            [*(s for n, s in enumerate(groups) if n not in (i, j)), rest, [*target, name]]
                         )
                     if i < j:
-                        for other in there:
-                            swapped = [*rest, other], [*(o for o in there if o != other), name]
+                        for other in target:
+                            swapped = [*rest, other], [*(o for o in target if o != other), name]
                             if all(map(self.bears, swapped)):
                                 yield self.tidy(
-                                    [*(s for n, s in enumerate(held) if n not in (i, j)), *swapped]
+                                    [*(s for n, s in enumerate(groups) if n not in (i, j)), *swapped]
                                 )
 
     def tidy(self, steps: Iterable[Iterable[str]]) -> Steps:
-        """The same steps in one order for all: as the racks are declared."""
+        """The same steps in canonical order, as the racks are declared."""
         place = {name: i for i, name in enumerate(self.racks)}
         return tuple(
             sorted(
@@ -204,10 +218,11 @@
         )
 
     def exact(self) -> Steps:
-        """The best of all partitions: for few racks."""
+        """The best of all partitions; only for few racks."""
         return min((self.tidy(steps) for steps in self.partitions(self.racks)), key=self.key)
 
     def partitions(self, left: list[str]) -> Iterator[list[Step]]:
+        """All feasible partitions into steps."""
         if not left:
             yield []
             return
@@ -219,20 +234,20 @@
                     yield [*steps[:i], (*step, last), *steps[i + 1 :]]
 
     def search(self) -> Steps:
-        """The best of what the ways find. One rack at a time and the greedy plan are among them, so it is
-        never worse than either."""
+        """The best result of all strategies. These include one rack at a time and the greedy plan, so the
+        result is never worse than either."""
         found = [self.tidy(self.singly()), self.tidy(self.greedy())]
         seen = set(found)
-        for order in self.orders():
+        for order in self.rack_orders():
             steps = self.tidy(self.greedy(order, fair=True))
             if steps not in seen:
                 seen.add(steps)
-                found.append(self.better(steps))
+                found.append(self.improve(steps))
         return min(found, key=self.key)
 
-    def spread(self, steps: Steps) -> Steps:
-        """In the order in which, after each of them, the tenant that has lost most has lost least: a window
-        that is broken off has been fair until then."""
+    def fair_order(self, steps: Steps) -> Steps:
+        """Orders the steps so that the greatest loss so far is as low as possible after each step. So a
+        window that is aborted has been fair until then."""
         left, order = list(steps), list[Step]()
         while left:
             step = min(left, key=lambda one: sorted(self.loss([*order, one]), reverse=True))
@@ -241,6 +256,7 @@
         return tuple(order)
 
     def plan(self) -> Plan | Impossible:
+        """The best plan, or the reason why there is none."""
         stands = {name: why for name in self.racks if (why := self.hurt((name,)))}
         if stands:
             name, why = next(iter(stands.items()))
@@ -250,14 +266,14 @@
             least = max(self.longest[name] for name in self.racks)
             return Impossible(
                 f"the steps take {self.seconds(steps):g} s, the window has {self.declared.longest_s:g}",
-                self.apart(),
+                self.conflicts(),
                 len(self.racks) <= SMALL or least > self.declared.longest_s,
             )
         loss = dict(zip(self.tenants, self.loss(steps)))
-        return Plan(self.spread(steps), self.seconds(steps), loss, dict(zip(self.tenants, self.fair)))
+        return Plan(self.fair_order(steps), self.seconds(steps), loss, dict(zip(self.tenants, self.fair)))
 
-    def apart(self) -> dict[str, list[Hurt]]:
-        """What keeps each rack from going down beside the next one."""
+    def conflicts(self) -> dict[str, list[Hurt]]:
+        """For each rack and the next one: the needs that prevent them from going down together."""
         found: dict[str, list[Hurt]] = {}
         for name, other in zip(self.racks, self.racks[1:]):
             if why := self.hurt((name, other)):
@@ -271,4 +287,4 @@
     return Planner(declared, fleet, racks, gone).plan()
 
 
-Way = Callable[[Planner], Steps]
+Strategy = Callable[[Planner], Steps]
--- a/opalwick/post/maintenance/racks.py
+++ b/opalwick/post/maintenance/racks.py
@@ -1,7 +1,7 @@
-"""What an operator declares of a window: its racks, what has to stay, how long a rack may be away.
+"""The declaration of a maintenance window: its racks, the required capacity, how long a rack may be away.
 
-Read whole and strictly, from TOML (a file: faults name file, line and key) or JSON (a call: the key alone).
-Times are seconds.
+Parsed strictly from TOML (a file: errors name file, line and key) or JSON (a call: errors name the key).
+Times are in seconds.
 """
 
 from __future__ import annotations
@@ -63,40 +63,40 @@
 
 def _partners(value: Any) -> dict[str, str]:
     if type(value) is not dict:
-        raise Wrong("must be an object: a partner by each route's name")
+        raise Wrong("must be an object that maps route names to partners")
     return {filled(route): filled(partner) for route, partner in value.items()}
 
 
 def _weights(value: Any) -> dict[str, float]:
     if type(value) is not dict:
-        raise Wrong("must be an object: a weight by each partner")
+        raise Wrong("must be an object that maps partners to weights")
     return {filled(partner): above(weight) for partner, weight in value.items()}
 
 
-class _Known(Strict):
-    """A word that is misspelt must not pass for one that is left out."""
+class _NoExtraKeys(Strict):
+    """Rejects unknown keys, so that a misspelt key is not taken for an omitted one."""
 
     forbid_extra_keys = True
 
 
 @dataclass(frozen=True, slots=True)
 class Rack:
-    """Machines of the system by name; workers by their addresses, their zone or their ids."""
+    """A rack: machines of the system by name; workers by address range, zone or id."""
 
     name: str = by(filled)
-    longest_s: float = by(above)  # that it may be away
+    longest_s: float = by(above)  # s that it may be away at most
     machines: tuple[str, ...] = by(_names, default=())
     nets: tuple[str, ...] = by(_nets, default=())
     zones: tuple[str, ...] = by(_names, default=())
     workers: tuple[str, ...] = by(_names, default=())
-    beside: tuple[str, ...] = by(_names, default=())  # racks that may be down with it; empty: any
+    beside: tuple[str, ...] = by(_names, default=())  # racks that may be down at the same time; empty: any
 
-    class Config(_Known):
+    class Config(_NoExtraKeys):
         pass
 
     @property
     def rules(self) -> list[str]:
-        """Whose workers rest, as counters read it; see `resting`."""
+        """The rules that select its workers; see `resting`."""
         return [
             *(f"id:{id}" for id in self.workers),
             *(f"zone:{zone}" for zone in self.zones),
@@ -106,64 +106,68 @@
 
 @dataclass(frozen=True, slots=True)
 class Need:
-    """Of a service: live slots as a share of the present demand, workers, zones with one."""
+    """Minimum of a service: live slots as a share of current demand, workers, zones that have a worker."""
 
     service: str = by(filled)
     share: float = by(_share, default=1.0)
     least: int = by(whole, default=1)
     zones: int = by(whole, default=1)
-    tenant: str = by(text, default="")  # empty: the service's own name
-    weight: float = by(above, default=1.0)  # of the tenant: what it may lose against the others
+    tenant: str = by(text, default="")  # empty: the name of the service
+    weight: float = by(above, default=1.0)  # weight of the tenant: the loss it may have relative to others
 
-    class Config(_Known):
+    class Config(_NoExtraKeys):
         pass
 
 
 @dataclass(frozen=True, slots=True)
 class Own:
-    """Of the system itself. Offices always keep their majority."""
+    """Minimum of the system itself. Controllers always keep their majority."""
 
-    copies: int = by(from_one, default=2)  # disks that a message is on: survive.boxes + 1
-    spare: int = by(whole, default=0)  # depots beyond these
-    counters: int = by(from_one, default=1)
+    copies: int = by(from_one, default=2)  # replicas of a message: survive.boxes + 1
+    spare: int = by(whole, default=0)  # stores beyond these
+    counters: int = by(from_one, default=1)  # gateways
 
-    class Config(_Known):
+    class Config(_NoExtraKeys):
         pass
 
 
 @dataclass(frozen=True, slots=True)
 class Shares:
-    """Of what is left of a service while it is short, among partners."""
+    """The shares of partners in a service while its capacity is short."""
 
     service: str = by(filled)
-    routes: dict[str, str] = by(_partners)  # partner by route; another route is its own partner
-    weights: dict[str, float] = by(_weights, default_factory=dict)  # 1 where none is given
+    routes: dict[str, str] = by(_partners)  # partner by route; a route that is not listed is its own partner
+    weights: dict[str, float] = by(_weights, default_factory=dict)  # by partner; the default is 1
 
-    class Config(_Known):
+    class Config(_NoExtraKeys):
         pass
 
 
 @dataclass(frozen=True, slots=True)
 class Declaration:
+    """A maintenance window as declared."""
+
     name: str = by(filled)
-    longest_s: float = by(above)  # of the whole window
+    longest_s: float = by(above)  # s, duration of the whole window
     racks: list[Rack] = by(each(Rack))
     needs: list[Need] = by(each(Need), default_factory=list)
     own: Own = by(one(Own), default=Own())
-    together: int = by(from_one, default=1)  # racks that are down at once, at most
+    together: int = by(from_one, default=1)  # racks that may be down at the same time
     shares: list[Shares] = by(each(Shares), default_factory=list)
 
-    class Config(_Known):
+    class Config(_NoExtraKeys):
         pass
 
     def rack(self, name: str) -> Rack:
+        """The rack of that name, which must exist."""
         return next(rack for rack in self.racks if rack.name == name)
 
     def tenant(self, service: str) -> str:
+        """The tenant of a service, by default the name of the service."""
         return next((need.tenant or service for need in self.needs if need.service == service), service)
 
     def weight(self, tenant: str) -> float:
-        """The sum of what its services declare."""
+        """The sum of the weights of its services."""
         return sum(n.weight for n in self.needs if (n.tenant or n.service) == tenant) or 1.0
 
     def json(self) -> dict[str, Any]:
@@ -173,19 +177,19 @@
 _WHOLE = BasicDecoder(Declaration)
 
 
-def _twice(values: Iterable[tuple[str, Any]]) -> tuple[str, str, Any] | None:
-    """Two ways that lead to the same value."""
+def _duplicate(values: Iterable[tuple[str, Any]]) -> tuple[str, str, Any] | None:
+    """The paths of the first duplicate value, and the value; None if there is none."""
     seen: dict[Any, str] = {}
-    for way, value in values:
+    for path, value in values:
         if value in seen:
-            return seen[value], way, value
-        seen[value] = way
+            return seen[value], path, value
+        seen[value] = path
     return None
 
 
-def _checked(found: Declaration) -> None:
+def _validate(found: Declaration) -> None:
     if not found.racks:
-        raise Wrong("no rack is there", "racks")
+        raise Wrong("must have at least one rack", "racks")
     names = {rack.name for rack in found.racks}
     for what, key in (("name", "name"), ("machine", "machines"), ("worker", "workers"), ("zone", "zones")):
         rows: list[tuple[str, Any]] = []
@@ -196,43 +200,45 @@
                 if key == "name"
                 else [(f"racks[{i}].{key}[{j}]", one) for j, one in enumerate(value)]
             )
-        if two := _twice(rows):
-            raise Wrong(f"the {what} {two[2]!r} stands at {two[0]} too", two[1])
+        if duplicate := _duplicate(rows):
+            raise Wrong(f"the {what} {duplicate[2]!r} is at {duplicate[0]} too", duplicate[1])
     nets = [
         (f"racks[{i}].nets[{j}]", ipaddress.IPv4Network(net))
         for i, rack in enumerate(found.racks)
         for j, net in enumerate(rack.nets)
     ]
-    for n, (way, net) in enumerate(nets):
+    for n, (path, net) in enumerate(nets):
         for before, other in nets[:n]:
             if net.overlaps(other):
-                raise Wrong(f"{net} overlaps {other} at {before}", way)
+                raise Wrong(f"{net} overlaps {other} at {before}", path)
     for i, rack in enumerate(found.racks):
         if not (rack.machines or rack.rules):
-            raise Wrong("nothing stands in it: machines, nets, zones or workers are due", f"racks[{i}]")
+            raise Wrong("is empty: needs machines, nets, zones or workers", f"racks[{i}]")
         if rack.longest_s > found.longest_s:
             raise Wrong(f"is longer than the window's own {found.longest_s:g}", f"racks[{i}].longest_s")
         for j, beside in enumerate(rack.beside):
             if beside not in names or beside == rack.name:
-                raise Wrong(f"{beside!r} is no other rack", f"racks[{i}].beside[{j}]")
+                raise Wrong(f"{beside!r} is not the name of another rack", f"racks[{i}].beside[{j}]")
     for key in ("needs", "shares"):
-        if two := _twice((f"{key}[{i}].service", one.service) for i, one in enumerate(getattr(found, key))):
-            raise Wrong(f"{two[2]!r} stands at {two[0]} too", two[1])
+        if duplicate := _duplicate(
+            (f"{key}[{i}].service", one.service) for i, one in enumerate(getattr(found, key))
+        ):
+            raise Wrong(f"{duplicate[2]!r} is at {duplicate[0]} too", duplicate[1])
 
 
 def _read(given: Any) -> Declaration:
     found: Declaration = decoded(_WHOLE, given, "")
-    _checked(found)
+    _validate(found)
     return found
 
 
 def check(body: bytes) -> Result[Declaration, str]:
-    """Of JSON. A Failure is one sentence that names the field."""
+    """Parses JSON. A Failure is one sentence that names the field."""
     return from_json(body, _read)
 
 
 def parse(text: str, name: str) -> Result[Declaration, str]:
-    """Of TOML, or JSON where the text begins so. A Failure is `FILE:LINE: KEY: what is wrong`."""
+    """Parses TOML, or JSON if the text starts with `{`. A Failure is `FILE:LINE: KEY: what is wrong`."""
     if text.lstrip().startswith("{"):
         return check(text.encode()).alt(lambda why: f"{name}: {why}")
     try:
@@ -243,6 +249,6 @@
     try:
         return Success(_read(given))
     except Wrong as wrong:
-        way = [int(i) if i else key for key, i in re.findall(r"([^.\[\]]+)|\[(\d+)\]", wrong.where)]
+        path = [int(i) if i else key for key, i in re.findall(r"([^.\[\]]+)|\[(\d+)\]", wrong.where)]
         shown = wrong.where.lstrip(".") or "the file"
-        return Failure(f"{name}:{line_of(text, way)}: {shown}: {wrong.what}")
+        return Failure(f"{name}:{line_of(text, path)}: {shown}: {wrong.what}")
--- a/tests/test_post_maintenance.py
+++ b/tests/test_post_maintenance.py
@@ -1,4 +1,4 @@
-"""The maintenance window: what is declared, the planner, the conductor on an emulated fleet, the shares."""
+"""The maintenance window: declarations, the planner, the coordinator on an emulated fleet, the shares."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 from opalwick.post.commands import run
 from opalwick.post.maintenance import commands as window_commands
-from opalwick.post.maintenance import conductor as conducting
+from opalwick.post.maintenance import conductor as coordinator_module
 from opalwick.post.maintenance.conductor import Conductor, Refused, returned
 from opalwick.post.maintenance.fleet import Fleet, Machine, Unit
 from opalwick.post.maintenance.needs import hurt
@@ -57,7 +57,7 @@
 
 
 def fleet(workers: int = 2, demand: float = 4.0) -> Fleet:
-    """In each rack so many workers of two slots; the system's own in three zones."""
+    """Three racks, each with `workers` workers of two slots; the system's machines are in three zones."""
     units = tuple(
         Unit(f"i-{r}{n}", "gate", "abc"[r], f"10.{r + 1}.0.{n + 1}", 2)
         for r in range(3)
@@ -69,7 +69,7 @@
     return Fleet(units, machines, 3, {"gate": demand}, rested=True)
 
 
-# ---- what is declared
+# ---- declarations
 
 
 @pytest.mark.parametrize(
@@ -86,7 +86,7 @@
         (
             'name = "b"',
             'name = "a"',
-            "night.toml:10: racks[1].name: the name 'a' stands at racks[0].name too",
+            "night.toml:10: racks[1].name: the name 'a' is at racks[0].name too",
         ),
         (
             "longest_s = 400",
@@ -94,15 +94,19 @@
             "night.toml:6: racks[0].longest_s: is longer than the window's",
         ),
         ('name = "night"', "name = night", "night.toml:1: not TOML"),
-        ('nets = ["10.3.0.0/24"]', 'beside = ["x"]', "night.toml:13: racks[2]: nothing stands in it"),
+        (
+            'nets = ["10.3.0.0/24"]',
+            'beside = ["x"]',
+            "night.toml:13: racks[2]: is empty: needs machines, nets, ",
+        ),
     ],
 )
-def test_a_faulty_declaration_is_told_with_its_line(old: str, new: str, told: str) -> None:
+def test_an_invalid_declaration_is_reported_with_its_line(old: str, new: str, told: str) -> None:
     found = parse(FILE.replace(old, new), "night.toml")
     assert isinstance(found, Failure) and found.failure().startswith(told), found
 
 
-def test_who_rests_is_told_by_id_zone_and_address() -> None:
+def test_resting_workers_match_by_id_zone_and_address() -> None:
     rests = Resting(["id:i-1", "zone:a", "net:10.2.0.0/24"])
     assert rests("i-1", "z", "h") and rests("i-2", "a", "h") and rests("i-3", "z", "10.2.0.7")
     assert not rests("i-4", "z", "10.3.0.7") and not rests("i-5", "z", "worker.example") and not Resting()
@@ -111,7 +115,7 @@
 # ---- the planner
 
 
-def drawn(draw: random.Random) -> tuple[Declaration, Fleet]:
+def random_case(draw: random.Random) -> tuple[Declaration, Fleet]:
     racks = draw.randrange(3, 8)
     text = f'name = "x"\nlongest_s = 90000\ntogether = {draw.choice((1, 2, 3))}\n'
     units = []
@@ -133,10 +137,10 @@
     )
 
 
-def test_drawn_plans_keep_every_need_and_are_no_worse_than_the_plain_ones() -> None:
+def test_random_plans_meet_every_need_and_are_no_worse_than_the_simple_ones() -> None:
     draw, planned, near = random.Random(5), 0, 0
     for _ in range(60):
-        declaration, there = drawn(draw)
+        declaration, there = random_case(draw)
         p = Planner(declaration, there)
         found = p.plan()
         if isinstance(found, Impossible):
@@ -155,7 +159,7 @@
     assert planned > 20 and near == planned
 
 
-def test_a_need_that_stands_in_the_way_is_named() -> None:
+def test_a_need_that_prevents_a_plan_is_named() -> None:
     found = plan(declared(), fleet(1, 5.0))
     assert isinstance(found, Impossible) and found.sure
     assert found.why == f"rack a cannot go down even alone: {SLOTS}4 left, 5 needed"
@@ -170,23 +174,23 @@
     assert isinstance(found, Plan) and sorted(found.steps) == [("a",), ("b", "c")]
 
 
-# ---- the conductor
+# ---- the coordinator
 
 
 class Stage:
-    """A fleet, a disk that takes a state of the newest conductor alone, and a crew. A step is a quarter of a
-    second; whatever the conductor wants is saved at once, or dies with it."""
+    """A fleet, a disk that accepts the newest coordinator's states only, and a crew that handles the racks. A
+    time step is 0.25 s; a desired state is saved at once, or lost with its coordinator."""
 
     def __init__(self, declaration: Declaration, there: Fleet) -> None:
         self.d, self.f, self.now = declaration, there, 0.0
         self.saved: bytes = b""
         self.epoch, self.saves = 1, 0
         self.c, self.number = Conductor(), 1
-        self.gone: dict[str, float] = {}  # racks in the crew's hands: until when
+        self.gone: dict[str, float] = {}  # by rack at the crew: when it returns, in s
         self.never: set[str] = set()
         self.fenced = True
         self.lives = 1
-        self.below: list[str] = []  # needs that were hurt by what the window took
+        self.below: list[str] = []  # needs that were not met because of the window
         self.log: list[str] = []
         self.kill: Callable[[State], bool] = lambda state: False
         wanted = self.c.start(declaration, there)
@@ -194,7 +198,7 @@
         self.save(self.c, 1, wanted)
 
     def save(self, c: Conductor, number: int, state: State) -> None:
-        """As the offices: an epoch that is not the newest is refused."""
+        """Like the controllers: refuses an epoch that is not the newest."""
         if number != self.epoch and self.fenced:
             c.refused()
             return
@@ -206,7 +210,7 @@
         c.adopt(read(self.saved), self.now)
 
     def take_over(self) -> None:
-        """Another conductor, by what is on the disks."""
+        """Starts another coordinator from the state on the disks."""
         self.epoch += 1
         self.c, self.number = Conductor(), self.epoch
         self.c.adopt(read(self.saved), self.now)
@@ -270,7 +274,7 @@
         self.f = self.f._replace(units=tuple(u._replace(warm=born_at(u) <= warm_at) for u in self.f.units))
 
     def judge(self) -> None:
-        """Whether what rests or is away of the window leaves enough of what is there."""
+        """Records the needs that are not met without the racks that rest or are away."""
         resting = [self.part(name) for name in self.state.of(DRAINING, AWAY)]
         left = self.f._replace(
             units=tuple(u for u in self.f.units if not any(r(u.id, u.zone, u.host) for r, _ in resting))
@@ -286,12 +290,12 @@
     return float(unit.id.rpartition("@")[2]) if "@" in unit.id else -1e9
 
 
-def stage(demand: float = 4.0, **changed: str) -> Stage:
+def new_stage(demand: float = 4.0, **changed: str) -> Stage:
     return Stage(declared(**changed), fleet(2, demand))
 
 
-def test_a_window_goes_through_and_every_rack_is_warm_before_the_next() -> None:
-    s = stage(6.0).run(200)
+def test_a_window_completes_and_every_rack_is_warm_before_the_next() -> None:
+    s = new_stage(6.0).run(200)
     assert s.state.phase == "done" and not s.below
     assert s.log == [
         "started",
@@ -310,17 +314,17 @@
     assert s.state.lost["gate"] == pytest.approx(3 * 4 * (5 + 3 + 1), rel=0.2)
 
 
-def test_two_that_come_back_at_once_are_let_in_one_after_the_other() -> None:
-    s = stage(old='nets = ["10.2.0.0/24"]', new='nets = ["10.2.0.0/24"]\nbeside = ["c"]')
+def test_racks_that_return_together_are_admitted_one_after_the_other() -> None:
+    s = new_stage(old='nets = ["10.2.0.0/24"]', new='nets = ["10.2.0.0/24"]\nbeside = ["c"]')
     s.run(100)
     assert s.state.phase == "done" and not s.below and "drains b,c" in s.log
     backs = [(e["at_s"], e["cold"]) for e in s.state.log if e["what"] == "back"]
     assert len(set(backs)) == 3 and not any(cold for _, cold in backs)
 
 
-def overtaken(at: int, fenced: bool) -> Stage:
-    """The conductor stands still right after that many saves; another goes on, and the old one wakes late."""
-    s = stage(6.0)
+def superseded(at: int, fenced: bool) -> Stage:
+    """The coordinator stalls after `at` saves; another continues, and the old one resumes late."""
+    s = new_stage(6.0)
     s.fenced, s.kill, old = fenced, lambda state: s.saves == at, s.c
     woke = 1e9
     while s.now < 150.0 and not s.state.over:
@@ -331,7 +335,7 @@
     return s
 
 
-def whole(s: Stage) -> bool:
+def complete(s: Stage) -> bool:
     return (
         s.state.phase == "done"
         and not s.below
@@ -340,18 +344,18 @@
 
 
 @pytest.mark.parametrize("at", range(2, 12))
-def test_a_conductor_killed_right_after_each_step_is_followed_by_the_next(at: int) -> None:
-    """And the old one, which wakes late and goes on, changes nothing: its number is an older one."""
-    s = overtaken(at, True)
-    assert whole(s) and s.epoch == 2
+def test_a_coordinator_that_fails_after_a_step_is_succeeded_by_another(at: int) -> None:
+    """The old one, which resumes late, changes nothing, because its epoch is older."""
+    s = superseded(at, True)
+    assert complete(s) and s.epoch == 2
 
 
-def test_without_the_fence_a_late_conductor_breaks_the_window() -> None:
-    assert not all(whole(overtaken(at, False)) for at in range(2, 12))
+def test_without_fencing_a_superseded_coordinator_breaks_the_window() -> None:
+    assert not all(complete(superseded(at, False)) for at in range(2, 12))
 
 
-def test_a_crash_elsewhere_holds_the_next_step_and_calls_back_what_can_come_back() -> None:
-    s = stage(6.0).run(3.0)
+def test_a_crash_elsewhere_delays_the_next_step_and_recalls_racks() -> None:
+    s = new_stage(6.0).run(3.0)
     assert s.state.of(AWAY) == ["a"]
     lost = [u for u in s.f.units if u.zone == "c"]
     s.f = s.f._replace(units=tuple(u for u in s.f.units if u not in lost))
@@ -364,7 +368,7 @@
 
 
 def test_a_drain_is_called_back_when_the_demand_rises() -> None:
-    s = stage(6.0).run(1.75)
+    s = new_stage(6.0).run(1.75)
     s.f = s.f._replace(demand={"gate": 9.0})
     s.run(1.0)
     assert s.log[-1] == "drain called back a" and not s.state.rules and not s.state.depots
@@ -374,20 +378,20 @@
     assert s.run(120.0).state.phase == "done"
 
 
-def test_a_rack_that_stays_away_holds_the_window_until_it_goes_on_without_it() -> None:
-    s = stage(4.0)
+def test_a_rack_that_stays_away_blocks_the_window_until_resumed_without_it() -> None:
+    s = new_stage(4.0)
     s.never = {"a"}
     s.run(60.0)
     assert s.c.late == ["a"] and s.c.why == ["rack a is away for too long"] and s.state.of(AWAY) == ["a"]
     s.order("resume")
     s.run(120.0)
     assert s.state.phase == "done" and s.state.racks["a"].state == "lost" and not s.below
-    # a is gone for good: b and c went one after the other, as the fleet was by then
+    # a is away for good; b and c went one after the other, planned with the remaining fleet
     assert "drains b" in s.log and "drains c" in s.log and "net:10.1.0.0/24" in s.state.rules
 
 
-def test_what_stays_away_may_leave_no_way_on() -> None:
-    s = stage(6.0)
+def test_a_rack_that_stays_away_may_leave_no_plan() -> None:
+    s = new_stage(6.0)
     s.never = {"a"}
     s.run(40.0)
     s.order("resume")
@@ -397,7 +401,7 @@
 
 
 def test_pause_resume_and_abort_with_a_rack_half_empty() -> None:
-    s = stage(6.0)
+    s = new_stage(6.0)
     s.f = s.f._replace(rested=False)
     s.run(2.0)
     assert s.state.of(DRAINING) == ["a"] and s.state.depots == ["depot-0"]
@@ -412,16 +416,16 @@
     assert isinstance(s.c.ordered("resume", s.now), Refused)
 
 
-def test_an_abort_calls_back_what_is_away_and_waits_for_it() -> None:
-    s = stage(6.0).run(3.0)
+def test_an_abort_recalls_racks_and_waits_for_them() -> None:
+    s = new_stage(6.0).run(3.0)
     s.order("abort")
     s.run(1.0)
     assert s.state.phase == "aborting" and s.state.racks["a"].recalled
     assert s.run(20.0).state.phase == "aborted" and s.state.racks["a"].state == "back"
 
 
-def test_a_plan_against_a_fleet_that_has_changed_is_made_anew() -> None:
-    s = stage(old='nets = ["10.2.0.0/24"]', new='nets = ["10.2.0.0/24"]\nbeside = ["c"]')
+def test_a_changed_fleet_is_planned_again() -> None:
+    s = new_stage(old='nets = ["10.2.0.0/24"]', new='nets = ["10.2.0.0/24"]\nbeside = ["c"]')
     assert ["b", "c"] in [list(step) for step in s.state.steps]
     s.f = s.f._replace(demand={"gate": 6.0})
     s.run(120.0)
@@ -435,27 +439,27 @@
     assert found == Refused(409, "rack b cannot go down even alone: workers of berth: 0 left, 1 needed")
 
 
-def test_a_window_that_is_over_time_begins_no_step() -> None:
-    s = stage(6.0, old="longest_s = 400", new="longest_s = 90").run(6.0)
+def test_a_window_without_enough_time_begins_no_step() -> None:
+    s = new_stage(6.0, old="longest_s = 400", new="longest_s = 90").run(6.0)
     s.order("pause")
     s.run(60.0)
     s.order("resume")
     s.run(10.0)
-    assert s.c.why == ["what is left of the window is shorter than the 30 s of the next step"]
+    assert s.c.why == ["the rest of the window is shorter than the 30 s of the next step"]
     assert s.state.phase == "running" and not s.state.rules and not s.below
 
 
 MUTANTS: dict[str, tuple[str, Any]] = {
-    "hands over while deliveries are out": ("rested", lambda f: f._replace(rested=True)),
-    "takes who never left for returned": ("returned", lambda course, there: True),
-    "forgets what is away": ("hurt", lambda d, f, down: hurt(d, f, [])),
+    "hands over with open deliveries": ("rested", lambda f: f._replace(rested=True)),
+    "treats racks that never left as returned": ("returned", lambda course, there: True),
+    "ignores racks that are away": ("hurt", lambda d, f, down: hurt(d, f, [])),
 }
 
 
 @pytest.mark.parametrize("mutant", MUTANTS)
-def test_mutants_of_the_conductor_are_caught(mutant: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_mutants_of_the_coordinator_are_detected(mutant: str, monkeypatch: pytest.MonkeyPatch) -> None:
     def sound() -> bool:
-        s = stage(6.0)
+        s = new_stage(6.0)
         s.f = s.f._replace(rested=False)
         s.run(6.0)
         early = s.state.of(AWAY)
@@ -477,21 +481,21 @@
         look = Conductor.look
         monkeypatch.setattr(Conductor, "look", lambda self, now, f: look(self, now, planted(f)))
     else:
-        monkeypatch.setattr(conducting, what, planted)
-    if what == "hurt":  # it has to be hurt to be seen
-        s = stage(6.0).run(1.75)
+        monkeypatch.setattr(coordinator_module, what, planted)
+    if what == "hurt":  # visible only when a need is not met
+        s = new_stage(6.0).run(1.75)
         s.f = s.f._replace(demand={"gate": 9.0})
         assert s.run(8.0).below
     else:
         assert not sound()
 
 
-def test_the_state_reads_back_as_it_was_written() -> None:
-    s = stage(6.0).run(3.0)
+def test_the_state_survives_a_round_trip() -> None:
+    s = new_stage(6.0).run(3.0)
     assert read(s.state.body()) == s.state and read(b"") is None
     course = s.state.racks["a"]
-    assert not returned(course, conducting.contents(s.d, fleet())["a"])
-    assert returned(replace(course, as_is=True), conducting.contents(s.d, s.f)["a"])
+    assert not returned(course, coordinator_module.contents(s.d, fleet())["a"])
+    assert returned(replace(course, as_is=True), coordinator_module.contents(s.d, s.f)["a"])
 
 
 # ---- commands
@@ -501,7 +505,7 @@
     return {"role": role, "node": node, "zone": "a", "life": 1} | more
 
 
-def test_the_commands_plan_by_what_processes_say_of_themselves(
+def test_the_commands_plan_by_the_statuses_of_processes(
     tmp_path: Path, capsys: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     workers = [
@@ -544,8 +548,8 @@
     assert window_commands.offices(answers) == [("127.0.0.1", i + 1) for i in range(3)]
 
 
-def test_a_report_draws_live_slots_against_needs(tmp_path: Path, capsys: Any) -> None:
-    s, record = stage(6.0), tmp_path / "record"
+def test_a_report_plots_live_slots_against_needs(tmp_path: Path, capsys: Any) -> None:
+    s, record = new_stage(6.0), tmp_path / "record"
     with record.open("w") as out:
         for _ in range(8):
             s.run(5.0)
@@ -577,26 +581,26 @@
     assert page.read_text().count("<polyline") == 3 and "night &lt;1&gt;" in page.read_text()
     record.write_text("no record\n")
     assert run(["maintenance", "report", "--record", str(record)]) == 2
-    assert f"{record}:1: this line is no record" in capsys.readouterr().err
+    assert f"{record}:1: this line is not a record" in capsys.readouterr().err
 
 
 # ---- the shares
 
 
-def test_max_min_gives_each_what_it_wants_or_the_same_part_by_weight() -> None:
+def test_max_min_gives_each_its_demand_or_an_equal_part_by_weight() -> None:
     assert maxmin({"a": 1, "b": 9, "c": 9}, {}, 9) == {"a": 1, "b": 4, "c": 4}
     assert maxmin({"a": 9, "b": 9}, {"a": 2.0}, 9) == {"a": 6, "b": 3}
     assert maxmin({"a": 1, "b": 2}, {}, 9) == {"a": 1, "b": 2} and maxmin({}, {}, 9) == {}
 
 
-def test_what_is_unused_is_lent_and_borrowers_give_back_first() -> None:
+def test_unused_shares_are_lent_and_borrowers_wait_first() -> None:
     s = Share({}, {}, 0.0)
     s.observe(0.1, 12.0, {}, 0)
     taken = 0
     while not s.ask("crowd", 0):
         taken += 1
-    assert taken == 12 and s.figures["lent"] == 0  # alone it may have all by right
-    assert s.ask("gate", 0) == 0.0  # and another still comes in, within its half
+    assert taken == 12 and s.figures["lent"] == 0  # alone it is entitled to all places
+    assert s.ask("gate", 0) == 0.0  # another is still accepted, within its half
     s.observe(0.2, 12.0, {"crowd": 12, "gate": 1}, 6)
     waits = [s.ask("crowd", 0) for _ in range(3)]
     assert all(0.0 < w <= MAX_RETRY_AFTER for w in waits)
@@ -605,11 +609,11 @@
     assert [s.ask("crowd", 0) for _ in range(2)] == [0.0] * 2 and s.ask("crowd", 0) > 0.0
 
 
-def test_over_its_share_the_lower_priority_is_refused_first_and_comes_back_later() -> None:
+def test_over_its_share_the_lower_priority_is_refused_first() -> None:
     s = Share({"r0": "p", "r1": "p"}, {}, 0.0)
     s.observe(0.1, 12.0, {}, 0)
     assert s.ask("r0", 0) == 0.0 == s.ask("r1", 1)
-    s.observe(2.1, 12.0, {"p": 5, "q": 9}, 20)  # each has a right to six, the lower priority to 4.5
+    s.observe(2.1, 12.0, {"p": 5, "q": 9}, 20)  # each is entitled to six, the lower priority to 4.5
     assert s.ask("r1", 1) > 0.0 == s.ask("r0", 0)
     s.observe(2.2, 12.0, {"p": 6, "q": 9}, 1)
     assert 0.0 < s.ask("r0", 0) < s.ask("r1", 1)
