--- a/opalwick/post/maintenance/racks.py
+++ b/opalwick/post/maintenance/racks.py
@@ -120,7 +120,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Own:
+class SystemNeeds:
     """Minimum of the system itself. Controllers always keep their majority."""
 
     copies: int = by(from_one, default=2)  # replicas of a message: survive.boxes + 1
@@ -151,7 +151,7 @@
     longest_s: float = by(above)  # s, duration of the whole window
     racks: list[Rack] = by(each(Rack))
     needs: list[Need] = by(each(Need), default_factory=list)
-    own: Own = by(one(Own), default=Own())
+    own: SystemNeeds = by(one(SystemNeeds), default=SystemNeeds())
     together: int = by(from_one, default=1)  # racks that may be down at the same time
     shares: list[Shares] = by(each(Shares), default_factory=list)
 
--- a/opalwick/post/maintenance/shares.py
+++ b/opalwick/post/maintenance/shares.py
@@ -73,7 +73,7 @@
         self.places, self.held, self.observed_at = places, dict(held), now
 
     @property
-    def short(self) -> bool:
+    def scarce(self) -> bool:
         """Whether the slots are all busy, so that nothing more is lent."""
         return sum(self.held.values()) >= LENT * self.places
 
@@ -91,7 +91,7 @@
         ranks.add(prio)
         held = self.held.get(partner, 0)
         part = max(MIN_PRIORITY_SHARE, 1.0 - PRIORITY_STEP * sum(other < prio for other in ranks))
-        if self.short:
+        if self.scarce:
             allotted = part * self.allotted(partner)
             if held + 1 > max(1.0, allotted):
                 self.figures["refused"] += 1
--- a/opalwick/post/office/notices.py
+++ b/opalwick/post/office/notices.py
@@ -15,16 +15,16 @@
 from opalwick.post.station import Link
 from opalwick.post.wire_pb2 import Known, News, Spread, View
 
-PATIENCE = 0.85  # s for a majority's answers: callers time out after 1 s
-LIFE_SHIFT = 20  # bits of a call number that count the calls of one incarnation
-MOST = 1024  # pending notices; more are refused
+CONFIRM_TIMEOUT = 0.85  # s for a majority's answers: callers time out after 1 s
+INCARNATION_SHIFT = 20  # bits of a call number that count the calls of one incarnation
+MAX_NOTICES = 1024  # pending notices; more are refused
 
 Answer = Callable[[bool], None]
 
 
 def first_call(life: int) -> int:
     """Call numbers include the process incarnation, so answers to an earlier one are never mistaken."""
-    return life << LIFE_SHIFT
+    return life << INCARNATION_SHIFT
 
 
 @dataclass(slots=True)
@@ -40,29 +40,29 @@
     """The updates that wait for confirmation."""
 
     def __init__(self, views: Views, life: int) -> None:
-        self.views, self.last = views, first_call(life)
+        self.views, self.last_call = views, first_call(life)
         self.waiting: dict[int, Notice] = {}
 
     def tell(self, now: float, update: News, offices: Iterable[Link], answer: Answer) -> None:
         """Sends `update`; calls `answer` with True once a majority has it, with False on a timeout."""
-        self.last += 1
-        call = self.last
+        self.last_call += 1
+        call = self.last_call
         message = Spread(call=call, news=update)
         for link in offices:
             link.say("spread", message)
-        if len(self.waiting) >= MOST or not self.views.reaches:
+        if len(self.waiting) >= MAX_NOTICES or not self.views.reaches:
             answer(False)
             return
-        self.waiting[call] = Notice(answer, now + PATIENCE)
-        self.look(call)
+        self.waiting[call] = Notice(answer, now + CONFIRM_TIMEOUT)
+        self.answer_if_confirmed(call)
 
     def known(self, office: str, message: Known) -> None:
         """Handles an acknowledgement: a controller has received the update and forwarded it."""
         if (notice := self.waiting.get(message.call)) is not None:
             notice.known[office] = message.view
-            self.look(message.call)
+            self.answer_if_confirmed(message.call)
 
-    def look(self, call: int) -> None:
+    def answer_if_confirmed(self, call: int) -> None:
         """Answers once a majority of the newest view that was reported has acknowledged."""
         notice = self.waiting[call]
         newest = max([self.views.view, *notice.known.values()], key=lambda view: int(view.epoch))
--- a/opalwick/post/office/registry.py
+++ b/opalwick/post/office/registry.py
@@ -11,7 +11,8 @@
 from opalwick.post.wire_pb2 import News, Node, Worker
 
 MISSED = 3.5  # missed heartbeats until a worker counts as silent: two lost calls and a late one
-MISSING = 30.0  # s without a link until a node counts as gone: longer than a restart or a temporary partition
+# s without a link until a node counts as gone: longer than a restart or a temporary partition
+GONE_AFTER = 30.0
 # s for which a departed worker is remembered: far longer than a message about it is in transit
 FORGOTTEN = 120.0
 
@@ -71,13 +72,13 @@
         return self.directory.merge(News(nodes=[node]))
 
     def missing(self, now: float, linked: set[str]) -> News:
-        """At the primary: marks nodes without a link for MISSING s as gone. They may come back."""
+        """At the primary: marks nodes without a link for GONE_AFTER s as gone. They may come back."""
         self.now = now
         update = News()
         for name, node in self.directory.nodes.items():
             if name in linked:
                 self.linked_at[name] = now
-            elif not node.gone and now - self.linked_at.setdefault(name, now) > MISSING:
+            elif not node.gone and now - self.linked_at.setdefault(name, now) > GONE_AFTER:
                 gone = Node()
                 gone.CopyFrom(node)
                 gone.gone = True
--- a/opalwick/post/office/role.py
+++ b/opalwick/post/office/role.py
@@ -138,7 +138,7 @@
         self.waiting: dict[int, tuple[float, Callable[[int, bytes], None]]] = {}
         self.calls = first_call(life)
         self.notices = Notices(self.views, life)
-        self.left_at = 0.0  # s, when it was told to shut down
+        self.shutdown_at = 0.0  # s, when it was told to shut down
         self.last_conf = b""
         self.empty: dict[str, bool] = {}  # by store: whether it reported that it has no messages left
         self.votes = self.ip in self.views.voters
@@ -710,7 +710,7 @@
 
     def leave(self) -> None:
         """Starts a shutdown: leadership and membership are handed over first, if another can take them."""
-        self.left_at = self.now
+        self.shutdown_at = self.now
         self.views.leave()
         for link in self.of("office"):
             link.say("pulse", self.beat(link))
@@ -718,9 +718,9 @@
     @property
     def gone(self) -> bool:
         """Whether the shutdown may end: the handover is complete, or its time is over."""
-        age = self.now - self.left_at
+        age = self.now - self.shutdown_at
         return (
-            bool(self.left_at)
+            bool(self.shutdown_at)
             and age >= MIN_SHUTDOWN
             and (not self.views.needed or age >= HANDOVER_SHARE * self.settings.bounds.grace)
         )
--- a/opalwick/post/office/window.py
+++ b/opalwick/post/office/window.py
@@ -46,7 +46,7 @@
         self.due = {svc: int(count) for svc, count in message.due.items()}
 
 
-class Controller(Protocol):
+class CoordinatorHost(Protocol):
     """What the coordinator needs from its controller; implemented by the controller's role."""
 
     node: str
@@ -72,7 +72,7 @@
 class Window:
     """The maintenance window of one controller."""
 
-    def __init__(self, office: Controller) -> None:
+    def __init__(self, office: CoordinatorHost) -> None:
         self.controller, self.conductor = office, Conductor()
         self.gateway_reports: dict[str, GatewayReport] = {}
         self.settled: dict[str, bool] = {}  # by store: whether its replicas are up to date
