--- a/bench/maintenance.py
+++ b/bench/maintenance.py
@@ -22,9 +22,9 @@
 from opalwick.lab.post.kinds import CLOSING, KINDS
 from opalwick.lab.post.run import history, play
 from opalwick.lab.post.window import served
-from opalwick.post.maintenance.fleet import Fleet, Machine, Unit
-from opalwick.post.maintenance.needs import hurt
-from opalwick.post.maintenance.planner import FAIR, SMALL, Impossible, Planner
+from opalwick.post.maintenance.fleet import Fleet, LiveWorker, Machine
+from opalwick.post.maintenance.needs import unmet_needs
+from opalwick.post.maintenance.planner import EXACT_LIMIT, MAX_UNFAIRNESS, NoPlan, Planner
 from opalwick.post.maintenance.racks import Declaration, check
 
 ZONES = "abc"
@@ -68,7 +68,7 @@
                 own.append(f"{role}-{r}")
         for svc in services:
             units += [
-                Unit(f"{svc}-{r}.{n}", svc, ZONES[r % 3], f"10.{r}.0.{n + 1}", draw.choice((2, 4, 8)))
+                LiveWorker(f"{svc}-{r}.{n}", svc, ZONES[r % 3], f"10.{r}.0.{n + 1}", draw.choice((2, 4, 8)))
                 for n in range(draw.choice((0, 1, 2, 2, 3)))
             ]
         given.append(
@@ -141,16 +141,16 @@
         found = p.plan()
         passed = time.process_time() - at
         spent, worst = spent + passed, max(worst, passed)
-        if isinstance(found, Impossible):
+        if isinstance(found, NoPlan):
             counts["impossible"] += 1
-            assert any(p.hurt((name,)) for name in p.racks)
+            assert any(p.unmet_needs((name,)) for name in p.racks)
             continue
         counts["planned"] += 1
-        counts["needs_broken"] += any(hurt(p.declared, p.fleet, p.down(step)) for step in found.steps)
-        ours, greedy, singly = (p.tidy(steps) for steps in (found.steps, p.greedy(), p.singly()))
+        counts["needs_broken"] += any(unmet_needs(p.declared, p.fleet, p.down(step)) for step in found.steps)
+        ours, greedy, singly = (p.normalized(steps) for steps in (found.steps, p.greedy(), p.one_at_a_time()))
         counts["worse_than_greedy"] += p.key(ours) > p.key(greedy)
         counts["worse_than_singly"] += p.key(ours) > p.key(singly)
-        if len(p.racks) <= SMALL:
+        if len(p.racks) <= EXACT_LIMIT:
             counts["small"] += 1
             searched, exact = p.search(), p.exact()
             counts["search_worse_than_exact"] += p.key(searched) > p.key(exact)
@@ -166,8 +166,8 @@
             row = rows.setdefault(name, dict.fromkeys(("steps", "hours", "unfair", "breaks_needs"), 0.0))
             row["steps"] += len(steps)
             row["hours"] += p.seconds(steps) / 3600.0
-            row["unfair"] += max(p.loss(steps)) > FAIR * max(p.fair) + 1e-6
-            row["breaks_needs"] += not all(p.bears(step) for step in steps)
+            row["unfair"] += max(p.loss(steps)) > MAX_UNFAIRNESS * max(p.fair) + 1e-6
+            row["breaks_needs"] += not all(p.feasible(step) for step in steps)
     many = counts["planned"] or 1
     for name, row in rows.items():
         print(
--- a/opalwick/lab/post/roles.py
+++ b/opalwick/lab/post/roles.py
@@ -18,8 +18,8 @@
 from opalwick.post.counter.role import Counter
 from opalwick.post.depot.agent import GATHER, load, on_disk
 from opalwick.post.depot.role import Depot
-from opalwick.post.office.agent import LOOK, REMEMBER
-from opalwick.post.office.role import Office
+from opalwick.post.office.agent import POLL_INTERVAL, STORE_INTERVAL
+from opalwick.post.office.role import Controller
 from opalwick.post.settings import Settings
 from opalwick.post.verdict import Verdict, of_status
 from opalwick.protocol.conversation import Call
@@ -309,19 +309,19 @@
 
 
 class OfficeProc(Serving):
-    role: Office
+    role: Controller
 
     def __init__(self, world: Any, machine: Machine) -> None:
         super().__init__(world, machine)
         self.saving = False
-        self.role.recall(machine.disk.remembered())
+        self.role.load_directory(machine.disk.remembered())
 
     def make(self, settings: Settings, life: int, now: float) -> Any:
-        return quiet(Office)(settings, life, now, self.machine.disk.load())  # type: ignore[call-arg]
+        return quiet(Controller)(settings, life, now, self.machine.disk.load())  # type: ignore[call-arg]
 
     def begin(self) -> None:
         super().begin()
-        self.after(REMEMBER, self.remember)
+        self.after(STORE_INTERVAL, self.remember)
 
     def whole(self, call: Call) -> None:
         """As `Calling.whole`; an exception ends the connection there."""
@@ -348,10 +348,10 @@
         self.settle()
 
     def remember(self) -> None:
-        if not self.saving and (told := self.role.memory()) is not None:
+        if not self.saving and (told := self.role.directory_to_store()) is not None:
             disk, self.saving = self.machine.disk, True
             self.machine.on_disk(self, lambda: disk.remember(told), lambda _: self.saved([]))
-        self.after(REMEMBER, self.remember)
+        self.after(STORE_INTERVAL, self.remember)
 
     def term(self) -> None:
         self.role.leave()
@@ -359,7 +359,7 @@
         self.leave()
 
     def leave(self) -> None:
-        self.after(0.0 if self.role.gone else LOOK, self.exit if self.role.gone else self.leave)
+        self.after(0.0 if self.role.gone else POLL_INTERVAL, self.exit if self.role.gone else self.leave)
 
 
 DISKS.update(depot=disks.Depot, office=lambda name: disks.Office())
--- a/opalwick/lab/post/window.py
+++ b/opalwick/lab/post/window.py
@@ -17,7 +17,7 @@
 from opalwick.lab.post.process import Machine
 from opalwick.lab.post.workers import Worker, request
 from opalwick.lab.post.world import World
-from opalwick.post.maintenance.fleet import Fleet, Unit
+from opalwick.post.maintenance.fleet import Fleet, LiveWorker
 from opalwick.post.maintenance.fleet import Machine as Seen
 from opalwick.post.maintenance.planner import Planner
 from opalwick.post.maintenance.racks import check
@@ -172,7 +172,7 @@
         rate = self.day.rate / sum(s.share for s in self.day.services)
         fleet = Fleet(
             tuple(
-                Unit(w.id, w.service.name, w.zone, w.place[0], w.service.slots)
+                LiveWorker(w.id, w.service.name, w.zone, w.place[0], w.service.slots)
                 for w in self.world.workers
                 if not w.service.static
             ),
--- a/opalwick/lab/verify/leases.py
+++ b/opalwick/lab/verify/leases.py
@@ -16,8 +16,8 @@
 from opalwick.lab.verify.words import Said, packed, unpacked
 from opalwick.post.counter.ceilings import MARGIN, Ceilings
 from opalwick.post.names import owner
-from opalwick.post.office.duties import Duties
-from opalwick.post.office.role import Office
+from opalwick.post.office.duties import LeaseTable
+from opalwick.post.office.role import Controller
 from opalwick.post.wire_pb2 import Hello
 
 DUTY = "s"
@@ -53,14 +53,14 @@
         self.out.append(packed(kind, word))
 
 
-class Voter(Office):
+class Voter(Controller):
     """An office as far as its duties go: what it answers is the role's own code."""
 
     def __init__(self, now: float, first: bool) -> None:
         self.now, self.ip = now, "me"
         self.views = SimpleNamespace(voters=["me", "a", "b"])  # type: ignore[assignment]
-        self.duties = Duties(now, first)
-        self.told_held, self.votes = {}, True
+        self.leases = LeaseTable(now, first)
+        self.reported_holders, self.votes = {}, True
 
 
 class Leases:
@@ -111,7 +111,7 @@
         whos = sorted({who for way in (*self.links, *self.told) for who in way if who not in OFFICES})
         found = []
         for office, voter in self.voters.items():
-            at = [voter is not None and Seen(self.now, FAR).seen(voter.duties), office in self.frozen]
+            at = [voter is not None and Seen(self.now, FAR).seen(voter.leases), office in self.frozen]
             for who in whos:
                 at += [
                     self.links.get((who, office), ()),
@@ -251,13 +251,13 @@
         known = self.voters[me]
         assert known is not None
         voter = self.voters[me] = Voter(self.now, True)
-        voter.duties = Copier().copy(known.duties)
+        voter.leases = Copier().copy(known.leases)
         mouth = Mouth(Hello(node=node, role="counter", life=int(life)))
         if (sender, me) in self.told:
-            voter.told_held = {mouth: self.told[sender, me]}
+            voter.reported_holders = {mouth: self.told[sender, me]}
         voter.heard(mouth, said[0], unpacked(said))
-        if mouth in voter.told_held:
-            self.told[sender, me] = voter.told_held[mouth]
+        if mouth in voter.reported_holders:
+            self.told[sender, me] = voter.reported_holders[mouth]
         if sender in self.whos():  # else there is no link any more
             self.say(me, sender, mouth.out)
 
@@ -318,8 +318,8 @@
             if voter is None:
                 sure += self.now + 1.5 >= end  # as it starts it grants nothing for the longest lease
             else:
-                held = voter.duties.held.get(DUTY, ("", 0.0))
-                sure += voter.duties.silent_until >= end or (held[0] == who and held[1] >= end)
+                held = voter.leases.grants.get(DUTY, ("", 0.0))
+                sure += voter.leases.no_grants_until >= end or (held[0] == who and held[1] >= end)
         if sure <= len(OFFICES) // 2:
             raise Broken(
                 "beyond its grant",
--- a/opalwick/lab/verify/mutants.py
+++ b/opalwick/lab/verify/mutants.py
@@ -48,10 +48,10 @@
 from opalwick.post.depot.records import Send, Write
 from opalwick.post.depot.seal import Seal
 from opalwick.post.office import numbers
-from opalwick.post.office.duties import Duties
+from opalwick.post.office.duties import LeaseTable
 from opalwick.post.office.notices import Notices as Confirming
-from opalwick.post.office.role import Office
-from opalwick.post.office.views import Answer, Pending, Views
+from opalwick.post.office.role import Controller
+from opalwick.post.office.views import Answer, PendingChange, Views
 from opalwick.post.wire_pb2 import Written
 
 Patch = Callable[[Any, str, Any], None]
@@ -106,8 +106,8 @@
     def alone(self: Views) -> None:
         first = self.queue[0]
         self.number += 1
-        first.number, first.needs = self.number, {self.me}
-        self.say_write()
+        first.number, first.needs = self.number, {self.ip}
+        self.send_write()
 
     patch(Views, "write_next", alone)
 
@@ -132,7 +132,7 @@
 @mutant("takeover", office(Takeover(puts=2, turns=0), *SERVES), "two texts", "lost")
 def a_number_taken_again(patch: Patch) -> None:
     def put(self: Views, call: int, conf: bytes) -> None:
-        self.queue.append(Pending(call, self.read_key(conf), conf, self.now + 0.8))
+        self.queue.append(PendingChange(call, self.read_key(conf), conf, self.now + 0.8))
         if len(self.queue) == 1:
             self.write_next()
 
@@ -155,9 +155,9 @@
 def votes_before_the_sync(patch: Patch) -> None:
     def save(self: Views, *then: Any) -> None:
         for to, kind, word in then:
-            if kind == "vote" and to != self.me:
-                self.say(to, kind, word)
-        SAVE(self, *[one for one in then if one[1] != "vote" or one[0] == self.me])
+            if kind == "vote" and to != self.ip:
+                self.send(to, kind, word)
+        SAVE(self, *[one for one in then if one[1] != "vote" or one[0] == self.ip])
 
     SAVE = Views.save
     patch(Views, "save", save)
@@ -168,7 +168,7 @@
     canvass = Views.canvass
 
     def grants(self: Views, sender: str, word: Any) -> None:
-        self.promised, self.beat_at = min(self.promised, int(word.epoch) - 1), -1e9
+        self.promised, self.primary_seen_at = min(self.promised, int(word.epoch) - 1), -1e9
         canvass(self, sender, word)
 
     patch(Views, "canvass", grants)
@@ -180,7 +180,7 @@
 
     def learns(self: Views, sender: str, word: Any) -> None:
         learn(self, sender, word)
-        self.member = self.member or (not self.blank and self.me in self.view.members)
+        self.member = self.member or (not self.lost_state and self.ip in self.view.members)
 
     patch(Views, "learn", learns)
 
@@ -204,7 +204,7 @@
 
     def bare(self: Views, voter: str) -> None:
         known = self.offered
-        if known is not None and voter != self.me:
+        if known is not None and voter != self.ip:
             self.offered = known[0], b""
         offer_to(self, voter)
         self.offered = known if self.offered is not None else None
@@ -422,23 +422,23 @@
 
 @mutant("lease", lease(Lease(time=2, turns=0)), "two holders", "beyond its grant")
 def granted_to_whoever_asks(patch: Patch) -> None:
-    grant = Duties.lease
+    grant = LeaseTable.lease
 
-    def lease(self: Duties, now: float, who: str, duties: list[str], span: float) -> list[str]:
-        self.held = {}
+    def lease(self: LeaseTable, now: float, who: str, duties: list[str], span: float) -> list[str]:
+        self.grants = {}
         return grant(self, now, who, duties, span)
 
-    patch(Duties, "lease", lease)
+    patch(LeaseTable, "lease", lease)
 
 
 @mutant("lease", lease(Lease(time=3, crash=2, turns=0)), "two holders", "beyond its grant")
 def an_office_that_starts_grants_at_once(patch: Patch) -> None:
-    init = Duties.__init__
+    init = LeaseTable.__init__
 
-    def fresh(self: Duties, now: float, first: bool) -> None:
+    def fresh(self: LeaseTable, now: float, first: bool) -> None:
         init(self, now, True)
 
-    patch(Duties, "__init__", fresh)
+    patch(LeaseTable, "__init__", fresh)
 
 
 @mutant("lease", lease(Lease(time=3, turns=3)), "two holders", "beyond its grant")
@@ -500,14 +500,14 @@
 
 @mutant("notice", told_of_a_drain(cut=1), "confirmed untold")
 def known_is_said_before_it_is_told_on(patch: Patch) -> None:
-    take_news = Office.take_news
+    take_news = Controller.take_news
 
-    def keeps(self: Office, link: Any, news: Any) -> None:
+    def keeps(self: Controller, link: Any, news: Any) -> None:
         spread, self.spread = self.spread, lambda *_, **__: None  # type: ignore[method-assign,assignment]
         take_news(self, link, news)
         self.spread = spread  # type: ignore[method-assign]
 
-    patch(Office, "take_news", keeps)
+    patch(Controller, "take_news", keeps)
 
 
 @mutant("notice", lambda: Replaced(Notice()), "confirmed alone", "confirmed untold")
--- a/opalwick/lab/verify/notices.py
+++ b/opalwick/lab/verify/notices.py
@@ -11,7 +11,7 @@
 
 from opalwick.lab.verify.explorer import Broken, Step
 from opalwick.lab.verify.replayed import Replayed
-from opalwick.post.office.role import Office
+from opalwick.post.office.role import Controller
 from opalwick.post.settings import Settings, parse
 from opalwick.post.wire_pb2 import Hello, View
 from opalwick.protocol.http import Message
@@ -59,7 +59,7 @@
         self.status = status
 
 
-class Quiet(Office):
+class Quiet(Controller):
     def event(self, number: int, **fields: Any) -> None: ...
 
 
--- a/opalwick/lab/verify/offices.py
+++ b/opalwick/lab/verify/offices.py
@@ -18,8 +18,8 @@
 from opalwick.lab.verify.explorer import Broken, Step
 from opalwick.lab.verify.words import Said, packed, unpacked
 from opalwick.post.office import numbers
-from opalwick.post.office.duties import Duties
-from opalwick.post.office.role import Office
+from opalwick.post.office.duties import LeaseTable
+from opalwick.post.office.role import Controller
 from opalwick.post.office.views import Key, Save, Stored, Views
 from opalwick.post.wire_pb2 import Conf, Hello, View
 
@@ -89,14 +89,14 @@
         self.seat.said(self.peer.ip, kind, word)
 
 
-class Seat(Office):
+class Seat(Controller):
     """An office as far as its views go: what it hears, saves and passes on is the role's own code."""
 
     def __init__(self, me: str, stored: Stored | None, blank: bool, now: float) -> None:
         self.ip, self.now = me, now
         self.views = Views(me, COPIES, stored, list(NAMES), blank, now)
         self.saves: list[Save] = []
-        self.duties, self.votes = Duties(now, False), me in self.views.voters
+        self.leases, self.votes = LeaseTable(now, False), me in self.views.voters
         self.batch_on_way: list[Save] | None = None
         self.out: list[tuple[str, Said]] = []
         self.in_force: tuple[Key, bytes] = ((-1, 0), b"")  # what was last in force here
@@ -107,7 +107,7 @@
     def clock(self, now: float) -> None:
         self.now = self.views.now = now
 
-    def office(self, ip: str) -> Mouth | None:  # type: ignore[override]
+    def controller_link(self, ip: str) -> Mouth | None:  # type: ignore[override]
         return Mouth(self, Hello(ip=ip, node=ip, role="office")) if ip in self.views.linked else None
 
     def said(self, to: str, kind: str, word: Any) -> None:
@@ -256,7 +256,7 @@
                 found += [("put", me, *put) for put in self.puts()]
             if left.reads and primary:
                 found.append(("read", me))
-            if left.short and (seat.views.state != "follower" or seat.views.blank):
+            if left.short and (seat.views.state != "follower" or seat.views.lost_state):
                 found.append(("waits", me))
             if left.long:
                 found.append(("waits long", me))
@@ -372,7 +372,7 @@
                 for other in new.names:
                     if other != me and me in self.linked_to(other):
                         new.machines[other] = self.machines[other].copy()
-                        new.seat(other).views.leavers.add(me)
+                        new.seat(other).views.shutting_down.add(me)
             case "ends":
                 new.ends(me, kind)
             case "crashes" | "crashes, written" | "loses its disk":
@@ -463,7 +463,7 @@
 
     def settle(self, me: str) -> None:
         machine, seat = self.machines[me], self.seat(me)
-        Office.settle(seat)
+        Controller.settle(seat)
         if seat.batch_on_way is None and seat.saves:
             seat.batch_on_way = seat.batch()
         out, seat.out = seat.out, []
--- a/opalwick/post/__main__.py
+++ b/opalwick/post/__main__.py
@@ -84,9 +84,9 @@
 
         DepotShell(settings, process).serve()
     elif arguments == ["postmaster"]:
-        from opalwick.post.office.agent import OfficeShell
+        from opalwick.post.office.agent import ControllerShell
 
-        OfficeShell(settings, process).serve()
+        ControllerShell(settings, process).serve()
     else:
         print(USAGE, file=sys.stderr)
         return 2
--- a/opalwick/post/counter/holding.py
+++ b/opalwick/post/counter/holding.py
@@ -53,7 +53,7 @@
     def tick(self, now: float) -> None:
         if not self.of or now < self.look_at:
             return
-        from opalwick.post.maintenance.shares import DEPTH
+        from opalwick.post.maintenance.shares import PLACES_PER_SLOT
 
         self.look_at = now + LOOK
         held: dict[str, dict[str, int]] = {svc: {} for svc in self.of}
@@ -65,13 +65,18 @@
             held[svc][partner] = held[svc].get(partner, 0) + 1
         for svc, share in self.of.items():
             ended = self.rounds.by_service.get(svc, 0)
-            share.observe(now, self.places(svc, DEPTH, self.rounds.resting), held[svc], ended - share.ends)
-            share.ends = ended
+            share.observe(
+                now,
+                self.places(svc, PLACES_PER_SLOT, self.rounds.resting),
+                held[svc],
+                ended - share.completed,
+            )
+            share.completed = ended
 
     def ask(self, route: Route) -> float:
         """Nought, or the seconds after which to come again."""
         share = self.of.get(route.svc)
-        return share.ask(route.name, route.prio) if share is not None else 0.0
+        return share.admit(route.name, route.prio) if share is not None else 0.0
 
     def figures(self) -> dict[str, dict[str, int]]:
         return {svc: dict(share.figures) for svc, share in self.of.items()}
--- a/opalwick/post/maintenance/commands.py
+++ b/opalwick/post/maintenance/commands.py
@@ -35,14 +35,14 @@
 
 def fleet(answers: dict[Place, Any]) -> Any:
     """The planner's snapshot of the fleet from the statuses of all processes; raises Problem."""
-    from opalwick.post.maintenance.fleet import Fleet, Machine, Unit
+    from opalwick.post.maintenance.fleet import Fleet, Machine, LiveWorker
 
     statuses = [one for one in answers.values() if isinstance(one, dict)]
     office = next((one for one in statuses if one["role"] == "office" and one["active"]), None)
     if office is None:
         raise Problem("no active primary answers")
     units = tuple(
-        Unit(w["id"], w["svc"], w["zone"], w["address"].rpartition(":")[0], w["capacity"])
+        LiveWorker(w["id"], w["svc"], w["zone"], w["address"].rpartition(":")[0], w["capacity"])
         for w in office["workers"]
         if w["state"] == "up"
     )
@@ -99,23 +99,23 @@
     file
         the declaration (TOML or JSON)
     """
-    from opalwick.post.maintenance.planner import Impossible, Planner
+    from opalwick.post.maintenance.planner import NoPlan, Planner
 
     planner = Planner(declared(file), fleet(everybody(at)))
     found = planner.plan()
-    if isinstance(found, Impossible):
+    if isinstance(found, NoPlan):
         if not told(
             {
                 "why": found.why,
-                "sure": found.sure,
-                "stands": {rack: [str(one) for one in why] for rack, why in found.stands.items()},
+                "sure": found.proven,
+                "stands": {rack: [str(one) for one in why] for rack, why in found.blocking.items()},
             },
             json,
         ):
-            print(found.why if found.sure else f"{found.why}: no plan was found, but one may exist")
+            print(found.why if found.proven else f"{found.why}: no plan was found, but one may exist")
             table(
                 "needs that prevent it",
-                [{"rack": rack, "need": str(one)} for rack, why in found.stands.items() for one in why],
+                [{"rack": rack, "need": str(one)} for rack, why in found.blocking.items() for one in why],
             )
         return EXIT_FAILED
     if told({"steps": found.steps, "seconds": found.seconds, "loss": found.loss, "fair": found.fair}, json):
--- a/opalwick/post/maintenance/conductor.py
+++ b/opalwick/post/maintenance/conductor.py
@@ -2,7 +2,7 @@
 are empty, hands them over, waits for their return and warm-up, and checks the needs. No socket, disk or
 clock.
 
-`look()` returns the next desired state. The controller writes it to its own and its backups' disks and then
+`next_state()` returns the next desired state. The controller writes it to its own and its backups' disks and then
 calls `adopt()`. Until then it has no effect, and no other state is requested. So a coordinator that fails has
 done exactly what is saved. The writes of one that was superseded are refused by the disks, because a write
 carries the epoch of the view, which only grows.
@@ -14,9 +14,9 @@
 from dataclasses import replace
 from typing import Any, NamedTuple
 
-from opalwick.post.maintenance.fleet import Content, Fleet, contents
-from opalwick.post.maintenance.needs import Hurt, hurt
-from opalwick.post.maintenance.planner import Impossible, Plan, plan
+from opalwick.post.maintenance.fleet import RackContent, Fleet, contents
+from opalwick.post.maintenance.needs import UnmetNeed, unmet_needs
+from opalwick.post.maintenance.planner import NoPlan, Plan, plan
 from opalwick.post.maintenance.racks import Declaration
 from opalwick.post.maintenance.state import (
     ABORTED,
@@ -50,7 +50,7 @@
     why: str
 
 
-class Conductor:
+class Coordinator:
     """The state machine of the maintenance window."""
 
     def __init__(self) -> None:
@@ -61,7 +61,7 @@
         self.settled_at = self.observing_until = -1e9
         self.lost: dict[str, float] = {}  # by tenant: slot-seconds lost since the state was adopted
         self.why: list[str] = []  # reasons for waiting
-        self.late: list[str] = []  # racks that are away for longer than declared
+        self.overdue: list[str] = []  # racks that are away for longer than declared
 
     def adopt(self, state: State | None, now: float) -> None:
         """Takes over a state that is in force, its own or a predecessor's."""
@@ -106,12 +106,12 @@
             racks[name] = replace(racks[name], state=target, for_s=0.0, **more)
         return replace(s, racks=racks)
 
-    def account(self, now: float, present: dict[str, Content]) -> None:
+    def account(self, now: float, present: dict[str, RackContent]) -> None:
         """Adds the slots that are away to the losses."""
         s = self.state
         assert s is not None
         passed, self.accounted_at = now - max(self.accounted_at, self.at), now
-        for name in s.of(*RESTING):
+        for name in s.racks_in(*RESTING):
             rack_state = s.racks[name]
             slots = rack_state.slots or slots_by_service(present[name])
             for svc, count in slots.items():
@@ -120,7 +120,7 @@
 
     # ---- decisions
 
-    def look(self, now: float, fleet: Fleet) -> State | None:
+    def next_state(self, now: float, fleet: Fleet) -> State | None:
         """The next desired state; None if nothing is to change."""
         s = self.state
         if s is None or s.over or now - self.wanted_at < WRITE_TIMEOUT:
@@ -130,18 +130,18 @@
         if now < self.observing_until:
             self.why = ["the coordinator has just started"]
             return None
-        self.why, self.late = (
+        self.why, self.overdue = (
             [],
-            [name for name in s.of(AWAY) if self.age(name, now) > s.declared.rack(name).longest_s],
+            [name for name in s.racks_in(AWAY) if self.age(name, now) > s.declared.rack(name).longest_s],
         )
         found = self.decide(now, fleet, present, s)
         if found is not None:
             self.wanted_at = now
         return found
 
-    def decide(self, now: float, fleet: Fleet, present: dict[str, Content], s: State) -> State | None:
-        unmet = hurt(s.declared, fleet, [present[name] for name in s.of(*RESTING)])
-        for name in s.of(AWAY, LOST):
+    def decide(self, now: float, fleet: Fleet, present: dict[str, RackContent], s: State) -> State | None:
+        unmet = unmet_needs(s.declared, fleet, [present[name] for name in s.racks_in(*RESTING)])
+        for name in s.racks_in(AWAY, LOST):
             rack_state = s.racks[name]
             if returned(rack_state, present[name]) and (
                 unmet or rack_state.recalled or all(unit.warm for unit in present[name].units)
@@ -150,14 +150,14 @@
                 return self.with_state(now, [name], BACK).logged(
                     "back", rack=name, cold=not all(unit.warm for unit in present[name].units)
                 )
-        draining = s.of(DRAINING)
+        draining = s.racks_in(DRAINING)
         if draining and (unmet or s.phase != RUNNING):
             self.settled_at = now + SETTLE_TIME
             return self.with_state(now, draining, WAITING, depots=(), slots={}).logged(
                 "drain called back", racks=draining, why=descriptions(unmet) or [s.phase]
             )
         recalled = [
-            name for name in s.of(AWAY) if not s.racks[name].recalled and (unmet or s.phase == ABORTING)
+            name for name in s.racks_in(AWAY) if not s.racks[name].recalled and (unmet or s.phase == ABORTING)
         ]
         if recalled:
             found = self.now_as(now)
@@ -170,9 +170,9 @@
             )
         if draining:
             return self.hand_over(now, fleet, present, draining)
-        if away := s.of(AWAY):
+        if away := s.racks_in(AWAY):
             self.why = [
-                f"rack {name} is away" + (" for too long" if name in self.late else "") for name in away
+                f"rack {name} is away" + (" for too long" if name in self.overdue else "") for name in away
             ]
             return None
         if s.phase == ABORTING:
@@ -187,10 +187,12 @@
             return replace(self.now_as(now), at=s.at + 1)
         return self.begin(now, fleet, present, s)
 
-    def begin(self, now: float, fleet: Fleet, present: dict[str, Content], s: State) -> State | None:
+    def begin(self, now: float, fleet: Fleet, present: dict[str, RackContent], s: State) -> State | None:
         """Begins the next step if all needs are met; otherwise plans again or waits."""
         step = [name for name in s.steps[s.at] if s.racks[name].state == WAITING]
-        own_machines = {machine for name in s.of(*RESTING) for machine in s.declared.rack(name).machines}
+        own_machines = {
+            machine for name in s.racks_in(*RESTING) for machine in s.declared.rack(name).machines
+        }
         missing = [name for name in fleet.missing if name not in own_machines]
         missing += [m.name for m in fleet.machines if not m.settled and m.name not in own_machines]
         if missing:
@@ -203,10 +205,10 @@
         if self.now_as(now).ran_s + longest > s.declared.longest_s:
             self.why = [f"the rest of the window is shorter than the {longest:g} s of the next step"]
             return None
-        unmet = hurt(s.declared, fleet, [present[name] for name in (*s.of(*RESTING), *step)])
+        unmet = unmet_needs(s.declared, fleet, [present[name] for name in (*s.racks_in(*RESTING), *step)])
         if unmet:
             left = [name for each in s.steps[s.at :] for name in each if s.racks[name].state == WAITING]
-            found = plan(s.declared, fleet, left, s.of(*RESTING))
+            found = plan(s.declared, fleet, left, s.racks_in(*RESTING))
             self.why = descriptions(unmet)
             if isinstance(found, Plan):
                 return replace(self.now_as(now), steps=(*s.steps[: s.at], *found.steps)).logged(
@@ -225,7 +227,7 @@
         return replace(racks, racks=racks.racks | drained).logged("drains", racks=step)
 
     def hand_over(
-        self, now: float, fleet: Fleet, present: dict[str, Content], names: list[str]
+        self, now: float, fleet: Fleet, present: dict[str, RackContent], names: list[str]
     ) -> State | None:
         """Hands the racks over once they have no open deliveries and their stores are empty."""
         s = self.state
@@ -256,7 +258,7 @@
         if self.state is not None and not self.state.over:
             return Refused(409, f"{self.state.declared.name!r} is {self.state.phase}: abort it first")
         found = plan(declared, fleet)
-        if isinstance(found, Impossible):
+        if isinstance(found, NoPlan):
             return Refused(409, found.why)
         serial = 1 + (self.state.serial if self.state is not None else 0)
         return State(
@@ -267,7 +269,7 @@
             fair=found.fair,
         ).logged("started", steps=[list(step) for step in found.steps])
 
-    def ordered(self, what: str, now: float, rack: str = "") -> State | Refused:
+    def execute(self, what: str, now: float, rack: str = "") -> State | Refused:
         """Executes an order: `pause`, `resume`, `abort`, or `back` for a rack."""
         s = self.state
         if s is None or s.over:
@@ -285,21 +287,23 @@
             return Refused(409, "the window is being aborted")
         target = {"pause": PAUSED, "resume": RUNNING, "abort": ABORTING}[what]
         # resuming while a rack is away for too long means continuing without it
-        found = self.with_state(now, self.late, LOST) if what != "pause" else self.now_as(now)
-        if found.phase == target and found.racks.keys() and not self.late:
+        found = self.with_state(now, self.overdue, LOST) if what != "pause" else self.now_as(now)
+        if found.phase == target and found.racks.keys() and not self.overdue:
             return s
-        return replace(found, phase=target).logged(target, **({"without": self.late} if self.late else {}))
+        return replace(found, phase=target).logged(
+            target, **({"without": self.overdue} if self.overdue else {})
+        )
 
     def figures(self) -> dict[str, Any]:
         """Additional figures for operators."""
-        return {"why": self.why, "late": self.late}
+        return {"why": self.why, "late": self.overdue}
 
 
-def descriptions(unmet: list[Hurt]) -> list[str]:
+def descriptions(unmet: list[UnmetNeed]) -> list[str]:
     return [str(one) for one in unmet]
 
 
-def slots_by_service(content: Content) -> dict[str, int]:
+def slots_by_service(content: RackContent) -> dict[str, int]:
     """The slots of a rack by service."""
     found: dict[str, int] = {}
     for unit in content.units:
@@ -307,7 +311,7 @@
     return dict(sorted(found.items()))
 
 
-def returned(rack_state: RackState, present: Content) -> bool:
+def returned(rack_state: RackState, present: RackContent) -> bool:
     """Whether all that was handed over is present again in a new incarnation, or an operator said so."""
     if rack_state.as_is or not (rack_state.lives or rack_state.slots):
         return rack_state.as_is  # nothing can be observed to return to an empty rack
--- a/opalwick/post/maintenance/fleet.py
+++ b/opalwick/post/maintenance/fleet.py
@@ -9,7 +9,7 @@
 from opalwick.post.maintenance.resting import Resting
 
 
-class Unit(NamedTuple):
+class LiveWorker(NamedTuple):
     """A live worker: it sends heartbeats and is not draining for another reason."""
 
     id: str
@@ -33,7 +33,7 @@
 class Fleet(NamedTuple):
     """The workers and machines that are present, and the demand."""
 
-    units: tuple[Unit, ...] = ()
+    units: tuple[LiveWorker, ...] = ()
     machines: tuple[Machine, ...] = ()
     voters: int = 0  # controllers with a vote, present or not
     demand: Mapping[str, float] = {}  # by service: messages that are due and not completed
@@ -43,23 +43,23 @@
     limit: float = 0.0  # s, the longest time limit of a delivery
 
 
-class Content(NamedTuple):
+class RackContent(NamedTuple):
     """The part of a fleet that is in one rack."""
 
-    units: tuple[Unit, ...]
+    units: tuple[LiveWorker, ...]
     machines: tuple[Machine, ...]
 
 
-def contents(declared: Declaration, fleet: Fleet) -> dict[str, Content]:
+def contents(declared: Declaration, fleet: Fleet) -> dict[str, RackContent]:
     """By rack. A worker that matches two racks (by zone and by address) counts as in the first; it rests
     while either is down.
     """
-    found: dict[str, Content] = {}
+    found: dict[str, RackContent] = {}
     assigned = set[str]()
     for rack in declared.racks:
         rests = Resting(rack.rules)
         units = tuple(u for u in fleet.units if u.id not in assigned and rests(u.id, u.zone, u.host))
         assigned.update(u.id for u in units)
         names = set(rack.machines)
-        found[rack.name] = Content(units, tuple(m for m in fleet.machines if m.name in names))
+        found[rack.name] = RackContent(units, tuple(m for m in fleet.machines if m.name in names))
     return found
--- a/opalwick/post/maintenance/needs.py
+++ b/opalwick/post/maintenance/needs.py
@@ -7,11 +7,11 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from opalwick.post.maintenance.fleet import Content, Fleet
+from opalwick.post.maintenance.fleet import RackContent, Fleet
 from opalwick.post.maintenance.racks import Declaration
 
 
-class Hurt(NamedTuple):
+class UnmetNeed(NamedTuple):
     """A need that is not met."""
 
     need: str
@@ -22,7 +22,7 @@
         return f"{self.need}: {self.has:g} left, {self.needs:g} needed"
 
 
-def hurt(declared: Declaration, fleet: Fleet, down: Iterable[Content]) -> list[Hurt]:
+def unmet_needs(declared: Declaration, fleet: Fleet, down: Iterable[RackContent]) -> list[UnmetNeed]:
     """The needs that are not met while the contents `down` are down."""
     units_down = {one.id for content in down for one in content.units}
     machines_down = {one.name for content in down for one in content.machines}
@@ -30,7 +30,7 @@
 
     def require(need: str, has: float, needs: float) -> None:
         if has + 1e-9 < needs:
-            found.append(Hurt(need, has, needs))
+            found.append(UnmetNeed(need, has, needs))
 
     left = [unit for unit in fleet.units if unit.id not in units_down and unit.warm]
     for need in declared.needs:
--- a/opalwick/post/maintenance/planner.py
+++ b/opalwick/post/maintenance/planner.py
@@ -3,7 +3,7 @@
 The racks of a step go down together, and the next step begins when all are back, so each is away for as long
 as the longest of them. The loss of a tenant is its slots times the seconds for which they are away, divided
 by its weight and its slots. One rack at a time gives each tenant the least possible loss. In a plan, the
-greatest loss of a tenant may be `FAIR` times the greatest loss in that case. Among such plans the one with
+greatest loss of a tenant may be `MAX_UNFAIRNESS` times the greatest loss in that case. Among such plans the one with
 the fewest steps is chosen, then the fairest: the lowest greatest loss, then the lowest second loss, and so
 on.
 
@@ -16,14 +16,14 @@
 from collections.abc import Callable, Iterable, Iterator
 from typing import NamedTuple
 
-from opalwick.post.maintenance.fleet import Content, Fleet, contents
-from opalwick.post.maintenance.needs import Hurt, hurt
+from opalwick.post.maintenance.fleet import RackContent, Fleet, contents
+from opalwick.post.maintenance.needs import UnmetNeed, unmet_needs
 from opalwick.post.maintenance.racks import Declaration
 
-FAIR = 1.1  # limit of the greatest loss of a tenant, relative to the unavoidable one
+MAX_UNFAIRNESS = 1.1  # limit of the greatest loss of a tenant, relative to the unavoidable one
 RANDOM_ORDERS = 24  # random orders tried beside the heuristic ones; more of them found no better plans
 MAX_PASSES = 6  # limit of passes over all pairs of steps in the local search, which mostly ends after two
-SMALL = 7  # number of racks up to which all partitions are tried (877 of them)
+EXACT_LIMIT = 7  # number of racks up to which all partitions are tried (877 of them)
 
 Step = tuple[str, ...]
 
@@ -37,12 +37,12 @@
     fair: dict[str, float]  # by tenant: the least possible loss
 
 
-class Impossible(NamedTuple):
+class NoPlan(NamedTuple):
     """The reason why there is no plan. `sure`: no plan can exist; otherwise none was found."""
 
     why: str
-    stands: dict[str, list[Hurt]]  # by rack: the needs that prevent it from going down
-    sure: bool
+    blocking: dict[str, list[UnmetNeed]]  # by rack: the needs that prevent it from going down
+    proven: bool
 
 
 Steps = tuple[Step, ...]
@@ -72,7 +72,7 @@
         self.entitlements = [(total[i] or 1.0) * declared.weight(t) for i, t in enumerate(self.tenants)]
         self.feasible_cache: dict[frozenset[str], bool] = {}
         self.fair = self.loss((name,) for name in self.racks)
-        self.max_loss = FAIR * max(self.fair, default=0.0) + 1e-9
+        self.max_loss = MAX_UNFAIRNESS * max(self.fair, default=0.0) + 1e-9
 
     def slots(self, units: Iterable[object]) -> list[float]:
         """The slots of these workers by tenant, in the order of `tenants`."""
@@ -83,15 +83,15 @@
 
     # ---- evaluation of steps
 
-    def down(self, step: Iterable[str]) -> list[Content]:
+    def down(self, step: Iterable[str]) -> list[RackContent]:
         """What is down during a step."""
         return [*self.gone, *(self.contents[name] for name in step)]
 
-    def hurt(self, step: Iterable[str]) -> list[Hurt]:
+    def unmet_needs(self, step: Iterable[str]) -> list[UnmetNeed]:
         """The needs that are not met during a step."""
-        return hurt(self.declared, self.fleet, self.down(step))
+        return unmet_needs(self.declared, self.fleet, self.down(step))
 
-    def bears(self, step: Iterable[str]) -> bool:
+    def feasible(self, step: Iterable[str]) -> bool:
         """Whether these racks may be down together."""
         racks = frozenset(step)
         found = self.feasible_cache.get(racks)
@@ -99,7 +99,7 @@
             found = self.feasible_cache[racks] = (
                 len(racks) <= self.declared.together
                 and all(not self.beside[a] or b in self.beside[a] for a in racks for b in racks if a != b)
-                and not self.hurt(sorted(racks))
+                and not self.unmet_needs(sorted(racks))
             )
         return found
 
@@ -132,16 +132,16 @@
 
     # ---- strategies
 
-    def singly(self) -> Steps:
+    def one_at_a_time(self) -> Steps:
         """One rack at a time."""
         return tuple((name,) for name in self.racks)
 
     def greedy(self, order: Iterable[str] | None = None, fair: bool = False) -> Steps:
-        """Puts each rack into the first step where that is feasible. `fair`: within the limit `FAIR` too."""
+        """Puts each rack into the first step where that is feasible. `fair`: within the limit `MAX_UNFAIRNESS` too."""
         steps: list[Step] = []
         for name in order if order is not None else self.racks:
             for i, step in enumerate(steps):
-                if self.bears((*step, name)) and (not fair or self.stays_fair(steps, i, name)):
+                if self.feasible((*step, name)) and (not fair or self.stays_fair(steps, i, name)):
                     steps[i] = (*step, name)
                     break
             else:
@@ -149,7 +149,7 @@
         return tuple(steps)
 
     def stays_fair(self, steps: list[Step], i: int, name: str) -> bool:
-        """Whether the plan stays within `FAIR` with this rack in step `i`."""
+        """Whether the plan stays within `MAX_UNFAIRNESS` with this rack in step `i`."""
         placed = {one for step in steps for one in step} | {name}
         tried = [
             *steps[:i],
@@ -161,7 +161,7 @@
 
     def rack_orders(self) -> Iterator[list[str]]:
         """Orders of the racks for `greedy`: heuristic ones, then random ones with a fixed seed."""
-        partners = {a: sum(self.bears((a, b)) for b in self.racks if b != a) for a in self.racks}
+        partners = {a: sum(self.feasible((a, b)) for b in self.racks if b != a) for a in self.racks}
         weight = {a: sum(self.slots_of[a]) for a in self.racks}
         yield list(self.racks)
         yield sorted(self.racks, key=lambda a: (partners[a], -weight[a]))
@@ -195,19 +195,19 @@
                 for j, target in enumerate(groups):
                     if i == j:
                         continue
-                    if self.bears((*target, name)):
-                        yield self.tidy(
+                    if self.feasible((*target, name)):
+                        yield self.normalized(
                             [*(s for n, s in enumerate(groups) if n not in (i, j)), rest, [*target, name]]
                         )
                     if i < j:
                         for other in target:
                             swapped = [*rest, other], [*(o for o in target if o != other), name]
-                            if all(map(self.bears, swapped)):
-                                yield self.tidy(
+                            if all(map(self.feasible, swapped)):
+                                yield self.normalized(
                                     [*(s for n, s in enumerate(groups) if n not in (i, j)), *swapped]
                                 )
 
-    def tidy(self, steps: Iterable[Iterable[str]]) -> Steps:
+    def normalized(self, steps: Iterable[Iterable[str]]) -> Steps:
         """The same steps in canonical order, as the racks are declared."""
         place = {name: i for i, name in enumerate(self.racks)}
         return tuple(
@@ -219,7 +219,7 @@
 
     def exact(self) -> Steps:
         """The best of all partitions; only for few racks."""
-        return min((self.tidy(steps) for steps in self.partitions(self.racks)), key=self.key)
+        return min((self.normalized(steps) for steps in self.partitions(self.racks)), key=self.key)
 
     def partitions(self, left: list[str]) -> Iterator[list[Step]]:
         """All feasible partitions into steps."""
@@ -230,16 +230,16 @@
         for steps in self.partitions(left[:-1]):
             yield [*steps, (last,)]
             for i, step in enumerate(steps):
-                if self.bears((*step, last)):
+                if self.feasible((*step, last)):
                     yield [*steps[:i], (*step, last), *steps[i + 1 :]]
 
     def search(self) -> Steps:
         """The best result of all strategies. These include one rack at a time and the greedy plan, so the
         result is never worse than either."""
-        found = [self.tidy(self.singly()), self.tidy(self.greedy())]
+        found = [self.normalized(self.one_at_a_time()), self.normalized(self.greedy())]
         seen = set(found)
         for order in self.rack_orders():
-            steps = self.tidy(self.greedy(order, fair=True))
+            steps = self.normalized(self.greedy(order, fair=True))
             if steps not in seen:
                 seen.add(steps)
                 found.append(self.improve(steps))
@@ -255,35 +255,35 @@
             order.append(step)
         return tuple(order)
 
-    def plan(self) -> Plan | Impossible:
+    def plan(self) -> Plan | NoPlan:
         """The best plan, or the reason why there is none."""
-        stands = {name: why for name in self.racks if (why := self.hurt((name,)))}
+        stands = {name: why for name in self.racks if (why := self.unmet_needs((name,)))}
         if stands:
             name, why = next(iter(stands.items()))
-            return Impossible(f"rack {name} cannot go down even alone: {why[0]}", stands, True)
-        steps = self.exact() if len(self.racks) <= SMALL else self.search()
+            return NoPlan(f"rack {name} cannot go down even alone: {why[0]}", stands, True)
+        steps = self.exact() if len(self.racks) <= EXACT_LIMIT else self.search()
         if self.seconds(steps) > self.declared.longest_s:
             least = max(self.longest[name] for name in self.racks)
-            return Impossible(
+            return NoPlan(
                 f"the steps take {self.seconds(steps):g} s, the window has {self.declared.longest_s:g}",
                 self.conflicts(),
-                len(self.racks) <= SMALL or least > self.declared.longest_s,
+                len(self.racks) <= EXACT_LIMIT or least > self.declared.longest_s,
             )
         loss = dict(zip(self.tenants, self.loss(steps)))
         return Plan(self.fair_order(steps), self.seconds(steps), loss, dict(zip(self.tenants, self.fair)))
 
-    def conflicts(self) -> dict[str, list[Hurt]]:
+    def conflicts(self) -> dict[str, list[UnmetNeed]]:
         """For each rack and the next one: the needs that prevent them from going down together."""
-        found: dict[str, list[Hurt]] = {}
+        found: dict[str, list[UnmetNeed]] = {}
         for name, other in zip(self.racks, self.racks[1:]):
-            if why := self.hurt((name, other)):
+            if why := self.unmet_needs((name, other)):
                 found[f"{name} with {other}"] = why
         return found
 
 
 def plan(
     declared: Declaration, fleet: Fleet, racks: Iterable[str] | None = None, gone: Iterable[str] = ()
-) -> Plan | Impossible:
+) -> Plan | NoPlan:
     return Planner(declared, fleet, racks, gone).plan()
 
 
--- a/opalwick/post/maintenance/shares.py
+++ b/opalwick/post/maintenance/shares.py
@@ -14,9 +14,9 @@
 from collections.abc import Mapping
 from typing import Any
 
-DEPTH = 3.0  # due messages per slot: one that runs and two that wait
+PLACES_PER_SLOT = 3.0  # due messages per slot: one that runs and two that wait
 # part of the places up to which unused shares are lent: each slot is busy and nothing waits
-LENT = 1.0 / DEPTH
+LENT = 1.0 / PLACES_PER_SLOT
 # s, range of Retry-After: within a client's waiting time, and the time in which a window changes
 MIN_RETRY_AFTER, MAX_RETRY_AFTER = 0.1, 5.0
 PRIORITY_STEP = 0.25  # part of a partner's share that each lower priority leaves to its higher ones
@@ -53,7 +53,7 @@
         # recent demand by partner; only what a partner does not want is lent
         self.wanted: dict[str, float] = {}
         self.prios: dict[str, set[int]] = {}
-        self.ends, self.completion_rate, self.observed_at = 0, 0.0, now
+        self.completed, self.completion_rate, self.observed_at = 0, 0.0, now
         self.taken = 0
         self.figures = {"refused": 0, "lent": 0}
 
@@ -83,7 +83,7 @@
         wants[partner] = self.places + 1.0
         return maxmin(wants, self.weights, self.places)[partner]
 
-    def ask(self, route: str, prio: int) -> float:
+    def admit(self, route: str, prio: int) -> float:
         """Requests a place for a message: 0 if it is accepted (and counted), else the seconds until a retry.
         Priority 0 is the highest."""
         partner = self.partner(route)
--- a/opalwick/post/maintenance/state.py
+++ b/opalwick/post/maintenance/state.py
@@ -53,19 +53,19 @@
     fair: dict[str, float] = field(default_factory=dict)
     log: tuple[dict[str, Any], ...] = ()
 
-    def of(self, *states: str) -> list[str]:
+    def racks_in(self, *states: str) -> list[str]:
         """The racks in one of these states."""
         return [name for name, course in self.racks.items() if course.state in states]
 
     @property
     def rules(self) -> list[str]:
         """The rules that select the resting workers."""
-        return [rule for name in self.of(*RESTING) for rule in self.declared.rack(name).rules]
+        return [rule for name in self.racks_in(*RESTING) for rule in self.declared.rack(name).rules]
 
     @property
     def depots(self) -> list[str]:
         """The stores to be emptied."""
-        return [depot for name in self.of(*RESTING) for depot in self.racks[name].depots]
+        return [depot for name in self.racks_in(*RESTING) for depot in self.racks[name].depots]
 
     @property
     def over(self) -> bool:
--- a/opalwick/post/office/agent.py
+++ b/opalwick/post/office/agent.py
@@ -14,7 +14,7 @@
 from opalwick.post import events
 from opalwick.post.link import Process, Shell
 from opalwick.post.office.disk import Disk
-from opalwick.post.office.role import Office
+from opalwick.post.office.role import Controller
 from opalwick.post.settings import Settings
 from opalwick.protocol.conversation import Call, Conversation
 from opalwick.protocol.door import Door
@@ -24,9 +24,11 @@
 from opalwick.transport.pulse import Pulse as StallDetector
 
 MAX_BODY = 4 << 20  # bytes of a call: a configuration of ten thousand routes
-REMEMBER = 0.5  # s between checks whether to store the directory; what a crash loses is reported again anyway
+STORE_INTERVAL = (
+    0.5  # s between checks whether to store the directory; what a crash loses is reported again anyway
+)
 DRAIN_TIMEOUT = 1.0  # s at shutdown for calls that were already read: callers wait no longer
-LOOK = 0.02  # s between checks whether the handover at shutdown is complete
+POLL_INTERVAL = 0.02  # s between checks whether the handover at shutdown is complete
 
 
 def limits(settings: Settings) -> Limits:
@@ -50,10 +52,10 @@
             )
 
 
-class OfficeShell(Shell):
+class ControllerShell(Shell):
     """Runs the controller's role on sockets and a disk."""
 
-    role: Office
+    role: Controller
 
     def __init__(self, settings: Settings, process: Process) -> None:
         self.disk, self.settings = Disk(settings.datadir), settings
@@ -62,8 +64,8 @@
         if self.disk.lost:  # a lost disk means that this is not the first start, whatever the settings say
             settings = replace(settings, bootstrap=False)
             events.say(208, blank=True)
-        super().__init__(Office(settings, int(time.time() * 1000), now, stored), process)
-        self.role.recall(self.disk.remembered())
+        super().__init__(Controller(settings, int(time.time() * 1000), now, stored), process)
+        self.role.load_directory(self.disk.remembered())
         self.threads = ThreadPool(1)  # a stalled disk must not delay heartbeats
         self.saving = Event()
         self.limits = limits(settings)
@@ -98,8 +100,8 @@
     def remember(self) -> None:
         """Runs in its own greenlet: stores the directory when it has changed."""
         while True:
-            gevent.sleep(REMEMBER)
-            if (directory := self.role.memory()) is not None:
+            gevent.sleep(STORE_INTERVAL)
+            if (directory := self.role.directory_to_store()) is not None:
                 self.threads.apply(self.disk.remember, (directory,))
 
     def beat(self) -> None:
@@ -130,12 +132,12 @@
         self.role.leave()
         self.settle()
         while not self.role.gone:
-            gevent.sleep(LOOK)
+            gevent.sleep(POLL_INTERVAL)
             self.role.clock(time.monotonic())
         # connections that were not accepted were not read: the caller tries another controller
         accepting.kill()
         until = time.monotonic() + DRAIN_TIMEOUT
         while self.door.conversations and time.monotonic() < until:
-            gevent.sleep(LOOK)
+            gevent.sleep(POLL_INTERVAL)
         self.ending = True
         self.disk.close()
--- a/opalwick/post/office/notices.py
+++ b/opalwick/post/office/notices.py
@@ -50,7 +50,7 @@
         message = Spread(call=call, news=update)
         for link in offices:
             link.say("spread", message)
-        if len(self.waiting) >= MAX_NOTICES or not self.views.reaches:
+        if len(self.waiting) >= MAX_NOTICES or not self.views.reaches_majority:
             answer(False)
             return
         self.waiting[call] = Notice(answer, now + CONFIRM_TIMEOUT)
@@ -66,7 +66,7 @@
         """Answers once a majority of the newest view that was reported has acknowledged."""
         notice = self.waiting[call]
         newest = max([self.views.view, *notice.known.values()], key=lambda view: int(view.epoch))
-        if Views.enough(newest, {self.views.me, *notice.known}):
+        if Views.is_majority(newest, {self.views.ip, *notice.known}):
             del self.waiting[call]
             notice.answer(True)
 
--- a/opalwick/post/office/registry.py
+++ b/opalwick/post/office/registry.py
@@ -10,11 +10,11 @@
 from opalwick.post.directory import Directory
 from opalwick.post.wire_pb2 import News, Node, Worker
 
-MISSED = 3.5  # missed heartbeats until a worker counts as silent: two lost calls and a late one
+MISSED_HEARTBEATS = 3.5  # missed heartbeats until a worker counts as silent: two lost calls and a late one
 # s without a link until a node counts as gone: longer than a restart or a temporary partition
 GONE_AFTER = 30.0
 # s for which a departed worker is remembered: far longer than a message about it is in transit
-FORGOTTEN = 120.0
+FORGET_AFTER = 120.0
 
 
 class Registry:
@@ -23,8 +23,8 @@
     def __init__(self, beat_s: float, now: float) -> None:
         self.beat_s, self.now = beat_s, now
         self.directory = Directory()
-        self.heard_at: dict[str, float] = {}
-        self.chill_to: dict[str, float] = {}
+        self.seen_at: dict[str, float] = {}
+        self.warm_at: dict[str, float] = {}
         self.linked_at: dict[str, float] = {}  # by node
 
     @staticmethod
@@ -50,7 +50,7 @@
             chill=beat.chill,
             calls=beat.calls,
         )
-        return self.take(News(workers=[worker]))
+        return self.apply(News(workers=[worker]))
 
     def left(self, now: float, id: str) -> tuple[News, bool]:
         """Records that a worker has left; returns as `beat` does."""
@@ -60,7 +60,7 @@
         if previous is not None:
             worker.CopyFrom(previous)
             worker.gone = True
-        return self.take(News(workers=[worker]))
+        return self.apply(News(workers=[worker]))
 
     def node(self, now: float, node: Node) -> News:
         """Records that a node's link is up; returns the update."""
@@ -85,15 +85,15 @@
                 update.nodes.append(gone)
         return self.directory.merge(update) if update.nodes else update
 
-    def take(self, update: News) -> tuple[News, bool]:
+    def apply(self, update: News) -> tuple[News, bool]:
         """Applies an update; returns what was new in it, and whether gateways need it."""
         previous = {worker.id: self.directory.workers.get(worker.id) for worker in update.workers}
         fresh = self.directory.merge(update)
         fresh.whole = False  # only the differences are forwarded
         for worker in fresh.workers:
-            self.heard_at[worker.id] = self.now
+            self.seen_at[worker.id] = self.now
             if worker.chill > 0:
-                self.chill_to[worker.id] = self.now + worker.chill
+                self.warm_at[worker.id] = self.now + worker.chill
         changed = any(self.differs(worker, previous[worker.id]) for worker in fresh.workers)
         return fresh, changed or bool(fresh.nodes) or fresh.HasField("conf")
 
@@ -103,18 +103,18 @@
         """
         self.now = now
         update = News()
-        for id in [id for id in self.heard_at if id not in self.directory.workers]:
+        for id in [id for id in self.seen_at if id not in self.directory.workers]:
             # the directory dropped it, as it keeps a limited number of departed workers
-            del self.heard_at[id]
-            self.chill_to.pop(id, None)
+            del self.seen_at[id]
+            self.warm_at.pop(id, None)
         for id, worker in list(self.directory.workers.items()):
-            age = now - self.heard_at.get(id, now)
+            age = now - self.seen_at.get(id, now)
             if worker.gone:
-                if age > FORGOTTEN:
+                if age > FORGET_AFTER:
                     del self.directory.workers[id]
-                    self.heard_at.pop(id, None)
-                    self.chill_to.pop(id, None)
-            elif not worker.silent and age > MISSED * self.beat_s:
+                    self.seen_at.pop(id, None)
+                    self.warm_at.pop(id, None)
+            elif not worker.silent and age > MISSED_HEARTBEATS * self.beat_s:
                 silent = Worker()
                 silent.CopyFrom(worker)
                 silent.silent = True
@@ -126,5 +126,5 @@
         """The full directory, with each worker's remaining warm-up time in s."""
         update = self.directory.whole()
         for worker in update.workers:  # these are copies
-            worker.chill = max(0.0, self.chill_to.get(worker.id, now) - now)
+            worker.chill = max(0.0, self.warm_at.get(worker.id, now) - now)
         return update
--- a/opalwick/post/office/role.py
+++ b/opalwick/post/office/role.py
@@ -23,7 +23,7 @@
 from opalwick.post.home.reading import digest, unkept
 from opalwick.post.names import owner
 from opalwick.post.office import numbers
-from opalwick.post.office.duties import Duties
+from opalwick.post.office.duties import LeaseTable
 from opalwick.post.office.notices import Notices, first_call
 from opalwick.post.office.registry import Registry
 from opalwick.post.office.views import CONFLICT, OK, SUPERSEDED, UNABLE, Save, Stored, Views
@@ -115,7 +115,7 @@
     return json.dumps({"err": f"no store {name!r} is registered"}).encode()
 
 
-class Office(Station):
+class Controller(Station):
     """State machine of a controller."""
 
     role = "office"
@@ -133,7 +133,7 @@
         super().__init__(settings, life, now)
         self.registry = Registry(settings.beat, now)
         self.directory = self.registry.directory
-        self.duties = Duties(now, stored is None and settings.bootstrap)
+        self.leases = LeaseTable(now, stored is None and settings.bootstrap)
         self.saves: list[Save] = []
         self.waiting: dict[int, tuple[float, Callable[[int, bytes], None]]] = {}
         self.calls = first_call(life)
@@ -143,11 +143,11 @@
         self.empty: dict[str, bool] = {}  # by store: whether it reported that it has no messages left
         self.votes = self.ip in self.views.voters
         self.directory_changed = False  # the directory changed since it was last stored
-        self.told_held: dict[Link, dict[str, str]] = {}
+        self.reported_holders: dict[Link, dict[str, str]] = {}
         self.window = Window(self)
         for ip in self.views.voters:
             self.want(ip)
-        self.event(202, epoch=self.views.view.epoch, blank=self.views.blank, known=stored is not None)
+        self.event(202, epoch=self.views.view.epoch, blank=self.views.lost_state, known=stored is not None)
 
     def clock(self, now: float) -> None:
         self.now = self.views.now = self.registry.now = now
@@ -155,7 +155,9 @@
     # ---- links
 
     def pulse(self, link: Link) -> Pulse:
-        return Pulse(settled=self.views.settled, gen=max(0, self.views.known_gen), leaving=self.views.leaving)
+        return Pulse(
+            settled=self.views.has_primary, gen=max(0, self.views.known_gen), leaving=self.views.leaving
+        )
 
     def up(self, link: Link) -> None:
         peer = link.peer
@@ -169,10 +171,10 @@
         self.spread(fresh, True, link.peer.node)
 
     def down(self, link: Link) -> None:
-        self.told_held.pop(link, None)
-        if link.peer.role == "office" and self.office(link.peer.ip) is None:
+        self.reported_holders.pop(link, None)
+        if link.peer.role == "office" and self.controller_link(link.peer.ip) is None:
             self.views.linked.discard(link.peer.ip)
-            self.views.leavers.discard(link.peer.ip)
+            self.views.shutting_down.discard(link.peer.ip)
 
     def heard(self, link: Link, kind: str, message: Any) -> None:
         v = self.views
@@ -180,8 +182,8 @@
             sender = link.peer.ip
             match kind:
                 case "pulse":
-                    (v.unsettled.discard if message.settled else v.unsettled.add)(sender)
-                    (v.leavers.add if message.leaving else v.leavers.discard)(sender)
+                    (v.without_primary.discard if message.settled else v.without_primary.add)(sender)
+                    (v.shutting_down.add if message.leaving else v.shutting_down.discard)(sender)
                 case "spread":
                     self.take_news(link, message.news)
                     link.say("known", Known(call=message.call, view=v.view))
@@ -210,12 +212,12 @@
         elif kind == "lease":
             who = owner(link.peer.node, link.peer.life)
             granted = (
-                self.duties.lease(self.now, who, list(message.duties), message.span) if self.votes else []
+                self.leases.lease(self.now, who, list(message.duties), message.span) if self.votes else []
             )
             if message.call:
-                leases = self.duties.holders(self.now)
-                same = self.told_held.get(link) == leases
-                self.told_held[link] = leases
+                leases = self.leases.holders(self.now)
+                same = self.reported_holders.get(link) == leases
+                self.reported_holders[link] = leases
                 link.say(
                     "leased",
                     Leased(
@@ -229,7 +231,7 @@
 
     def take_news(self, link: Link, update: News) -> None:
         """Applies another controller's update and forwards what is new to gateways and stores first."""
-        fresh, changed = self.registry.take(update)
+        fresh, changed = self.registry.apply(update)
         if changed:
             self.spread(fresh, True, link.peer.node, offices=False)
         for node in fresh.nodes:
@@ -248,7 +250,7 @@
             if link.peer.node != but:
                 link.say("news", update)
 
-    def office(self, ip: str) -> Link | None:
+    def controller_link(self, ip: str) -> Link | None:
         """The link to the controller with that IP address."""
         return next((link for link in self.of("office") if link.peer.ip == ip), None)
 
@@ -274,7 +276,7 @@
             self.votes = votes
             self.event(213, votes=votes, voters=",".join(v.voters))
             if votes:
-                self.duties.joins(self.now)
+                self.leases.joins(self.now)
 
     def deliver(self, to: str, kind: str, message: Any) -> None:
         if to == self.ip:
@@ -287,7 +289,7 @@
                 "write": v.write,
             }
             own[kind](to, message)
-        elif (link := self.office(to)) is not None:
+        elif (link := self.controller_link(to)) is not None:
             link.say(kind, message)
 
     def batch(self) -> list[Save]:
@@ -340,7 +342,7 @@
             return
         if v.state == "primary":
             self.carry_out(what, body, answer)
-        elif v.primary and (link := self.office(v.primary)) is not None:
+        elif v.primary and (link := self.controller_link(v.primary)) is not None:
             link.say("forward", Forward(call=self.wait(answer), what=what, body=body))
         else:
             answer(503, b"")
@@ -494,7 +496,7 @@
         """At the primary: removes stores that are gone from the list of retiring ones."""
         current = Conf.FromString(self.views.in_force)
         nodes = self.directory.nodes
-        own = self.window.own()
+        own = self.window.emptied_stores()
         remaining = [
             name for name in current.retiring if name not in nodes or not nodes[name].gone or name in own
         ]
@@ -639,7 +641,7 @@
                 if changed:
                     self.event(211, worker=beat.id, svc=beat.svc, draining=beat.draining)
                 # without a majority the others may have reported the worker as silent to gateways
-                changed = changed or not self.views.reaches
+                changed = changed or not self.views.reaches_majority
                 if beat.draining:
                     self.confirm(call, name, update, changed)
                     return
@@ -655,7 +657,7 @@
     def in_touch(self) -> bool:
         """Whether a majority of the voters, including itself, was heard from within CONTACT_TIMEOUT."""
         heard = {link.peer.ip for link in self.of("office") if self.now - link.heard_at < CONTACT_TIMEOUT}
-        return Views.enough(self.views.view, {self.ip} | heard)
+        return Views.is_majority(self.views.view, {self.ip} | heard)
 
     def confirm(self, call: Call, worker: str, update: News, changed: bool) -> None:
         """Confirms to a worker that it drains or has left, which promises that no new work arrives. A
@@ -675,7 +677,7 @@
 
     # ---- stored copy of the directory
 
-    def memory(self) -> bytes | None:
+    def directory_to_store(self) -> bytes | None:
         """The directory to store; None if it has not changed."""
         if not self.directory_changed:
             return None
@@ -684,17 +686,17 @@
         found.ClearField("conf")
         return found.SerializeToString()
 
-    def recall(self, stored: bytes) -> None:
+    def load_directory(self, stored: bytes) -> None:
         """Loads the stored directory, so that workers get work before their next heartbeat, and stores have
         the list of nodes to wait for.
         """
-        self.registry.take(News.FromString(stored))
+        self.registry.apply(News.FromString(stored))
 
     # ---- time
 
     def tick(self) -> None:
         self.views.tick(self.now)
-        if self.views.reaches:  # otherwise this controller may be the one that is cut off
+        if self.views.reaches_majority:  # otherwise this controller may be the one that is cut off
             self.spread(self.registry.tick(self.now), True, offices=False)
             if self.views.active:
                 self.spread(self.registry.missing(self.now, {*self.links, self.node}), True)
@@ -734,5 +736,5 @@
             "voters": len(v.voters),
             "workers": sum(not (w.gone or w.silent) for w in self.directory.workers.values()),
             "nodes": len(self.directory.nodes),
-            "duties": len(self.duties.holders(self.now)),
+            "duties": len(self.leases.holders(self.now)),
         }
--- a/opalwick/post/office/status.py
+++ b/opalwick/post/office/status.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from opalwick.post.home.policy import in_force
-from opalwick.post.office.role import Office
+from opalwick.post.office.role import Controller
 from opalwick.post.operators import since
 from opalwick.post.wire_pb2 import Conf
 
@@ -17,35 +17,35 @@
     return "gone" if worker.gone else "silent" if worker.silent else "draining" if worker.draining else "up"
 
 
-def duties(role: Office) -> dict[str, Any]:
+def duties(role: Controller) -> dict[str, Any]:
     return {
         duty: {"holder": who, "until": until - role.now}
-        for duty, (who, until) in sorted(role.duties.held.items())
+        for duty, (who, until) in sorted(role.leases.grants.items())
         if until > role.now
     }
 
 
-def status(role: Office) -> dict[str, Any]:
+def status(role: Controller) -> dict[str, Any]:
     v, registry = role.views, role.registry
     return {
         "ctl": "%s:%d" % role.settings.binds.get("ctl", ("", 0)),
         "state": v.state,
         "active": v.active,
-        "settled": v.settled,
-        "blank": v.blank,
+        "settled": v.has_primary,
+        "blank": v.lost_state,
         "member": v.member,
         "epoch": v.view.epoch,
         "promised": v.promised,
         "primary": v.primary,
         "view": {"primary": v.view.primary, "members": list(v.view.members), "voters": v.voters},
-        "hears_primary": since(role.now, v.beat_at),
-        "voters_heard": {ip: since(role.now, at) for ip, at in sorted(v.heard_at.items())},
+        "hears_primary": since(role.now, v.primary_seen_at),
+        "voters_heard": {ip: since(role.now, at) for ip, at in sorted(v.answered_at.items())},
         "conf": max(0, v.known_gen),
         "conf_here": max(0, v.read_key(v.conf)[0]),
         "changes": len(v.queue),
         "reads": len(v.reads),
         "calls_waiting": len(role.waiting),
-        "grants_in": max(0.0, role.duties.silent_until - role.now),
+        "grants_in": max(0.0, role.leases.no_grants_until - role.now),
         "duties": duties(role),
         "workers": [
             {
@@ -57,14 +57,14 @@
                 "capacity": w.capacity,
                 "state": worker_state(w),
                 "calls": w.calls,
-                "age": since(role.now, registry.heard_at.get(w.id)),
+                "age": since(role.now, registry.seen_at.get(w.id)),
             }
             for w in role.directory.workers.values()
         ],
     }
 
 
-def conf(role: Office) -> dict[str, Any]:
+def conf(role: Controller) -> dict[str, Any]:
     """The newest configuration on this controller's disk. Only an active primary's is certainly in force."""
     v = role.views
     stored = role.last_conf if v.active and role.last_conf else v.conf if v.member else b""
@@ -79,7 +79,7 @@
     }
 
 
-def home(role: Office, look: Any) -> dict[str, Any]:
+def home(role: Controller, look: Any) -> dict[str, Any]:
     """The newest data-residency policy on this controller's disk, and the country of each zone under it."""
     there = conf(role)
     v = role.views
@@ -95,7 +95,7 @@
     }
 
 
-def metrics(role: Office) -> list[Any]:
+def metrics(role: Controller) -> list[Any]:
     v, states = role.views, dict[tuple[str, str], int]()
     for worker in role.directory.workers.values():
         key = worker.svc, worker_state(worker)
@@ -106,9 +106,9 @@
             "settled",
             False,
             "Whether it is the primary or has recently received from one.",
-            [({}, float(v.settled))],
+            [({}, float(v.has_primary))],
         ),
-        ("blank", False, "Lost its disk state and does not vote yet.", [({}, float(v.blank))]),
+        ("blank", False, "Lost its disk state and does not vote yet.", [({}, float(v.lost_state))]),
         (
             "workers_by_state",
             False,
--- a/opalwick/post/office/views.py
+++ b/opalwick/post/office/views.py
@@ -55,7 +55,7 @@
 JOIN_WINDOW = 0.6
 # s after its start that a primary refuses changes while it has too few voters: twice a slow start
 GROWTH_TIMEOUT = 8.0
-MOST = 9  # voters; a larger cluster is represented by the controllers that answered most recently
+MAX_VOTERS = 9  # voters; a larger cluster is represented by the controllers that answered most recently
 
 
 # Statuses of a put. OK: it is in force, or was. CONFLICT: the number belongs to another content. SUPERSEDED:
@@ -102,7 +102,7 @@
     status: int
 
 
-class Pending:
+class PendingChange:
     """A change in progress, and the calls that wait for it, each with the status to answer on success."""
 
     __slots__ = ("calls", "conf", "key", "needs", "number", "until")
@@ -119,18 +119,18 @@
         """`copies`: number of disks that must have a configuration. `voters`: used at the first start only;
         later starts use the stored ones.
         """
-        self.me, self.copies, self.now = me, copies, now
+        self.ip, self.copies, self.now = me, copies, now
         newly_created = stored is None and not blank
         if stored is None:
             view = View(epoch=0, voters=sorted(voters), members=sorted(voters))
             stored = Stored(0, view.SerializeToString(), not blank and me in voters, b"", blank)
         self.promised, self.voted, self.member = stored.promised, stored.voted, stored.member
-        self.conf, self.blank = stored.conf, stored.blank
+        self.conf, self.lost_state = stored.conf, stored.blank
         self.view = View.FromString(stored.view)
         self.key = (-1, 0)  # as primary: key of the configuration in force
         self.state = "follower"  # candidate, installing, primary
         self.epoch = 0  # of this controller's candidacy or term as primary
-        self.beat_at = -1e9  # s, when the primary was last active, in this incarnation
+        self.primary_seen_at = -1e9  # s, when the primary was last active, in this incarnation
         self.started_at = now
         self.undisturbed = True  # no primary and no candidate seen in this incarnation
         # s, when it starts an election unless a primary is active
@@ -139,7 +139,7 @@
         self.in_force = b""  # as primary: the newest configuration that all members have
         self.known_gen = -1  # the newest number that a primary reported as committed
         self.phase_began_at = now
-        self.unsettled = set[str]()  # controllers whose last report was that they have no primary
+        self.without_primary = set[str]()  # controllers whose last report was that they have no primary
         self.linked = set[str]()  # IPs of controllers with an open link; maintained by the role
         self.votes: dict[str, Vote] = {}
         self.avoided: set[str] = set()  # backups that did not answer: chosen again last
@@ -151,13 +151,13 @@
         # as primary: controllers that answer but have no vote, and since when
         self.learners: dict[str, float] = {}
         self.number = 0  # of the last write or heartbeat
-        self.heard_at: dict[str, float] = {}  # as primary: s, when each voter last answered
+        self.answered_at: dict[str, float] = {}  # as primary: s, when each voter last answered
         self.answered: dict[str, int] = {}  # number of the last heartbeat that each answered
         self.heartbeat_sent_at = self.write_sent_at = -1e9
-        self.queue: list[Pending] = []  # changes; the first one is being written
+        self.queue: list[PendingChange] = []  # changes; the first one is being written
         self.reads: list[Read] = []
         self.leaving = False  # this process is shutting down
-        self.leavers = set[str]()  # controllers that reported that they are shutting down
+        self.shutting_down = set[str]()  # controllers that reported that they are shutting down
         self.learned_votes: dict[str, Vote] = {}  # while blank: the others' answers
         self.state_requested_at = -1e9
         self.saves: list[Save] = []
@@ -180,7 +180,7 @@
         return list(self.view.voters)
 
     @staticmethod
-    def enough(view: View, who: Container[str]) -> bool:
+    def is_majority(view: View, who: Container[str]) -> bool:
         """Whether `who` has a majority of the view's voters and, in a joint view, of the old voters too."""
         return all(
             2 * sum(voter in who for voter in voters) > len(voters)
@@ -196,39 +196,43 @@
     @property
     def majority_without_primary(self) -> bool:
         """Whether a majority, including this controller, has reported that it has no primary."""
-        return self.enough(self.view, {self.me} | self.linked & self.unsettled)
+        return self.is_majority(self.view, {self.ip} | self.linked & self.without_primary)
 
     @property
-    def reaches(self) -> bool:
+    def reaches_majority(self) -> bool:
         """Whether it has links to a majority, including itself."""
-        return self.enough(self.view, {self.me} | self.linked)
+        return self.is_majority(self.view, {self.ip} | self.linked)
 
     @property
     def responsive(self) -> set[str]:
         """As primary: the voters that answered within ELECTION_TIMEOUT, including itself."""
-        return {self.me} | {voter for voter, at in self.heard_at.items() if self.now - at < ELECTION_TIMEOUT}
+        return {self.ip} | {
+            voter for voter, at in self.answered_at.items() if self.now - at < ELECTION_TIMEOUT
+        }
 
     @property
     def active(self) -> bool:
         """Whether it is the primary and a majority answered within ELECTION_TIMEOUT."""
-        return self.state == "primary" and self.enough(self.view, self.responsive)
+        return self.state == "primary" and self.is_majority(self.view, self.responsive)
 
     @property
-    def settled(self) -> bool:
+    def has_primary(self) -> bool:
         """Whether it is the active primary, or follows one that was active within ELECTION_TIMEOUT."""
         return self.active or (
-            self.state == "follower" and bool(self.primary) and self.now - self.beat_at < ELECTION_TIMEOUT
+            self.state == "follower"
+            and bool(self.primary)
+            and self.now - self.primary_seen_at < ELECTION_TIMEOUT
         )
 
     @property
     def rank(self) -> int:
         """Its index in the list of voters, by which election timeouts are staggered."""
-        return self.voters.index(self.me) if self.me in self.voters else len(self.view.voters)
+        return self.voters.index(self.ip) if self.ip in self.voters else len(self.view.voters)
 
     def note_activity(self) -> None:
         """Restarts the election timeout: a primary or a candidate is active."""
         self.undisturbed = False
-        self.beat_at = self.now
+        self.primary_seen_at = self.now
         self.election_at = self.now + ELECTION_TIMEOUT + ELECTION_STAGGER * self.rank
 
     def save(self, *then: tuple[str, str, Any]) -> None:
@@ -239,23 +243,23 @@
                     self.view.SerializeToString(),
                     self.member,
                     self.conf,
-                    self.blank,
+                    self.lost_state,
                     self.voted,
                 ),
                 then,
             )
         )
 
-    def say(self, to: str, kind: str, message: Any) -> None:
+    def send(self, to: str, kind: str, message: Any) -> None:
         self.outbox.append((to, kind, message))
 
     def others(self, view: View | None = None) -> list[str]:
         view = self.view if view is None else view
-        return [voter for voter in dict.fromkeys((*view.voters, *view.before)) if voter != self.me]
+        return [voter for voter in dict.fromkeys((*view.voters, *view.before)) if voter != self.ip]
 
     def non_voters(self) -> list[str]:
         """Linked controllers that have no vote."""
-        return sorted(self.linked - {self.me, *self.view.voters, *self.view.before})
+        return sorted(self.linked - {self.ip, *self.view.voters, *self.view.before})
 
     def step_down(self) -> None:
         """Becomes a follower, and answers all waiting calls."""
@@ -278,22 +282,24 @@
 
     def tick(self, now: float) -> None:
         self.now = now
-        if self.blank:
+        if self.lost_state:
             if now - self.state_requested_at > 0.5:
                 self.state_requested_at = now
                 # Every linked controller has the list of voters; those of the settings may all be gone.
                 for voter in dict.fromkeys((*self.others(), *self.non_voters())):
-                    self.say(voter, "canvass", Canvass(epoch=0))
+                    self.send(voter, "canvass", Canvass(epoch=0))
             return
         if self.state == "primary":
             if now - self.heartbeat_sent_at >= HEARTBEAT_INTERVAL:
                 self.send_heartbeats()
-            members = [m for m in self.view.members if m != self.me]
-            late = [m for m in members if now - self.heard_at.get(m, self.phase_began_at) > ELECTION_TIMEOUT]
+            members = [m for m in self.view.members if m != self.ip]
+            late = [
+                m for m in members if now - self.answered_at.get(m, self.phase_began_at) > ELECTION_TIMEOUT
+            ]
             if (late and now - self.phase_began_at > ELECTION_TIMEOUT) or (
                 not self.active and now - self.phase_began_at > 2.0 * ELECTION_TIMEOUT
             ):
-                if not self.reaches:
+                if not self.reaches_majority:
                     self.step_down()
                     self.election_at = now + ELECTION_STAGGER
                     return
@@ -316,7 +322,7 @@
             ):
                 self.start_election([m for m in self.view.voters if m not in self.responsive], voter_change)
             if self.queue and now - self.write_sent_at >= HEARTBEAT_INTERVAL:
-                self.say_write()  # a message may be lost with its link
+                self.send_write()  # a message may be lost with its link
             for pending in [p for p in self.queue if p.until <= now]:
                 self.answers += [Answer(call, UNKNOWN) for call, _ in pending.calls]
                 pending.calls, pending.until = [], 1e18
@@ -329,9 +335,9 @@
                 self.election_at = min(
                     self.election_at, self.started_at + NO_PRIMARY_STAGGER * (1 + self.rank)
                 )
-            if self.me in self.voters and now >= self.election_at and not self.leaving:
-                if self.reaches:
-                    self.start_election(sorted(self.leavers))
+            if self.ip in self.voters and now >= self.election_at and not self.leaving:
+                if self.reaches_majority:
+                    self.start_election(sorted(self.shutting_down))
                 else:  # without a majority the epoch cannot win, and would only disturb the followers
                     self.election_at = now + ELECTION_STAGGER
         elif now - self.phase_began_at <= ROUND_TIMEOUT:
@@ -341,7 +347,7 @@
                     self.send_offer()
                 else:
                     self.request_missing_votes()
-                    if self.enough(self.newest_view(), self.votes):
+                    if self.is_majority(self.newest_view(), self.votes):
                         self.offer()
         else:
             self.step_down()
@@ -356,10 +362,10 @@
     @property
     def needed(self) -> bool:
         """Whether it is the primary or a candidate, or its disk holds one of the required replicas."""
-        return self.state != "follower" or (self.member and self.me in self.view.members)
+        return self.state != "follower" or (self.member and self.ip in self.view.members)
 
     def is_staying(self, voter: str) -> bool:
-        return voter != self.me and voter in self.responsive and voter not in self.leavers
+        return voter != self.ip and voter in self.responsive and voter not in self.shutting_down
 
     def successor(self) -> str | None:
         """As primary: the next primary, preferably a member of the view; None if every voter is leaving."""
@@ -369,7 +375,7 @@
 
     def leaving_members(self) -> list[str]:
         """As primary: members that are shutting down, if other voters can replace all of them."""
-        out = [member for member in self.view.members if member in self.leavers]
+        out = [member for member in self.view.members if member in self.shutting_down]
         spare = [
             voter for voter in self.view.voters if self.is_staying(voter) and voter not in self.view.members
         ]
@@ -379,18 +385,18 @@
         """Steps down at once; the successor starts an election without waiting for its timeout."""
         message = Resign(epoch=self.epoch, heir=successor)
         self.step_down()
-        self.primary, self.beat_at = "", -1e9
+        self.primary, self.primary_seen_at = "", -1e9
         for voter in self.others():
-            self.say(voter, "resign", message)
+            self.send(voter, "resign", message)
 
     def resigned(self, sender: str, message: Resign) -> None:
         if self.state != "follower" or message.epoch != self.view.epoch or sender != self.view.primary:
             return
-        self.primary, self.beat_at = "", -1e9
-        self.leavers.add(sender)
+        self.primary, self.primary_seen_at = "", -1e9
+        self.shutting_down.add(sender)
         self.election_at = (
             self.now
-            if message.heir == self.me
+            if message.heir == self.ip
             else self.now + ELECTION_TIMEOUT + ELECTION_STAGGER * self.rank
         )
 
@@ -408,7 +414,7 @@
         away = [
             v
             for v in voters
-            if v != self.me and self.now - self.heard_at.get(v, self.phase_began_at) >= REPLACEABLE_AFTER
+            if v != self.ip and self.now - self.answered_at.get(v, self.phase_began_at) >= REPLACEABLE_AFTER
         ]
         if fresh and len(away) < sum(v not in self.responsive for v in voters):
             return None  # the voter to replace is not certain yet
@@ -416,7 +422,7 @@
         for ip in fresh:
             if away:
                 after[after.index(away.pop(0))] = ip
-            elif len(after) < MOST:
+            elif len(after) < MAX_VOTERS:
                 after.append(ip)
         if not fresh and away and len(after) % 2 == 0:
             after.remove(away[0])  # an even number tolerates no more losses than one less
@@ -427,12 +433,12 @@
     ) -> None:
         """Starts an election. `voter_change`: new and old voters; only the primary in force sets it."""
         count = max(len(self.voters), 1)
-        place = self.voters.index(self.me)
+        place = self.voters.index(self.ip)
         if self.state == "primary":
             self.step_down()
         self.undisturbed = False
         self.epoch = self.promised = (self.promised // count + 1) * count + place
-        self.voted = self.me
+        self.voted = self.ip
         self.next_voters = None if voter_change is None else (self.view.epoch, *voter_change)
         self.state, self.phase_began_at, self.votes, self.installed = "candidate", self.now, {}, set()
         self.write_sent_at = self.now
@@ -446,7 +452,7 @@
             conf=self.conf if self.member else b"",
         )
         self.save(
-            (self.me, "vote", own),
+            (self.ip, "vote", own),
             *[(voter, "canvass", Canvass(epoch=self.epoch)) for voter in self.others()],
         )
         self.events.append((201, {"epoch": self.epoch}))
@@ -455,18 +461,20 @@
         # the same candidate may get its vote again, as the first answer may be lost
         again = message.epoch == self.promised > self.view.epoch and self.voted == sender
         free = (
-            self.now - self.beat_at > 0.6 * ELECTION_TIMEOUT
+            self.now - self.primary_seen_at > 0.6 * ELECTION_TIMEOUT
             or self.primary == sender
             or self.state in ("candidate", "installing")
         )
-        granted = not self.blank and (again or (message.epoch > self.promised and free and not self.active))
+        granted = not self.lost_state and (
+            again or (message.epoch > self.promised and free and not self.active)
+        )
         vote = Vote(
             epoch=message.epoch,
             granted=granted,
             view=self.view,
             whole=self.member,
             conf=self.conf if self.member else b"",
-            blank=self.blank,
+            blank=self.lost_state,
         )
         if granted:
             self.promise_epoch(message.epoch)
@@ -476,7 +484,7 @@
             self.election_at = self.now + ELECTION_TIMEOUT + ELECTION_STAGGER * self.rank
         else:
             vote.promised = self.promised
-            self.say(sender, "vote", vote)
+            self.send(sender, "vote", vote)
 
     def vote(self, sender: str, message: Vote) -> None:
         if message.epoch == 0:
@@ -492,12 +500,12 @@
             return
         self.votes[sender] = message
         newest = self.newest_view()
-        if self.me not in newest.voters:
+        if self.ip not in newest.voters:
             self.step_down()  # the newest view does not include it as a voter
             self.election_at = self.now + REPLACEABLE_AFTER
-        elif self.enough(newest, self.votes):
+        elif self.is_majority(newest, self.votes):
             self.offer()
-        elif sender != self.me and newest.epoch > self.view.epoch:
+        elif sender != self.ip and newest.epoch > self.view.epoch:
             self.request_missing_votes()  # the newest view has other voters than its own
 
     def newest_view(self) -> View:
@@ -510,7 +518,7 @@
         """Requests votes from those that have not answered."""
         for voter in dict.fromkeys((*self.others(), *self.others(self.newest_view()))):
             if voter not in self.votes:
-                self.say(voter, "canvass", Canvass(epoch=self.epoch))
+                self.send(voter, "canvass", Canvass(epoch=self.epoch))
 
     def offer(self) -> None:
         """With a majority of votes: offers a view with new members and the newest configuration of the old
@@ -526,17 +534,17 @@
         if self.next_voters is not None and self.next_voters[0] == view.epoch:
             _, voters, before = self.next_voters
         able = sorted(
-            (voter for voter in self.votes if voter != self.me and voter in voters),
+            (voter for voter in self.votes if voter != self.ip and voter in voters),
             key=lambda v: (v in self.avoided, v not in view.members, v),
         )
         if len(able) + 1 < min(self.copies, len(voters)):
             return
-        members = [self.me, *able[: self.copies - 1]]
-        if self.leavers.intersection(members) and self.votes_outstanding():
+        members = [self.ip, *able[: self.copies - 1]]
+        if self.shutting_down.intersection(members) and self.votes_outstanding():
             return  # prefer a member that is not shutting down: its vote may still come
         self.base_view = view
         self.offered = (
-            View(epoch=self.epoch, primary=self.me, members=members, voters=voters, before=before),
+            View(epoch=self.epoch, primary=self.ip, members=members, voters=voters, before=before),
             conf,
         )
         self.state, self.installed = "installing", set()
@@ -544,7 +552,7 @@
 
     def votes_outstanding(self) -> bool:
         """Within one heartbeat interval of the election: linked voters that stay have not answered yet."""
-        waits = self.linked.intersection(self.voters) - self.votes.keys() - self.leavers
+        waits = self.linked.intersection(self.voters) - self.votes.keys() - self.shutting_down
         return bool(waits) and self.now - self.phase_began_at < HEARTBEAT_INTERVAL
 
     def send_offer(self) -> None:
@@ -555,7 +563,7 @@
             return
         view, self.write_sent_at = self.offered[0], self.now
         members = [m for m in view.members if m not in self.installed]
-        rest = dict.fromkeys((self.me, *self.others(view), *self.others(self.base_view)))
+        rest = dict.fromkeys((self.ip, *self.others(view), *self.others(self.base_view)))
         for voter in members or [v for v in rest if v not in self.installed]:
             self.offer_to(voter)
 
@@ -571,20 +579,20 @@
                 # it may have acknowledged the change being written and then lost its disk
                 conf = max(conf, self.queue[0].conf, key=self.read_key)
             message = Install(view=view, conf=conf if voter in view.members else b"")
-            if voter == self.me:
-                self.install(self.me, message)
+            if voter == self.ip:
+                self.install(self.ip, message)
             else:
-                self.say(voter, "install", message)
+                self.send(voter, "install", message)
 
     def install(self, sender: str, message: Install) -> None:
         epoch = message.view.epoch
-        if self.blank or epoch < self.promised:
-            self.say(sender, "installed", Installed(epoch=epoch, ok=False, promised=self.promised))
+        if self.lost_state or epoch < self.promised:
+            self.send(sender, "installed", Installed(epoch=epoch, ok=False, promised=self.promised))
             return
         self.promise_epoch(epoch)
-        if epoch > self.view.epoch or (not self.member and self.me in message.view.members):
+        if epoch > self.view.epoch or (not self.member and self.ip in message.view.members):
             self.view = View.FromString(message.view.SerializeToString())
-            self.member = self.me in message.view.members
+            self.member = self.ip in message.view.members
             self.conf = message.conf if self.member else b""
         self.note_activity()
         self.save((sender, "installed", Installed(epoch=epoch, ok=True, promised=self.promised)))
@@ -596,7 +604,7 @@
             return
         if not message.ok or message.epoch != self.epoch:
             return
-        self.heard_at[sender] = self.now
+        self.answered_at[sender] = self.now
         if self.state != "installing" or self.offered is None:
             return
         self.installed.add(sender)
@@ -605,11 +613,11 @@
             self.send_offer()
         if (
             self.installed >= set(view.members)
-            and self.enough(view, self.installed)
-            and self.enough(self.base_view, self.installed)
+            and self.is_majority(view, self.installed)
+            and self.is_majority(self.base_view, self.installed)
         ):
-            self.state, self.primary, self.phase_began_at = "primary", self.me, self.now
-            self.heard_at = {voter: self.now for voter in self.installed}
+            self.state, self.primary, self.phase_began_at = "primary", self.ip, self.now
+            self.answered_at = {voter: self.now for voter in self.installed}
             self.answered = {}
             self.key = self.read_key(conf)
             self.known_gen = self.key[0]
@@ -624,7 +632,7 @@
     def send_heartbeats(self) -> None:
         self.heartbeat_sent_at, self.number = self.now, self.number + 1
         for voter in [*self.others(), *self.non_voters()]:
-            self.say(voter, "beat", Beat(epoch=self.epoch, gen=max(0, self.key[0]), number=self.number))
+            self.send(voter, "beat", Beat(epoch=self.epoch, gen=max(0, self.key[0]), number=self.number))
 
     def beats(self, sender: str, message: Beat) -> None:
         if message.epoch >= self.promised and message.epoch == self.view.epoch:
@@ -634,14 +642,14 @@
                 self.step_down()
         elif message.epoch >= self.promised:  # a view it has not installed: the primary offers it again
             self.note_activity()
-        self.say(
+        self.send(
             sender,
             "beaten",
             Beaten(
                 epoch=self.view.epoch,
                 number=message.number,
                 promised=self.promised,
-                blank=self.blank,
+                blank=self.lost_state,
                 member=self.member,
             ),
         )
@@ -662,7 +670,7 @@
             if not message.blank:
                 self.offer_to(sender)
             return
-        self.heard_at[sender] = self.now
+        self.answered_at[sender] = self.now
         self.answered[sender] = max(message.number, self.answered.get(sender, 0))
         if sender in self.voters:
             self.learners.pop(sender, None)
@@ -672,9 +680,9 @@
 
     def serve_reads(self) -> None:
         for read in list(self.reads):
-            backups = [m for m in self.view.members if m != self.me]
-            there = {self.me} | {voter for voter, n in self.answered.items() if n >= read.heartbeat}
-            if self.enough(self.view, there) and all(
+            backups = [m for m in self.view.members if m != self.ip]
+            there = {self.ip} | {voter for voter, n in self.answered.items() if n >= read.heartbeat}
+            if self.is_majority(self.view, there) and all(
                 self.answered.get(m, 0) >= read.heartbeat for m in backups
             ):
                 self.reads.remove(read)
@@ -702,7 +710,7 @@
             return
         key, newest = self.read_key(conf), max([self.key, *[p.key for p in self.queue]])
         if key > newest:
-            self.queue.append(Pending(call, key, conf, self.now + CALL_TIMEOUT))
+            self.queue.append(PendingChange(call, key, conf, self.now + CALL_TIMEOUT))
             if len(self.queue) == 1:
                 self.write_next()
             return
@@ -719,23 +727,23 @@
         first = self.queue[0]
         self.number += 1
         first.number, first.needs = self.number, set(self.view.members)
-        self.say_write()
+        self.send_write()
 
-    def say_write(self) -> None:
+    def send_write(self) -> None:
         """Sends the first change to the members that have not acknowledged it."""
         first, self.write_sent_at = self.queue[0], self.now
         message = Write(epoch=self.epoch, number=first.number, conf=first.conf)
         for member in self.view.members:
             if member not in first.needs:
                 continue
-            if member == self.me:
-                self.write(self.me, message)
+            if member == self.ip:
+                self.write(self.ip, message)
             else:
-                self.say(member, "write", message)
+                self.send(member, "write", message)
 
     def write(self, sender: str, message: Write) -> None:
         if message.epoch != self.promised or message.epoch != self.view.epoch or not self.member:
-            self.say(
+            self.send(
                 sender,
                 "written",
                 Written(epoch=message.epoch, number=message.number, ok=False, promised=self.promised),
@@ -743,7 +751,7 @@
             return
         if self.read_key(message.conf) >= self.read_key(self.conf):
             self.conf = message.conf  # otherwise it is a repeated message that was overtaken
-        if sender != self.me:
+        if sender != self.ip:
             self.note_activity()
         self.save(
             (
@@ -761,7 +769,7 @@
             return
         if self.state != "primary" or message.epoch != self.epoch or not self.queue:
             return
-        self.heard_at[sender] = self.now
+        self.answered_at[sender] = self.now
         first = self.queue[0]
         if message.number != first.number:
             return
@@ -782,7 +790,7 @@
 
     def learn(self, sender: str, message: Vote) -> None:
         """Becomes a voter again once it has the promised epochs of a majority of the others."""
-        if not self.blank or message.blank:
+        if not self.lost_state or message.blank:
             return
         self.learned_votes[sender] = message
         view = max((vote.view for vote in self.learned_votes.values()), key=lambda v: v.epoch)
@@ -790,8 +798,8 @@
             return
         # a majority of each set of voters, not counting itself
         if all(
-            sum(s in voters and s != self.me for s in self.learned_votes)
-            >= min(len(voters) // 2 + 1, len(voters) - (self.me in voters))
+            sum(s in voters and s != self.ip for s in self.learned_votes)
+            >= min(len(voters) // 2 + 1, len(voters) - (self.ip in voters))
             for voters in (view.voters, view.before)
             if voters
         ):
@@ -800,7 +808,7 @@
                 max([view.epoch, *[v.promised for v in self.learned_votes.values()]]),
                 "",
             )
-            self.member, self.conf, self.blank = False, b"", False
+            self.member, self.conf, self.lost_state = False, b"", False
             self.note_activity()
             self.events.append((206, {"epoch": self.promised}))
             self.save()
--- a/opalwick/post/office/window.py
+++ b/opalwick/post/office/window.py
@@ -17,9 +17,9 @@
 
 from opalwick.post.directory import Directory
 from opalwick.post.maintenance import shares
-from opalwick.post.maintenance.conductor import Conductor, Refused
-from opalwick.post.maintenance.fleet import Fleet, Machine, Unit, contents
-from opalwick.post.maintenance.needs import hurt
+from opalwick.post.maintenance.conductor import Coordinator, Refused
+from opalwick.post.maintenance.fleet import Fleet, Machine, LiveWorker, contents
+from opalwick.post.maintenance.needs import unmet_needs
 from opalwick.post.maintenance.racks import check
 from opalwick.post.maintenance.state import RESTING, State, read
 from opalwick.post.office.registry import Registry
@@ -73,7 +73,7 @@
     """The maintenance window of one controller."""
 
     def __init__(self, office: CoordinatorHost) -> None:
-        self.controller, self.conductor = office, Conductor()
+        self.controller, self.coordinator = office, Coordinator()
         self.gateway_reports: dict[str, GatewayReport] = {}
         self.settled: dict[str, bool] = {}  # by store: whether its replicas are up to date
         self.demand: dict[str, float] = {}
@@ -92,9 +92,9 @@
     def published(self, conf: Conf) -> None:
         """Handles a configuration that came into force while this controller is the primary."""
         body = conf.window.state
-        if body != self.body or self.conductor.state is None:
+        if body != self.body or self.coordinator.state is None:
             self.body = body
-            self.conductor.adopt(read(body), self.controller.now)
+            self.coordinator.adopt(read(body), self.controller.now)
 
     # ---- state of the fleet
 
@@ -139,9 +139,9 @@
         controller = self.controller
         v, conf = controller.views, Conf.FromString(controller.views.in_force)
         static = {s.name for s in conf.services if s.static}
-        chill = controller.registry.chill_to
+        chill = controller.registry.warm_at
         units = [
-            Unit(w.id, w.svc, w.zone, w.host, w.capacity, chill.get(w.id, 0.0) <= controller.now)
+            LiveWorker(w.id, w.svc, w.zone, w.host, w.capacity, chill.get(w.id, 0.0) <= controller.now)
             for w in sorted(controller.directory.workers.values(), key=lambda w: w.id)
             if not (w.gone or w.silent or w.draining or w.svc in static)
         ]
@@ -158,10 +158,12 @@
                 node.role == "counter"
                 or name == controller.node
                 or (node.role == "depot" and self.settled.get(name, False))
-                or (node.role == "office" and controller.now - v.heard_at.get(node.ip, -1e9) < PEER_TIMEOUT)
+                or (
+                    node.role == "office" and controller.now - v.answered_at.get(node.ip, -1e9) < PEER_TIMEOUT
+                )
             )
             # a store that is being emptied accepts no messages, whoever ordered it
-            if not (node.role == "depot" and name in retiring and name not in self.own()):
+            if not (node.role == "depot" and name in retiring and name not in self.emptied_stores()):
                 machines.append(Machine(name, node.role, node.zone, int(node.life), settled))
         if controller.node not in known:
             machines.append(Machine(controller.node, "office", controller.zone, controller.life))
@@ -176,15 +178,15 @@
             max((route.limit for route in conf.routes), default=0.0),
         )
 
-    def own(self) -> list[str]:
+    def emptied_stores(self) -> list[str]:
         """Stores that are emptied for the window."""
-        state = self.conductor.state
+        state = self.coordinator.state
         return state.depots if state is not None else []
 
     # ---- time
 
     def tick(self) -> None:
-        c = self.conductor
+        c = self.coordinator
         if self.controller.views.state != "primary":
             if c.state is not None:
                 c.forget()
@@ -199,7 +201,7 @@
             return
         self.check_at = self.controller.now + CHECK_INTERVAL
         self.average_demand()
-        wanted = c.look(self.controller.now, self.fleet())
+        wanted = c.next_state(self.controller.now, self.fleet())
         if wanted is not None:
             self.want(wanted, lambda status, _: None if status == 200 else c.refused())
 
@@ -232,7 +234,7 @@
 
     def carry_out(self, what: str, body: bytes, answer: Answer) -> None:
         """At the primary: executes an operator's call. The answer is JSON with every status."""
-        c = self.conductor
+        c = self.coordinator
         if not self.controller.views.active:
             answer(503, error_body("no primary is available"))
             return
@@ -254,7 +256,7 @@
             self.average_demand()
             wanted = c.start(found.unwrap(), self.fleet())
         else:
-            wanted = c.ordered(what, self.controller.now, body.decode())
+            wanted = c.execute(what, self.controller.now, body.decode())
         if isinstance(wanted, Refused):
             answer(wanted.status, error_body(wanted.why))
             return
@@ -274,13 +276,13 @@
 
     def report(self) -> dict[str, Any]:
         """The state, with present against required capacity."""
-        c, controller = self.conductor, self.controller
+        c, controller = self.coordinator, self.controller
         s = c.state
         assert s is not None
         now = s if s.over else c.now_as(controller.now)
         fleet = self.fleet()
         there = contents(s.declared, fleet)
-        down = [there[name] for name in s.of(*RESTING)]
+        down = [there[name] for name in s.racks_in(*RESTING)]
         resting = {unit.id for content in down for unit in content.units}
         live: dict[str, int] = {}
         for unit in fleet.units:
@@ -295,7 +297,7 @@
             "steps": [list(one) for one in s.steps],
             "ran_s": now.ran_s,
             "why": c.why[:MAX_REASONS],
-            "late": c.late,
+            "late": c.overdue,
             "racks": {
                 name: {key: value for key, value in asdict(course).items() if key != "ids"}
                 for name, course in now.racks.items()
@@ -308,7 +310,7 @@
             "declared": s.declared.json(),
             "needs": [
                 {"need": one.need, "has": one.has, "needs": one.needs}
-                for one in hurt(s.declared, fleet, down)
+                for one in unmet_needs(s.declared, fleet, down)
             ],
         }
 
--- a/opalwick/post/plan.py
+++ b/opalwick/post/plan.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from opalwick.post.office.views import MOST
+from opalwick.post.office.views import MAX_VOTERS
 from opalwick.post.operators import Metrics
 from opalwick.post.settings import Faulty, Settings, Survive
 
@@ -252,7 +252,7 @@
     depots, offices, counters = (
         placed(roles, program, site) for program in ("carrier depot", "postmaster", "carrier counter")
     )
-    voters = min(MOST, sum(offices.values()))
+    voters = min(MAX_VOTERS, sum(offices.values()))
     single = {zone: zone for zone in site.zones}
     spread = min(copies, len(depots))  # different zones that a message's copies are in for sure
     lines = [
@@ -314,7 +314,7 @@
                 max(0, voters - gone_voters),
                 voters // 2 + 1,
                 f"{said}: of {voters} voters a majority must be there"
-                + (f"; more than {MOST} never vote" if sum(offices.values()) > MOST else ""),
+                + (f"; more than {MAX_VOTERS} never vote" if sum(offices.values()) > MAX_VOTERS else ""),
             ),
         ]
     return lines
--- a/opalwick/post/replay.py
+++ b/opalwick/post/replay.py
@@ -25,7 +25,7 @@
     "ceilings": ("counter.ceilings", "Ceilings"),
     "keeping": ("depot.keeping", "Keeping"),
     "views": ("office.views", "Views"),
-    "duties": ("office.duties", "Duties"),
+    "duties": ("office.duties", "LeaseTable"),
     "registry": ("office.registry", "Registry"),
     "directory": ("directory", "Directory"),
 }
--- a/tests/post_helper.py
+++ b/tests/post_helper.py
@@ -249,7 +249,9 @@
             self.at(self.now + 0.05, self.tick, me, life)
 
     def pass_on(self, me: str, to: str, kind: str, said: Any) -> None:
-        assert not (self.views[me].blank and (getattr(said, "granted", False) or getattr(said, "ok", False)))
+        assert not (
+            self.views[me].lost_state and (getattr(said, "granted", False) or getattr(said, "ok", False))
+        )
         if to == me:
             getattr(self.views[me], HEARS.get(kind, kind))(me, said)
         else:
--- a/tests/test_lab_post_mutants.py
+++ b/tests/test_lab_post_mutants.py
@@ -25,7 +25,7 @@
 from opalwick.post.office import numbers
 from opalwick.post.office.notices import Notices
 from opalwick.post.office.registry import Registry
-from opalwick.post.office.role import Office
+from opalwick.post.office.role import Controller
 from opalwick.post.office.views import Views
 from opalwick.post.wire_pb2 import Conf, News, Told, Written
 
@@ -160,10 +160,10 @@
     def alone(self: Views) -> None:
         first = self.queue[0]
         self.number += 1
-        first.number, first.needs = self.number, {self.me}
+        first.number, first.needs = self.number, {self.ip}
         from opalwick.post.wire_pb2 import Write as Word
 
-        self.write(self.me, Word(epoch=self.epoch, number=self.number, conf=first.conf))
+        self.write(self.ip, Word(epoch=self.epoch, number=self.number, conf=first.conf))
 
     patch.setattr(Views, "write_next", alone)
 
@@ -275,15 +275,15 @@
 
 @mutant('length = "12 s"\n' + ORDERS + fault("alone", 2.0, 8.0, of=["office-0"]), "STALE")
 def reads_answered_by_whoever_is_asked(patch: pytest.MonkeyPatch) -> None:
-    at_primary = Office.at_primary
+    at_primary = Controller.at_primary
 
-    def here(self: Office, what: str, body: bytes, answer: Any) -> None:
+    def here(self: Controller, what: str, body: bytes, answer: Any) -> None:
         if what == "get" and self.directory.conf is not None and self.last_conf:
             answer(200, Conf.FromString(self.last_conf).said)
             return
         at_primary(self, what, body, answer)
 
-    patch.setattr(Office, "at_primary", here)
+    patch.setattr(Controller, "at_primary", here)
 
 
 @mutant(
--- a/tests/test_lab_post_window.py
+++ b/tests/test_lab_post_window.py
@@ -155,7 +155,7 @@
     world = play(parse('title = "x"\nlength = "3 s"\n', "x"), 1, words=True)
     assert world.words and all(b"net:" not in data for *_, data in world.words)
     office = world.machines["office-0"].proc.role
-    assert not office.views.in_force or office.window.conductor.state is None
+    assert not office.views.in_force or office.window.coordinator.state is None
     assert office.directory.conf is not None and not office.directory.conf.HasField("window")
 
 
--- a/tests/test_post_ceilings.py
+++ b/tests/test_post_ceilings.py
@@ -8,7 +8,7 @@
 from post_helper import Net
 
 from opalwick.post.counter.ceilings import HOMES, Ceilings
-from opalwick.post.office.duties import Duties
+from opalwick.post.office.duties import LeaseTable
 from opalwick.post.wire_pb2 import Leased, Permit, Permitted
 
 
@@ -25,7 +25,7 @@
     ) -> None:
         super().__init__(seed, late, lost)
         self.rate, self.lines, self.holder = rate, list[str](), ""
-        self.voters = {f"o{n}": Duties(0.0, True) for n in (1, 2, 3)}
+        self.voters = {f"o{n}": LeaseTable(0.0, True) for n in (1, 2, 3)}
         self.counters = {f"c{n}": Ceilings(f"c{n}", 1) for n in (1, 2, 3)}
         self.used, self.most, self.total = deque[float](), 0, 0  # permits as they came, in the last 5 s
         for name, c in self.counters.items():
@@ -82,7 +82,7 @@
 
     def restart(self, office: str) -> None:
         """A voter forgets what it granted, and grants nothing for the longest span."""
-        self.voters[office] = Duties(self.now, False)
+        self.voters[office] = LeaseTable(self.now, False)
         for c in self.counters.values():
             c.office_down(office)
 
--- a/tests/test_post_commands.py
+++ b/tests/test_post_commands.py
@@ -266,7 +266,7 @@
     link = Spy("office" if role != "office" else "counter", "peer")
     found.joined(link)
     if role == "office":
-        found.registry.take(conf())
+        found.registry.apply(conf())
     else:
         found.heard(link, "news", conf())
     return found
--- a/tests/test_post_events.py
+++ b/tests/test_post_events.py
@@ -13,7 +13,7 @@
 from opalwick.post import events
 from opalwick.post.counter.role import Counter
 from opalwick.post.depot.role import Depot
-from opalwick.post.office.role import Office
+from opalwick.post.office.role import Controller
 from opalwick.post.settings import parse
 
 HERE = Path(__file__).parent.parent
@@ -22,7 +22,7 @@
 ROLES = {
     "counter": lambda: Counter(parse(SETTINGS, ""), 1, 0.0, 8),
     "depot": lambda: Depot(parse(SETTINGS, ""), 1, 0.0, "d"),
-    "office": lambda: Office(parse(SETTINGS, ""), 1, 0.0, None),
+    "office": lambda: Controller(parse(SETTINGS, ""), 1, 0.0, None),
 }
 
 
--- a/tests/test_post_maintenance.py
+++ b/tests/test_post_maintenance.py
@@ -15,10 +15,10 @@
 from opalwick.post.commands import run
 from opalwick.post.maintenance import commands as window_commands
 from opalwick.post.maintenance import conductor as coordinator_module
-from opalwick.post.maintenance.conductor import Conductor, Refused, returned
-from opalwick.post.maintenance.fleet import Fleet, Machine, Unit
-from opalwick.post.maintenance.needs import hurt
-from opalwick.post.maintenance.planner import FAIR, Impossible, Plan, Planner, plan
+from opalwick.post.maintenance.conductor import Coordinator, Refused, returned
+from opalwick.post.maintenance.fleet import Fleet, LiveWorker, Machine
+from opalwick.post.maintenance.needs import unmet_needs
+from opalwick.post.maintenance.planner import MAX_UNFAIRNESS, NoPlan, Plan, Planner, plan
 from opalwick.post.maintenance.racks import Declaration, parse
 from opalwick.post.maintenance.resting import Resting
 from opalwick.post.maintenance.shares import MAX_RETRY_AFTER, Share, maxmin
@@ -59,7 +59,7 @@
 def fleet(workers: int = 2, demand: float = 4.0) -> Fleet:
     """Three racks, each with `workers` workers of two slots; the system's machines are in three zones."""
     units = tuple(
-        Unit(f"i-{r}{n}", "gate", "abc"[r], f"10.{r + 1}.0.{n + 1}", 2)
+        LiveWorker(f"i-{r}{n}", "gate", "abc"[r], f"10.{r + 1}.0.{n + 1}", 2)
         for r in range(3)
         for n in range(workers)
     )
@@ -124,7 +124,7 @@
         text += f'[[racks]]\nname = "r{r}"\nlongest_s = {longest}\nnets = ["10.{r}.0.0/16"]\n'
         for svc in ("gate", "berth"):
             units += [
-                Unit(f"{svc}{r}.{n}", svc, "abc"[r % 3], f"10.{r}.0.{n}", draw.choice((2, 4)))
+                LiveWorker(f"{svc}{r}.{n}", svc, "abc"[r % 3], f"10.{r}.0.{n}", draw.choice((2, 4)))
                 for n in range(draw.randrange(0, 4))
             ]
     for svc in ("gate", "berth"):
@@ -143,16 +143,16 @@
         declaration, there = random_case(draw)
         p = Planner(declaration, there)
         found = p.plan()
-        if isinstance(found, Impossible):
-            assert found.sure and any(hurt(declaration, there, p.down([r])) for r in p.racks)
+        if isinstance(found, NoPlan):
+            assert found.proven and any(unmet_needs(declaration, there, p.down([r])) for r in p.racks)
             continue
         planned += 1
         assert sorted(r for step in found.steps for r in step) == sorted(p.racks)
         for step in found.steps:
-            assert len(step) <= declaration.together and not hurt(declaration, there, p.down(step))
-        assert max(found.loss.values()) <= FAIR * max(found.fair.values()) + 1e-6
+            assert len(step) <= declaration.together and not unmet_needs(declaration, there, p.down(step))
+        assert max(found.loss.values()) <= MAX_UNFAIRNESS * max(found.fair.values()) + 1e-6
         searched = p.search()
-        for other in (p.singly(), p.tidy(p.greedy()), p.exact()):
+        for other in (p.one_at_a_time(), p.normalized(p.greedy()), p.exact()):
             assert p.key(p.exact())[:3] <= p.key(searched)[:3]
             assert other == p.exact() or p.key(searched) <= p.key(other)
         near += len(searched) <= 1.1 * len(p.exact())
@@ -161,10 +161,10 @@
 
 def test_a_need_that_prevents_a_plan_is_named() -> None:
     found = plan(declared(), fleet(1, 5.0))
-    assert isinstance(found, Impossible) and found.sure
+    assert isinstance(found, NoPlan) and found.proven
     assert found.why == f"rack a cannot go down even alone: {SLOTS}4 left, 5 needed"
     short = plan(declared(old="longest_s = 400", new="longest_s = 70"), fleet(2, 8.0))
-    assert isinstance(short, Impossible) and short.why == "the steps take 90 s, the window has 70"
+    assert isinstance(short, NoPlan) and short.why == "the steps take 90 s, the window has 70"
     assert isinstance(plan(declared(old="longest_s = 400", new="longest_s = 70"), fleet(3, 4.0)), Plan)
 
 
@@ -185,7 +185,7 @@
         self.d, self.f, self.now = declaration, there, 0.0
         self.saved: bytes = b""
         self.epoch, self.saves = 1, 0
-        self.c, self.number = Conductor(), 1
+        self.c, self.number = Coordinator(), 1
         self.gone: dict[str, float] = {}  # by rack at the crew: when it returns, in s
         self.never: set[str] = set()
         self.fenced = True
@@ -197,7 +197,7 @@
         assert isinstance(wanted, State), wanted
         self.save(self.c, 1, wanted)
 
-    def save(self, c: Conductor, number: int, state: State) -> None:
+    def save(self, c: Coordinator, number: int, state: State) -> None:
         """Like the controllers: refuses an epoch that is not the newest."""
         if number != self.epoch and self.fenced:
             c.refused()
@@ -212,7 +212,7 @@
     def take_over(self) -> None:
         """Starts another coordinator from the state on the disks."""
         self.epoch += 1
-        self.c, self.number = Conductor(), self.epoch
+        self.c, self.number = Coordinator(), self.epoch
         self.c.adopt(read(self.saved), self.now)
 
     @property
@@ -222,7 +222,7 @@
         return found
 
     def order(self, what: str, rack: str = "") -> None:
-        found = self.c.ordered(what, self.now, rack)
+        found = self.c.execute(what, self.now, rack)
         assert isinstance(found, State), found
         self.save(self.c, self.number, found)
 
@@ -231,7 +231,7 @@
         while self.now < until and not self.state.over:
             self.now += 0.25
             self.crew()
-            wanted = self.c.look(self.now, self.f._replace(empty=frozenset(self.state.depots)))
+            wanted = self.c.next_state(self.now, self.f._replace(empty=frozenset(self.state.depots)))
             if wanted is not None:
                 self.save(self.c, self.number, wanted)
             self.judge()
@@ -275,18 +275,18 @@
 
     def judge(self) -> None:
         """Records the needs that are not met without the racks that rest or are away."""
-        resting = [self.part(name) for name in self.state.of(DRAINING, AWAY)]
+        resting = [self.part(name) for name in self.state.racks_in(DRAINING, AWAY)]
         left = self.f._replace(
             units=tuple(u for u in self.f.units if not any(r(u.id, u.zone, u.host) for r, _ in resting))
         )
-        self.below += [str(h) for h in hurt(self.d, left, [])]
+        self.below += [str(h) for h in unmet_needs(self.d, left, [])]
 
 
-def replace_id(unit: Unit, life: int, now: float) -> Unit:
+def replace_id(unit: LiveWorker, life: int, now: float) -> LiveWorker:
     return unit._replace(id=f"{unit.id}/{life}@{now}", warm=False)
 
 
-def born_at(unit: Unit) -> float:
+def born_at(unit: LiveWorker) -> float:
     return float(unit.id.rpartition("@")[2]) if "@" in unit.id else -1e9
 
 
@@ -330,7 +330,7 @@
     while s.now < 150.0 and not s.state.over:
         s.run(0.25)
         woke = min(woke, s.now + 9.0) if old is not s.c else woke
-        if s.now >= woke and (wanted := old.look(s.now, s.f)) is not None:
+        if s.now >= woke and (wanted := old.next_state(s.now, s.f)) is not None:
             s.save(old, 1, wanted)
     return s
 
@@ -356,13 +356,13 @@
 
 def test_a_crash_elsewhere_delays_the_next_step_and_recalls_racks() -> None:
     s = new_stage(6.0).run(3.0)
-    assert s.state.of(AWAY) == ["a"]
+    assert s.state.racks_in(AWAY) == ["a"]
     lost = [u for u in s.f.units if u.zone == "c"]
     s.f = s.f._replace(units=tuple(u for u in s.f.units if u not in lost))
     s.run(4.0)
-    assert s.state.racks["a"].recalled and s.state.of(DRAINING) == []
+    assert s.state.racks["a"].recalled and s.state.racks_in(DRAINING) == []
     s.run(30.0)
-    assert s.state.of(DRAINING, AWAY) == [] and s.c.why == [SLOTS + "4 left, 6 needed"]
+    assert s.state.racks_in(DRAINING, AWAY) == [] and s.c.why == [SLOTS + "4 left, 6 needed"]
     s.f = s.f._replace(units=(*s.f.units, *lost))
     assert s.run(100.0).state.phase == "done"
 
@@ -373,7 +373,7 @@
     s.run(1.0)
     assert s.log[-1] == "drain called back a" and not s.state.rules and not s.state.depots
     s.run(20.0)
-    assert s.state.of(DRAINING, AWAY) == []
+    assert s.state.racks_in(DRAINING, AWAY) == []
     s.f = s.f._replace(demand={"gate": 6.0})
     assert s.run(120.0).state.phase == "done"
 
@@ -382,7 +382,11 @@
     s = new_stage(4.0)
     s.never = {"a"}
     s.run(60.0)
-    assert s.c.late == ["a"] and s.c.why == ["rack a is away for too long"] and s.state.of(AWAY) == ["a"]
+    assert (
+        s.c.overdue == ["a"]
+        and s.c.why == ["rack a is away for too long"]
+        and s.state.racks_in(AWAY) == ["a"]
+    )
     s.order("resume")
     s.run(120.0)
     assert s.state.phase == "done" and s.state.racks["a"].state == "lost" and not s.below
@@ -396,7 +400,7 @@
     s.run(40.0)
     s.order("resume")
     s.run(40.0)
-    assert s.state.phase == "running" and s.state.of(AWAY, DRAINING) == [] and "4 needed" not in s.c.why
+    assert s.state.phase == "running" and s.state.racks_in(AWAY, DRAINING) == [] and "4 needed" not in s.c.why
     assert s.c.why == [SLOTS + "4 left, 6 needed"] and not s.below
 
 
@@ -404,16 +408,16 @@
     s = new_stage(6.0)
     s.f = s.f._replace(rested=False)
     s.run(2.0)
-    assert s.state.of(DRAINING) == ["a"] and s.state.depots == ["depot-0"]
+    assert s.state.racks_in(DRAINING) == ["a"] and s.state.depots == ["depot-0"]
     s.order("pause")
     s.run(2.0)
-    assert s.state.of(DRAINING) == [] and not s.state.depots and s.log[-1] == "drain called back a"
+    assert s.state.racks_in(DRAINING) == [] and not s.state.depots and s.log[-1] == "drain called back a"
     s.order("resume")
     s.run(6.0)
     s.order("abort")
     s.run(2.0)
     assert s.state.phase == "aborted" and not s.state.rules and not s.state.depots
-    assert isinstance(s.c.ordered("resume", s.now), Refused)
+    assert isinstance(s.c.execute("resume", s.now), Refused)
 
 
 def test_an_abort_recalls_racks_and_waits_for_them() -> None:
@@ -434,8 +438,8 @@
 
 def test_a_rack_with_the_last_worker_of_a_service_is_refused_and_named() -> None:
     there = fleet()
-    last = there._replace(units=(*there.units, Unit("i-x", "berth", "b", "10.2.0.9", 1)))
-    found = Conductor().start(declared('[[needs]]\nservice = "berth"\n'), last)
+    last = there._replace(units=(*there.units, LiveWorker("i-x", "berth", "b", "10.2.0.9", 1)))
+    found = Coordinator().start(declared('[[needs]]\nservice = "berth"\n'), last)
     assert found == Refused(409, "rack b cannot go down even alone: workers of berth: 0 left, 1 needed")
 
 
@@ -452,7 +456,7 @@
 MUTANTS: dict[str, tuple[str, Any]] = {
     "hands over with open deliveries": ("rested", lambda f: f._replace(rested=True)),
     "treats racks that never left as returned": ("returned", lambda course, there: True),
-    "ignores racks that are away": ("hurt", lambda d, f, down: hurt(d, f, [])),
+    "ignores racks that are away": ("unmet_needs", lambda d, f, down: unmet_needs(d, f, [])),
 }
 
 
@@ -462,7 +466,7 @@
         s = new_stage(6.0)
         s.f = s.f._replace(rested=False)
         s.run(6.0)
-        early = s.state.of(AWAY)
+        early = s.state.racks_in(AWAY)
         s.f = s.f._replace(rested=True, demand={"gate": 7.0})
         s.run(60.0)
         at = {
@@ -478,11 +482,11 @@
     assert sound()
     what, planted = MUTANTS[mutant]
     if what == "rested":
-        look = Conductor.look
-        monkeypatch.setattr(Conductor, "look", lambda self, now, f: look(self, now, planted(f)))
+        next_state = Coordinator.next_state
+        monkeypatch.setattr(Coordinator, "next_state", lambda self, now, f: next_state(self, now, planted(f)))
     else:
         monkeypatch.setattr(coordinator_module, what, planted)
-    if what == "hurt":  # visible only when a need is not met
+    if what == "unmet_needs":  # visible only when a need is not met
         s = new_stage(6.0).run(1.75)
         s.f = s.f._replace(demand={"gate": 9.0})
         assert s.run(8.0).below
@@ -597,23 +601,23 @@
     s = Share({}, {}, 0.0)
     s.observe(0.1, 12.0, {}, 0)
     taken = 0
-    while not s.ask("crowd", 0):
+    while not s.admit("crowd", 0):
         taken += 1
     assert taken == 12 and s.figures["lent"] == 0  # alone it is entitled to all places
-    assert s.ask("gate", 0) == 0.0  # another is still accepted, within its half
+    assert s.admit("gate", 0) == 0.0  # another is still accepted, within its half
     s.observe(0.2, 12.0, {"crowd": 12, "gate": 1}, 6)
-    waits = [s.ask("crowd", 0) for _ in range(3)]
+    waits = [s.admit("crowd", 0) for _ in range(3)]
     assert all(0.0 < w <= MAX_RETRY_AFTER for w in waits)
-    assert [s.ask("gate", 0) for _ in range(5)] == [0.0] * 5 and s.ask("gate", 0) > 0.0
+    assert [s.admit("gate", 0) for _ in range(5)] == [0.0] * 5 and s.admit("gate", 0) > 0.0
     s.observe(0.3, 12.0, {"crowd": 4, "gate": 6}, 8)
-    assert [s.ask("crowd", 0) for _ in range(2)] == [0.0] * 2 and s.ask("crowd", 0) > 0.0
+    assert [s.admit("crowd", 0) for _ in range(2)] == [0.0] * 2 and s.admit("crowd", 0) > 0.0
 
 
 def test_over_its_share_the_lower_priority_is_refused_first() -> None:
     s = Share({"r0": "p", "r1": "p"}, {}, 0.0)
     s.observe(0.1, 12.0, {}, 0)
-    assert s.ask("r0", 0) == 0.0 == s.ask("r1", 1)
+    assert s.admit("r0", 0) == 0.0 == s.admit("r1", 1)
     s.observe(2.1, 12.0, {"p": 5, "q": 9}, 20)  # each is entitled to six, the lower priority to 4.5
-    assert s.ask("r1", 1) > 0.0 == s.ask("r0", 0)
+    assert s.admit("r1", 1) > 0.0 == s.admit("r0", 0)
     s.observe(2.2, 12.0, {"p": 6, "q": 9}, 1)
-    assert 0.0 < s.ask("r0", 0) < s.ask("r1", 1)
+    assert 0.0 < s.admit("r0", 0) < s.admit("r1", 1)
--- a/tests/test_post_numbers.py
+++ b/tests/test_post_numbers.py
@@ -112,7 +112,7 @@
         me = o.primary() if (seed + round) % 2 else next(m for m in view.members if m != o.primary())
         o.views[me].leave()
         for other in o.names:
-            o.views[other].leavers.add(me)
+            o.views[other].shutting_down.add(me)
         began = o.now
         while o.views[me].needed:
             o.until(o.now + 0.01)
@@ -125,7 +125,7 @@
         o.do_start(me)
         o.until(o.now + 4.0)
         for other in o.names:
-            o.views[other].leavers.discard(me)
+            o.views[other].shutting_down.discard(me)
         o.do_crash(lost, "wiped")
         o.until(o.now + 3.0)
         o.do_read("p")
--- a/tests/test_post_roles.py
+++ b/tests/test_post_roles.py
@@ -9,7 +9,7 @@
 from opalwick.post.beats import Beat
 from opalwick.post.counter.role import Counter
 from opalwick.post.depot.role import Depot
-from opalwick.post.office.role import Office
+from opalwick.post.office.role import Controller
 from opalwick.post.settings import parse
 from opalwick.post.wire_pb2 import Ask, Checked, Conf, End, Hello, Keep, Letter, Pulse
 
@@ -105,7 +105,9 @@
         .replace("disk", "ctl")
         .replace("datadir", "binds.ctl=10.0.0.1:8262\nd")
     )
-    office = Office(parse(text.replace("seeds=", "seeds=10.0.0.1:8262,10.0.0.8:8262,"), "here"), 1, 0.0, None)
+    office = Controller(
+        parse(text.replace("seeds=", "seeds=10.0.0.1:8262,10.0.0.8:8262,"), "here"), 1, 0.0, None
+    )
     counter, other = Spy("counter"), Spy("office", "o2")
     other.peer.ip = "10.0.0.8"
     for link in (counter, other):
@@ -134,7 +136,7 @@
         .replace("datadir", "binds.ctl=10.0.0.1:8262\nd")
         .replace("seeds=10.0.0.9", "seeds=10.0.0.1")
     )
-    office = Office(parse(text + "bootstrap=true\n", "here"), 1, 0.0, None)
+    office = Controller(parse(text + "bootstrap=true\n", "here"), 1, 0.0, None)
     office.views.copies = 1  # the only controller
     office.clock(1.0)
     office.tick()
--- a/tests/test_post_safety.py
+++ b/tests/test_post_safety.py
@@ -15,7 +15,7 @@
 from opalwick.post.counter.role import Counter
 from opalwick.post.depot.disk import Disk
 from opalwick.post.depot.role import Depot
-from opalwick.post.office.role import Office
+from opalwick.post.office.role import Controller
 from opalwick.post.settings import parse
 from opalwick.post.wire_pb2 import (
     Conf,
@@ -68,19 +68,19 @@
         self.status, self.body = status, body
 
 
-def office(*seeds: int) -> Office:
+def office(*seeds: int) -> Controller:
     text = OFFICE.format(seeds=",".join(f"10.0.0.{n}:8262" for n in seeds))
-    return Office(parse(text, "here"), 1, 0.0, None)
+    return Controller(parse(text, "here"), 1, 0.0, None)
 
 
-def asks(o: Office, method: str, path: str, body: Any = None) -> Calling:
+def asks(o: Controller, method: str, path: str, body: Any = None) -> Calling:
     call = Calling(method, path, body)
     o.called(call)  # type: ignore[arg-type]
     o.settle()
     return call
 
 
-def linked(o: Office, *numbers: int) -> list[Spy]:
+def linked(o: Controller, *numbers: int) -> list[Spy]:
     links = []
     for number in numbers:
         link = Spy("office", f"o{number}")
@@ -159,7 +159,7 @@
 # ---- a depot that is taken away
 
 
-def alone(depots: int = 4) -> tuple[Office, list[Spy]]:
+def alone(depots: int = 4) -> tuple[Controller, list[Spy]]:
     """An office that is the only voter, with a configuration in force."""
     o = office(1)
     o.registry.node(0.0, Node(node="o1", role="office", ip="10.0.0.1", life=1))
@@ -175,7 +175,7 @@
     return o, links
 
 
-def pass_time(o: Office, until: float, links: Sequence[Spy] = ()) -> None:
+def pass_time(o: Controller, until: float, links: Sequence[Spy] = ()) -> None:
     while o.now < until:
         o.clock(round(o.now + 0.05, 3))
         for link in links:
@@ -218,7 +218,7 @@
         assert asks(o, method, "/retire/d1", {"over_s": 9}).status == 503
     o, _links = alone()
     o.views.view.voters.extend(["10.0.0.2", "10.0.0.3"])  # cut off from these, it does not know it yet
-    o.views.heard_at = {"10.0.0.2": o.now, "10.0.0.3": o.now}
+    o.views.answered_at = {"10.0.0.2": o.now, "10.0.0.3": o.now}
     o.empty["d1"] = True
     for method, path in (("GET", "/retire/d1"), ("POST", "/retire/nobody"), ("GET", "/conf")):
         call = asks(o, method, path, {"over_s": 9})
@@ -238,7 +238,7 @@
     assert b"take a higher number" in asks_after(o, links, conf | {"caps": {"idle_ms": 9}})
 
 
-def asks_after(o: Office, links: list[Spy], body: Any) -> bytes:
+def asks_after(o: Controller, links: list[Spy], body: Any) -> bytes:
     call = asks(o, "PUT", "/conf", body)
     pass_time(o, o.now + 0.2, links)
     return call.body
--- a/tests/test_post_tables.py
+++ b/tests/test_post_tables.py
@@ -15,8 +15,8 @@
 from opalwick.post.counter.routes import Routes
 from opalwick.post.directory import Directory, empty
 from opalwick.post.names import Asked, Names, finish, is_name_of, kept_by, owner, read, short, tag
-from opalwick.post.office.duties import LONGEST, Duties
-from opalwick.post.office.registry import FORGOTTEN, MISSED, Registry
+from opalwick.post.office.duties import MAX_LEASE, LeaseTable
+from opalwick.post.office.registry import FORGET_AFTER, MISSED_HEARTBEATS, Registry
 from opalwick.post.verdict import Verdict, of_status
 from opalwick.post.wire_pb2 import Conf, Field, Letter, News, Node, Route, Worker
 
@@ -175,7 +175,7 @@
     ):
         note(at, what, *r.beat(at, given))
     assert [w.chill for w in r.whole(2.0).workers] == [1.0]
-    for at in (4.0 + MISSED, 4.1 + MISSED, 5.0 + MISSED):
+    for at in (4.0 + MISSED_HEARTBEATS, 4.1 + MISSED_HEARTBEATS, 5.0 + MISSED_HEARTBEATS):
         news = r.tick(at)
         note(at, "tick", news, bool(news.workers))
     note(9.0, "back", *r.beat(9.0, beat(6)))
@@ -183,9 +183,9 @@
     note(9.6, "left again", *r.left(9.6, "w"))
     note(9.7, "late", *r.beat(9.7, beat(7)))
     note(9.8, "left unknown", *r.left(9.8, "v"))
-    r.tick(9.5 + FORGOTTEN)
+    r.tick(9.5 + FORGET_AFTER)
     assert "w" in r.directory.workers
-    r.tick(9.7 + FORGOTTEN)
+    r.tick(9.7 + FORGET_AFTER)
     assert "w" not in r.directory.workers and "v" in r.directory.workers
     assert "\n".join(lines) == snapshot
     known = Worker(id="w", svc="s", host="h", port=80)
@@ -208,17 +208,17 @@
                 (2.6, "a", 1.4, False),
                 (2.7, "b", 0.0, False),
                 (2.7, "a", 99.0, True),
-                (2.7 + LONGEST, "b", 1.0, True),
+                (2.7 + MAX_LEASE, "b", 1.0, True),
             ],
         ),
-        (False, [(0.0, "a", 1.4, False), (LONGEST - 0.1, "a", 1.4, False), (LONGEST, "a", 1.4, True)]),
+        (False, [(0.0, "a", 1.4, False), (MAX_LEASE - 0.1, "a", 1.4, False), (MAX_LEASE, "a", 1.4, True)]),
     ],
 )
 def test_a_voter_grants_a_duty_to_one_process_for_a_span(first: bool, steps: list) -> None:
-    d = Duties(0.0, first)
+    d = LeaseTable(0.0, first)
     for at, who, span, granted in steps:
         assert bool(d.lease(at, who, ["s"], span)) is granted, (at, who)
-    assert d.holders(at) == {"s": who} and d.holders(at + LONGEST) == {}
+    assert d.holders(at) == {"s": who} and d.holders(at + MAX_LEASE) == {}
 
 
 def test_a_delivery_is_the_request_unchanged() -> None:
--- a/tests/test_post_views.py
+++ b/tests/test_post_views.py
@@ -110,7 +110,10 @@
         16.00 p read""")
         == snapshot
     )
-    assert o.contents == {5: b"a", 6: b"d", 8: b"e", 10: b"g", 12: b"i", 13: b"j"} and not o.views["o2"].blank
+    assert (
+        o.contents == {5: b"a", 6: b"d", 8: b"e", 10: b"g", 12: b"i", 13: b"j"}
+        and not o.views["o2"].lost_state
+    )
 
 
 @pytest.mark.parametrize("start", range(0, 300, 60))
@@ -344,7 +347,7 @@
 
     def hears(self, me: str, life: int, what: str, *args: object) -> None:
         if me in self.views:
-            self.views[me].unsettled = {name for name, v in self.views.items() if not v.settled}
+            self.views[me].without_primary = {name for name, v in self.views.items() if not v.has_primary}
         super().hears(me, life, what, *args)
 
 
