--- a/opalwick/post/maintenance/conductor.py
+++ b/opalwick/post/maintenance/conductor.py
@@ -2,10 +2,10 @@
 are empty, hands them over, waits for their return and warm-up, and checks the needs. No socket, disk or
 clock.
 
-`next_state()` returns the next desired state. The controller writes it to its own and its backups' disks and then
-calls `adopt()`. Until then it has no effect, and no other state is requested. So a coordinator that fails has
-done exactly what is saved. The writes of one that was superseded are refused by the disks, because a write
-carries the epoch of the view, which only grows.
+`next_state()` returns the next desired state. The controller writes it to its own and its backups' disks and
+then calls `adopt()`. Until then it has no effect, and no other state is requested. So a coordinator that
+fails has done exactly what is saved. The writes of one that was superseded are refused by the disks, because
+a write carries the epoch of the view, which only grows.
 """
 
 from __future__ import annotations
--- a/opalwick/post/maintenance/planner.py
+++ b/opalwick/post/maintenance/planner.py
@@ -3,9 +3,9 @@
 The racks of a step go down together, and the next step begins when all are back, so each is away for as long
 as the longest of them. The loss of a tenant is its slots times the seconds for which they are away, divided
 by its weight and its slots. One rack at a time gives each tenant the least possible loss. In a plan, the
-greatest loss of a tenant may be `MAX_UNFAIRNESS` times the greatest loss in that case. Among such plans the one with
-the fewest steps is chosen, then the fairest: the lowest greatest loss, then the lowest second loss, and so
-on.
+greatest loss of a tenant may be `MAX_UNFAIRNESS` times the greatest loss in that case. Among such plans the
+one with the fewest steps is chosen, then the fairest: the lowest greatest loss, then the lowest second loss,
+and so on.
 
 The result depends on the declaration and the fleet only, without a clock or true randomness.
 """
@@ -137,7 +137,9 @@
         return tuple((name,) for name in self.racks)
 
     def greedy(self, order: Iterable[str] | None = None, fair: bool = False) -> Steps:
-        """Puts each rack into the first step where that is feasible. `fair`: within the limit `MAX_UNFAIRNESS` too."""
+        """Puts each rack into the first step where that is feasible. `fair`: within the limit
+        `MAX_UNFAIRNESS` too.
+        """
         steps: list[Step] = []
         for name in order if order is not None else self.racks:
             for i, step in enumerate(steps):
--- a/opalwick/post/office/role.py
+++ b/opalwick/post/office/role.py
@@ -215,15 +215,15 @@
                 self.leases.lease(self.now, who, list(message.duties), message.span) if self.votes else []
             )
             if message.call:
-                leases = self.leases.holders(self.now)
-                same = self.reported_holders.get(link) == leases
-                self.reported_holders[link] = leases
+                in_use = self.leases.holders(self.now)
+                same = self.reported_holders.get(link) == in_use
+                self.reported_holders[link] = in_use
                 link.say(
                     "leased",
                     Leased(
                         call=message.call,
                         granted=granted,
-                        held={} if same else leases,
+                        held={} if same else in_use,
                         same=same,
                         voters=len(self.views.voters) if self.votes else 0,
                     ),
--- a/opalwick/post/office/views.py
+++ b/opalwick/post/office/views.py
@@ -114,16 +114,16 @@
 
 class Views:
     def __init__(
-        self, me: str, copies: int, stored: Stored | None, voters: list[str], blank: bool, now: float
+        self, ip: str, copies: int, stored: Stored | None, voters: list[str], lost_state: bool, now: float
     ) -> None:
         """`copies`: number of disks that must have a configuration. `voters`: used at the first start only;
         later starts use the stored ones.
         """
-        self.ip, self.copies, self.now = me, copies, now
-        newly_created = stored is None and not blank
+        self.ip, self.copies, self.now = ip, copies, now
+        newly_created = stored is None and not lost_state
         if stored is None:
             view = View(epoch=0, voters=sorted(voters), members=sorted(voters))
-            stored = Stored(0, view.SerializeToString(), not blank and me in voters, b"", blank)
+            stored = Stored(0, view.SerializeToString(), not lost_state and ip in voters, b"", lost_state)
         self.promised, self.voted, self.member = stored.promised, stored.voted, stored.member
         self.conf, self.lost_state = stored.conf, stored.blank
         self.view = View.FromString(stored.view)
@@ -419,11 +419,11 @@
         if fresh and len(away) < sum(v not in self.responsive for v in voters):
             return None  # the voter to replace is not certain yet
         after = list(voters)
-        for ip in fresh:
+        for learner in fresh:
             if away:
-                after[after.index(away.pop(0))] = ip
+                after[after.index(away.pop(0))] = learner
             elif len(after) < MAX_VOTERS:
-                after.append(ip)
+                after.append(learner)
         if not fresh and away and len(after) % 2 == 0:
             after.remove(away[0])  # an even number tolerates no more losses than one less
         return (sorted(after), voters) if after != voters else None
