--- a/tests/test_post_roles.py
+++ b/tests/test_post_roles.py
@@ -32,43 +32,43 @@
         self.peer, self.heard_at = Hello(node=node, role=role, zone="a", ip="10.0.0.2", life=1), 0.0
         self.said: list[tuple[str, Any]] = []
 
-    def say(self, kind: str, word: Any) -> None:
-        self.said.append((kind, word))
+    def say(self, kind: str, payload: Any) -> None:
+        self.said.append((kind, payload))
 
 
 @pytest.mark.parametrize("complete, state, body", [(True, 2, b""), (False, 3, b"octets")])
 def test_a_message_that_ends_while_its_body_is_fetched(complete: bool, state: int, body: bytes) -> None:
     """A body is requested while the message is pending and the message ends in the same batch. Without care
-    the answer is an empty body with status 200 (found by the scenario MIXED).
+    the answer is an empty body with status 200 (see the scenario MIXED).
     """
-    depot, link = Depot(parse(SETTINGS, "here"), 1, 0.0, "x"), Spy("counter")
-    depot.joined(link)
-    letter = Letter(mid="m.1.1", body=b"octets", holders=["d1"], until=90.0)
-    depot.heard(link, "keep", Keep(letter=letter))
-    depot.settle()
-    depot.synced(*depot.batch(), [])
-    depot.heard(link, "ask", Ask(call=7, mid="m.1.1", body=True))
-    depot.heard(link, "end", End(mid="m.1.1", complete=complete, seal="s"))
-    depot.settle()
-    writes, fetches = depot.batch()
-    depot.synced(writes, fetches, [None if complete else letter.SerializeToString()])
-    told = [word for kind, word in link.said if kind == "told"]
-    assert [(word.call, word.state, word.body) for word in told] == [(7, state, body)]
+    store, link = Depot(parse(SETTINGS, "here"), 1, 0.0, "x"), Spy("counter")
+    store.joined(link)
+    message = Letter(mid="m.1.1", body=b"octets", holders=["d1"], until=90.0)
+    store.heard(link, "keep", Keep(letter=message))
+    store.settle()
+    store.synced(*store.batch(), [])
+    store.heard(link, "ask", Ask(call=7, mid="m.1.1", body=True))
+    store.heard(link, "end", End(mid="m.1.1", complete=complete, seal="s"))
+    store.settle()
+    writes, fetches = store.batch()
+    store.synced(writes, fetches, [None if complete else message.SerializeToString()])
+    sent = [payload for kind, payload in link.said if kind == "told"]
+    assert [(payload.call, payload.state, payload.body) for payload in sent] == [(7, state, body)]
 
 
 def test_a_store_does_not_end_before_a_slow_disk_has_written_its_batch() -> None:
     """Otherwise the disk thread goes on with a closed disk, and the process ends with an error."""
-    depot, link = Depot(parse(SETTINGS, "here"), 1, 0.0, "x"), Spy("counter")
-    depot.clock(1.0)
-    depot.joined(link)
-    depot.heard(link, "keep", Keep(letter=Letter(mid="m.1.1", holders=["d1"], until=90.0)))
-    depot.settle()
-    batch = depot.batch()
-    depot.leave()
-    depot.clock(5.0)
-    assert not depot.gone
-    depot.synced(*batch, [])
-    assert depot.gone and "kept" in [kind for kind, _ in link.said]
+    store, link = Depot(parse(SETTINGS, "here"), 1, 0.0, "x"), Spy("counter")
+    store.clock(1.0)
+    store.joined(link)
+    store.heard(link, "keep", Keep(letter=Letter(mid="m.1.1", holders=["d1"], until=90.0)))
+    store.settle()
+    batch = store.batch()
+    store.leave()
+    store.clock(5.0)
+    assert not store.gone
+    store.synced(*batch, [])
+    assert store.gone and "kept" in [kind for kind, _ in link.said]
 
 
 def test_a_gateway_repeats_its_ownership_check_once_messages_arrive_in_time() -> None:
@@ -76,24 +76,25 @@
     as no other answer is due.
     """
     text = SETTINGS.replace("depot", "counter").replace("disk", "none").replace("datadir=/data\n", "")
-    counter, depot = Counter(parse(text, "here"), 1, 0.0, 8), Spy("depot", "d1")
-    counter.joined(depot)
-    counter.settle()
+    gateway, store = Counter(parse(text, "here"), 1, 0.0, 8), Spy("depot", "d1")
+    gateway.joined(store)
+    gateway.settle()
 
-    def hear(now: float, kind: str, word: Any) -> int:
+    def receive(now: float, kind: str, payload: Any) -> int:
         """How often the full list of its messages was sent again."""
-        counter.clock(now)
-        depot.said.clear()
-        counter.hear(depot, kind, word)
-        counter.settle()
-        return sum(kind == "mine" and word.whole for kind, word in depot.said)
+        gateway.clock(now)
+        store.said.clear()
+        gateway.hear(store, kind, payload)
+        gateway.settle()
+        return sum(kind == "mine" and payload.whole for kind, payload in store.said)
 
-    assert hear(3.0, "pulse", Pulse(echo=1.0)) == 1  # messages are 2 s late, and stay so
-    assert hear(3.1, "checked", Checked(number=counter.rounds.numbers["d1"])) == 0
-    assert not counter.sure and hear(3.2, "pulse", Pulse(echo=1.2)) == 0
-    assert hear(3.3, "pulse", Pulse(echo=2.6)) == 1  # the interval between echoes does not count as a delay
-    hear(3.4, "checked", Checked(number=counter.rounds.numbers["d1"]))
-    assert counter.sure == {"d1"} and hear(3.5, "pulse", Pulse(echo=3.4)) == 0
+    assert receive(3.0, "pulse", Pulse(echo=1.0)) == 1  # messages are 2 s late, and stay so
+    assert receive(3.1, "checked", Checked(number=gateway.rounds.numbers["d1"])) == 0
+    assert not gateway.sure and receive(3.2, "pulse", Pulse(echo=1.2)) == 0
+    # the interval between echoes does not count as a delay
+    assert receive(3.3, "pulse", Pulse(echo=2.6)) == 1
+    receive(3.4, "checked", Checked(number=gateway.rounds.numbers["d1"]))
+    assert gateway.sure == {"d1"} and receive(3.5, "pulse", Pulse(echo=3.4)) == 0
 
 
 def test_a_controller_without_a_majority_marks_no_worker_as_silent() -> None:
@@ -105,25 +106,27 @@
         .replace("disk", "ctl")
         .replace("datadir", "binds.ctl=10.0.0.1:8262\nd")
     )
-    office = Controller(
+    controller = Controller(
         parse(text.replace("seeds=", "seeds=10.0.0.1:8262,10.0.0.8:8262,"), "here"), 1, 0.0, None
     )
-    counter, other = Spy("counter"), Spy("office", "o2")
+    gateway, other = Spy("counter"), Spy("office", "o2")
     other.peer.ip = "10.0.0.8"
-    for link in (counter, other):
-        office.joined(link)
+    for link in (gateway, other):
+        controller.joined(link)
 
-    def told(now: float) -> list[bool]:
-        office.clock(now)
-        office.registry.beat(now, Beat("w", "s", "h", 1, "a", "v1", 2, False, 0.0, int(now)))
-        counter.said.clear()
-        office.clock(now + 9.0)
-        office.tick()
-        return [worker.silent for kind, word in counter.said if kind == "news" for worker in word.workers]
+    def sent(now: float) -> list[bool]:
+        controller.clock(now)
+        controller.registry.beat(now, Beat("w", "s", "h", 1, "a", "v1", 2, False, 0.0, int(now)))
+        gateway.said.clear()
+        controller.clock(now + 9.0)
+        controller.tick()
+        return [
+            worker.silent for kind, payload in gateway.said if kind == "news" for worker in payload.workers
+        ]
 
-    assert told(1.0) == [True]
-    office.parted(other)
-    assert told(20.0) == []
+    assert sent(1.0) == [True]
+    controller.parted(other)
+    assert sent(20.0) == []
 
 
 def test_a_store_may_be_emptied_if_enough_remain_after_a_loss() -> None:
@@ -136,32 +139,32 @@
         .replace("datadir", "binds.ctl=10.0.0.1:8262\nd")
         .replace("seeds=10.0.0.9", "seeds=10.0.0.1")
     )
-    office = Controller(parse(text + "bootstrap=true\n", "here"), 1, 0.0, None)
-    office.views.copies = 1  # the only controller
-    office.clock(1.0)
-    office.tick()
+    controller = Controller(parse(text + "bootstrap=true\n", "here"), 1, 0.0, None)
+    controller.views.copies = 1  # the only controller
+    controller.clock(1.0)
+    controller.tick()
     answers: list[int] = []
 
     def settled() -> list[int]:
         for _ in range(9):
-            office.settle()
-            office.synced(office.batch())
+            controller.settle()
+            controller.synced(controller.batch())
         return answers
 
     settled()
-    office.views.put(office.wait(lambda status, body: None), Conf(gen=1).SerializeToString())
+    controller.views.put(controller.wait(lambda status, body: None), Conf(gen=1).SerializeToString())
     settled()
     links = [Spy("depot", f"d{n}") for n in (1, 2, 3, 4)]
     for link in links:
-        office.joined(link)
-        link.heard_at = office.now
+        controller.joined(link)
+        link.heard_at = controller.now
     for _ in range(2):
-        office.retire("d2", lambda status, body: answers.append(status))
-    assert settled() == [200, 200] and list(Conf.FromString(office.views.in_force).retiring) == ["d2"]
+        controller.retire("d2", lambda status, body: answers.append(status))
+    assert settled() == [200, 200] and list(Conf.FromString(controller.views.in_force).retiring) == ["d2"]
     # of the two that would remain, one may be lost
-    office.retire("d3", lambda status, body: answers.append(status))
-    office.views.put(office.wait(lambda status, body: None), Conf(gen=2).SerializeToString())
+    controller.retire("d3", lambda status, body: answers.append(status))
+    controller.views.put(controller.wait(lambda status, body: None), Conf(gen=2).SerializeToString())
     settled()
-    office.parted(links[0])
-    office.retire("d3", lambda status, body: answers.append(status))
+    controller.parted(links[0])
+    controller.retire("d3", lambda status, body: answers.append(status))
     assert settled()[2:] == [409, 503]
