--- a/opalwick/post/maintenance/commands.py
+++ b/opalwick/post/maintenance/commands.py
@@ -35,7 +35,7 @@
 
 def fleet(answers: dict[Place, Any]) -> Any:
     """The planner's snapshot of the fleet from the statuses of all processes; raises Problem."""
-    from opalwick.post.maintenance.fleet import Fleet, Machine, LiveWorker
+    from opalwick.post.maintenance.fleet import Fleet, LiveWorker, Machine
 
     statuses = [one for one in answers.values() if isinstance(one, dict)]
     office = next((one for one in statuses if one["role"] == "office" and one["active"]), None)
--- a/opalwick/post/office/window.py
+++ b/opalwick/post/office/window.py
@@ -18,7 +18,7 @@
 from opalwick.post.directory import Directory
 from opalwick.post.maintenance import shares
 from opalwick.post.maintenance.conductor import Coordinator, Refused
-from opalwick.post.maintenance.fleet import Fleet, Machine, LiveWorker, contents
+from opalwick.post.maintenance.fleet import Fleet, LiveWorker, Machine, contents
 from opalwick.post.maintenance.needs import unmet_needs
 from opalwick.post.maintenance.racks import check
 from opalwick.post.maintenance.state import RESTING, State, read
