--- a/opalwick/post/maintenance/conductor.py
+++ b/opalwick/post/maintenance/conductor.py
@@ -14,7 +14,7 @@
 from dataclasses import replace
 from typing import Any, NamedTuple
 
-from opalwick.post.maintenance.fleet import RackContent, Fleet, contents
+from opalwick.post.maintenance.fleet import Fleet, RackContent, contents
 from opalwick.post.maintenance.needs import UnmetNeed, unmet_needs
 from opalwick.post.maintenance.planner import NoPlan, Plan, plan
 from opalwick.post.maintenance.racks import Declaration
--- a/opalwick/post/maintenance/needs.py
+++ b/opalwick/post/maintenance/needs.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from opalwick.post.maintenance.fleet import RackContent, Fleet
+from opalwick.post.maintenance.fleet import Fleet, RackContent
 from opalwick.post.maintenance.racks import Declaration
 
 
--- a/opalwick/post/maintenance/planner.py
+++ b/opalwick/post/maintenance/planner.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable, Iterable, Iterator
 from typing import NamedTuple
 
-from opalwick.post.maintenance.fleet import RackContent, Fleet, contents
+from opalwick.post.maintenance.fleet import Fleet, RackContent, contents
 from opalwick.post.maintenance.needs import UnmetNeed, unmet_needs
 from opalwick.post.maintenance.racks import Declaration
 
