--- a/opalwick/post/counter/holding.py
+++ b/opalwick/post/counter/holding.py
@@ -58,7 +58,7 @@
         """Counts the due messages of each customer; called periodically."""
         if not self.by_service or now < self.check_at:
             return
-        from opalwick.post.maintenance.shares import DEPTH
+        from opalwick.post.maintenance.shares import PLACES_PER_SLOT
 
         self.check_at = now + CHECK_INTERVAL
         due_by_service: dict[str, dict[str, int]] = {svc: {} for svc in self.by_service}
@@ -76,14 +76,17 @@
         for svc, share in self.by_service.items():
             ended = self.rounds.ends_by_service.get(svc, 0)
             share.observe(
-                now, self.slots(svc, DEPTH, self.rounds.resting), due_by_service[svc], ended - share.ends
+                now,
+                self.slots(svc, PLACES_PER_SLOT, self.rounds.resting),
+                due_by_service[svc],
+                ended - share.completed,
             )
-            share.ends = ended
+            share.completed = ended
 
     def retry_after(self, route: Route) -> float:
         """Returns 0 if a message of this route is admitted, else the seconds after which to retry."""
         share = self.by_service.get(route.svc)
-        return share.ask(route.name, route.prio) if share is not None else 0.0
+        return share.admit(route.name, route.prio) if share is not None else 0.0
 
     def figures(self) -> dict[str, dict[str, int]]:
         return {svc: dict(share.figures) for svc, share in self.by_service.items()}
--- a/tests/test_lab_post_mutants.py
+++ b/tests/test_lab_post_mutants.py
@@ -25,7 +25,7 @@
 from opalwick.post.office import numbers
 from opalwick.post.office.notices import Notices
 from opalwick.post.office.registry import Registry
-from opalwick.post.office.role import Office
+from opalwick.post.office.role import Controller
 from opalwick.post.office.views import Views
 from opalwick.post.wire_pb2 import Conf, News, Told, Written
 
@@ -103,7 +103,7 @@
 @mutant("depots = 4\ndelayed = 0.7\n" + fault("emptied", 2.0, of=["depot-0"]), "COPIES")
 def emptied_without_handing_over(patch: pytest.MonkeyPatch) -> None:
     def start(self: Rebalancing, entry: Any, without: str) -> None:
-        self.k.drop(entry)
+        self.store.drop(entry)
 
     patch.setattr(Rebalancing, "start", start)
 
@@ -160,10 +160,10 @@
     def alone(self: Views) -> None:
         first = self.queue[0]
         self.number += 1
-        first.number, first.needs = self.number, {self.me}
+        first.number, first.needs = self.number, {self.ip}
         from opalwick.post.wire_pb2 import Write as Word
 
-        self.write(self.me, Word(epoch=self.epoch, number=self.number, conf=first.conf))
+        self.write(self.ip, Word(epoch=self.epoch, number=self.number, conf=first.conf))
 
     patch.setattr(Views, "write_next", alone)
 
@@ -222,7 +222,7 @@
 @mutant("poison = 0.4\nasks = 1.0\nafter = '1 s'", "MIXED")
 def a_dead_message_has_no_body(patch: pytest.MonkeyPatch) -> None:
     def answer(self: StoreRole, link: Any, word: Any) -> None:
-        told: Told = self.keeping.state(word.mid)
+        told: Told = self.store.state(word.mid)
         told.call = word.call
         if word.body and told.state == MessageState.PENDING:
             self.queue.append(keeping.Fetch(word.mid, ("told", link, word.call)))
@@ -275,15 +275,15 @@
 
 @mutant('length = "12 s"\n' + ORDERS + fault("alone", 2.0, 8.0, of=["office-0"]), "STALE")
 def reads_answered_by_whoever_is_asked(patch: pytest.MonkeyPatch) -> None:
-    at_primary = Office.at_primary
+    at_primary = Controller.at_primary
 
-    def here(self: Office, what: str, body: bytes, answer: Any) -> None:
+    def here(self: Controller, what: str, body: bytes, answer: Any) -> None:
         if what == "get" and self.directory.conf is not None and self.last_conf:
             answer(200, Conf.FromString(self.last_conf).said)
             return
         at_primary(self, what, body, answer)
 
-    patch.setattr(Office, "at_primary", here)
+    patch.setattr(Controller, "at_primary", here)
 
 
 @mutant(
--- a/tests/test_post_ceilings.py
+++ b/tests/test_post_ceilings.py
@@ -8,7 +8,7 @@
 from post_helper import Net
 
 from opalwick.post.counter.ceilings import MAX_HOLDERS, Ceilings
-from opalwick.post.office.duties import Duties
+from opalwick.post.office.duties import LeaseTable
 from opalwick.post.wire_pb2 import Leased, Permit, Permitted
 
 
@@ -27,7 +27,7 @@
     ) -> None:
         super().__init__(seed, late, lost)
         self.rate, self.events, self.holder = rate, list[str](), ""
-        self.voters = {f"o{n}": Duties(0.0, True) for n in (1, 2, 3)}
+        self.voters = {f"o{n}": LeaseTable(0.0, True) for n in (1, 2, 3)}
         self.gateways = {f"c{n}": Ceilings(f"c{n}", 1) for n in (1, 2, 3)}
         self.used, self.max_used, self.total = deque[float](), 0, 0  # times of permits in the last 5 s
         for name, c in self.gateways.items():
@@ -86,7 +86,7 @@
 
     def restart(self, controller: str) -> None:
         """Restarts a voter: it has lost its grants, and grants nothing for the longest span of a lease."""
-        self.voters[controller] = Duties(self.now, False)
+        self.voters[controller] = LeaseTable(self.now, False)
         for c in self.gateways.values():
             c.office_down(controller)
 
--- a/tests/test_post_safety.py
+++ b/tests/test_post_safety.py
@@ -15,7 +15,7 @@
 from opalwick.post.counter.role import Gateway
 from opalwick.post.depot.disk import Disk
 from opalwick.post.depot.role import StoreRole
-from opalwick.post.office.role import Office
+from opalwick.post.office.role import Controller
 from opalwick.post.settings import parse
 from opalwick.post.wire_pb2 import (
     Conf,
@@ -70,19 +70,19 @@
         self.status, self.body = status, body
 
 
-def new_controller(*seeds: int) -> Office:
+def new_controller(*seeds: int) -> Controller:
     text = OFFICE.format(seeds=",".join(f"10.0.0.{n}:8262" for n in seeds))
-    return Office(parse(text, "here"), 1, 0.0, None)
+    return Controller(parse(text, "here"), 1, 0.0, None)
 
 
-def request(controller: Office, method: str, path: str, body: Any = None) -> FakeCall:
+def request(controller: Controller, method: str, path: str, body: Any = None) -> FakeCall:
     call = FakeCall(method, path, body)
     controller.called(call)  # type: ignore[arg-type]
     controller.settle()
     return call
 
 
-def link_controllers(controller: Office, *numbers: int) -> list[Spy]:
+def link_controllers(controller: Controller, *numbers: int) -> list[Spy]:
     links = []
     for number in numbers:
         link = Spy("office", f"o{number}")
@@ -164,7 +164,7 @@
 # ---- removal of a store
 
 
-def single_controller(stores: int = 4) -> tuple[Office, list[Spy]]:
+def single_controller(stores: int = 4) -> tuple[Controller, list[Spy]]:
     """A controller that is the only voter, with a configuration in force, and its links to stores."""
     controller = new_controller(1)
     controller.registry.node(0.0, Node(node="o1", role="office", ip="10.0.0.1", life=1))
@@ -180,7 +180,7 @@
     return controller, links
 
 
-def pass_time(controller: Office, until: float, links: Sequence[Spy] = ()) -> None:
+def pass_time(controller: Controller, until: float, links: Sequence[Spy] = ()) -> None:
     while controller.now < until:
         controller.clock(round(controller.now + 0.05, 3))
         for link in links:
@@ -245,7 +245,7 @@
     assert b"take a higher number" in request_body(controller, links, conf | {"caps": {"idle_ms": 9}})
 
 
-def request_body(controller: Office, links: list[Spy], body: Any) -> bytes:
+def request_body(controller: Controller, links: list[Spy], body: Any) -> bytes:
     call = request(controller, "PUT", "/conf", body)
     pass_time(controller, controller.now + 0.2, links)
     return call.body
@@ -276,21 +276,21 @@
     disk = Disk(str(tmp_path))
     assert disk.seal() == (7, 2)
     store, link, peer = StoreRole(parse(DEPOT, "here"), 2, 0.0, disk.id), Spy("counter"), Spy("depot", "d2")
-    store.keeping.seal.loaded(disk.seal())
+    store.store.seal.loaded(disk.seal())
     store.joined(link)
     store.joined(peer)
     message = Letter(mid="m.1.1", body=b"x", holders=["d1", "d2"], until=90.0)
     store.heard(link, "keep", Keep(letter=message))
     store.heard(peer, "hand", Hand(letters=[message]))
     store.settle()
-    assert not store.keeping.entries and not store.queue
+    assert not store.store.entries and not store.queue
     assert [word.refused for kind, word in link.said if kind == "kept"] == [True]
     controller_link = Spy("office", "o1")
     store.joined(controller_link)
     for gen, seq, sealed in ((7, 1, True), (7, 2, True), (7, 3, False)):  # the removal was revoked
         store.hear(controller_link, "news", News(conf=Conf(gen=gen, seq=seq), whole=True))
         store.settle()
-        assert (store.keeping.seal.written is not None) is sealed
+        assert (store.store.seal.written is not None) is sealed
     disk.commit([(write.kind, write.fields) for write in store.batch()[0]])
     assert disk.seal() is None
     disk.close()
