--- a/opalwick/post/counter/intake.py
+++ b/opalwick/post/counter/intake.py
@@ -1,7 +1,8 @@
-"""How a counter has messages kept: at how many depots, which, and when a client gets its answer. No I/O.
+"""Replicates new messages to stores and decides when and how each client is answered. No I/O.
 
-202 goes out once `copies` depots have it on their disks. An accept whose end at a depot is unknown gets no
-promise (504): it may still run. Where nothing was said to any depot the answer is 503, and it never runs.
+202 is sent once `copies` stores have the message on disk. When the outcome at some store is unknown the
+client gets 504, since the message may still be delivered. 503 means that no store has the message, so it is
+never delivered.
 """
 
 from __future__ import annotations
@@ -14,243 +15,277 @@
 from opalwick.post.home.policy import Policy
 from opalwick.post.wire_pb2 import Holders, Keep, Letter, Refuse
 
-HEDGE = 0.04  # s until one more depot is asked: half of the shortest aim, several syncs and trips
-GIVE_UP = 0.4  # s until a client is told that nobody knows: within the shortest deadline of 0.5
-REMEMBER = 30.0  # s that a late depot is told who keeps a message: longer than any word is on its way
-# s that a depot has waited for its disk after which it is asked last: half of HEDGE
+# s until one more store is asked: half of the shortest latency target, several disk syncs and round trips
+HEDGE = 0.04
+GIVE_UP = 0.4  # s until a client gets 504: within the shortest client deadline of 0.5 s
+# s that late stores are still sent the list of replicas: longer than any peer message is in transit
+REMEMBER = 30.0
+# s that a store has waited for its disk after which it is used last: half of HEDGE
 BEHIND = 0.02
-FRESH = 0.8  # s without a word after which a depot is passed over: three pulses
+FRESH = 0.8  # s without a heartbeat after which a store is skipped: three heartbeat intervals
 
 
 def known_name(letter: Letter) -> str:
-    """Of a message that has its whole name already."""
+    """For a message that already has its complete name."""
     return letter.mid
 
 
-class Told(NamedTuple):
-    """To the client: 202 with the message's name, 503 or 504. `request`: the id that the client gave it."""
+class ClientAnswer(NamedTuple):
+    """An answer to a client: 202 with the message's name, 503 or 504."""
 
     call: Any
     status: int
     name: str = ""
-    request: str = ""
+    request: str = ""  # the client's request id
 
 
 class Accepted(NamedTuple):
+    """An accepted message that this gateway delivers."""
+
     letter: Letter
-    touched: tuple[str, ...]
+    touched: tuple[str, ...]  # stores that have it or may have it
+
 
+class StoreState:
+    """A connected store, as last reported by its heartbeats."""
 
-class Depot:
-    __slots__ = ("behind", "heard_at", "leaving", "node", "zone")
+    __slots__ = ("behind", "last_heartbeat", "leaving", "node", "zone")
 
     def __init__(self, node: str, zone: str, now: float) -> None:
-        self.node, self.zone, self.heard_at, self.leaving = node, zone, now, False
-        self.behind = False
+        self.node, self.zone, self.last_heartbeat, self.leaving = node, zone, now, False
+        self.behind = False  # its disk is slow
+
 
+class PendingMessage:
+    """A message whose client has not been answered yet."""
 
-class Wait:
-    __slots__ = ("asked", "began", "call", "full", "hedged", "kept", "letter", "parked", "taken_away")
+    __slots__ = ("asked", "call", "full", "hedged", "kept", "letter", "parked", "reassigned", "started_at")
 
-    def __init__(self, call: Any, letter: Letter, parked: bool, began: float) -> None:
-        self.call, self.letter, self.parked, self.began, self.hedged = call, letter, parked, began, False
-        self.taken_away = False  # a depot has it delivered by another counter
-        self.asked: list[str] = []
-        self.kept: list[str] = []
-        self.full: list[str] = []  # those that have no room for it
+    def __init__(self, call: Any, letter: Letter, parked: bool, started_at: float) -> None:
+        self.call, self.letter, self.parked, self.started_at, self.hedged = (
+            call,
+            letter,
+            parked,
+            started_at,
+            False,
+        )
+        self.reassigned = False  # a store has assigned it to another gateway
+        self.asked: list[str] = []  # stores that the message was sent to
+        self.kept: list[str] = []  # stores that have it on disk
+        self.full: list[str] = []  # stores that rejected it for lack of room
 
 
 class Intake:
+    """Replication of all messages that are being accepted at a gateway."""
+
     def __init__(self, zone: str, copies: int, most: int, spread: bool = True) -> None:
-        """`most`: accepts under way at once. `spread`: copies stand in different zones."""
+        """`most`: messages being accepted at once. `spread`: replicas are placed in different zones."""
         self.zone, self.copies, self.most, self.spread, self.now = zone, copies, most, spread, 0.0
-        self.depots: dict[str, Depot] = {}
-        self.retiring = set[str]()  # depots that are to be taken away
-        self.policy: Policy | None = None  # where messages with a home may be kept
-        self.waits: dict[str, Wait] = {}
-        self.looks: list[tuple[float, str]] = []
-        self.over: dict[
-            str, tuple[float, list[str]]
-        ] = {}  # answered before all depots had: when, who keeps it
+        self.stores: dict[str, StoreState] = {}
+        self.retiring = set[str]()  # stores that are being decommissioned
+        self.policy: Policy | None = None  # where messages with a data residency may be stored
+        self.waits: dict[str, PendingMessage] = {}
+        self.timers: list[tuple[float, str]] = []
+        # messages answered before all stores had replied: when, and the replicas
+        self.answered: dict[str, tuple[float, list[str]]] = {}
         self.sends: list[tuple[str, str, Any]] = []
-        self.told: list[Told] = []
+        self.answers: list[ClientAnswer] = []
         self.accepted: list[Accepted] = []
         self.figures = {"accepted": 0, "refused": 0, "unsure": 0, "hedged": 0}
 
     def clock(self, now: float) -> None:
+        """Sets the current time, in s."""
         self.now = now
 
-    def effects(self) -> tuple[list[tuple[str, str, Any]], list[Told], list[Accepted]]:
-        found = self.sends, self.told, self.accepted
-        self.sends, self.told, self.accepted = [], [], []
+    def effects(self) -> tuple[list[tuple[str, str, Any]], list[ClientAnswer], list[Accepted]]:
+        """Peer messages to send (store, kind, message), client answers, and accepted messages since the last
+        call.
+        """
+        found = self.sends, self.answers, self.accepted
+        self.sends, self.answers, self.accepted = [], [], []
         return found
 
-    # ---- depots
+    # ---- stores ("depot" is the wire's name for the role)
 
     def depot_up(self, node: str, zone: str) -> None:
-        self.depots[node] = Depot(node, zone, self.now)
+        self.stores[node] = StoreState(node, zone, self.now)
 
     def depot_down(self, node: str) -> None:
-        self.depots.pop(node, None)
+        self.stores.pop(node, None)
 
     def depot_pulse(self, node: str, leaving: bool, behind: float = 0.0) -> None:
-        """`behind`: s that it has waited for its disk."""
-        if (depot := self.depots.get(node)) is not None:
-            depot.heard_at, depot.leaving, depot.behind = self.now, leaving, behind >= BEHIND
+        """A store's heartbeat. `behind`: s that it has waited for its disk."""
+        if (store := self.stores.get(node)) is not None:
+            store.last_heartbeat, store.leaving, store.behind = self.now, leaving, behind >= BEHIND
 
-    def able(self, home: str = "") -> list[Depot]:
-        """`home`: the country that a message must not leave, if there is one."""
+    def able(self, home: str = "") -> list[StoreState]:
+        """Stores that accept messages. `home`: the country that the message must not leave, if any."""
         return [
             d
-            for d in self.depots.values()
+            for d in self.stores.values()
             if not d.leaving
-            and self.now - d.heard_at < FRESH
+            and self.now - d.last_heartbeat < FRESH
             and d.node not in self.retiring
             and (not home or (self.policy is not None and self.policy.country(d.zone) == home))
         ]
 
-    def order(self, mid: str, home: str = "") -> list[Depot]:
-        """Depots for a message, the best first: a near one (all such, if it need not be spread), then one of
-        each other zone, by a hash that spreads the messages among them. Those whose disks are slow come last.
+    def ranked(self, mid: str, home: str = "") -> list[StoreState]:
+        """Stores for a message, in order of preference: one in the gateway's own zone (all of those, if
+        replicas need not be in different zones), then one of each other zone, by a hash that distributes
+        messages among stores. Stores with slow disks come last.
         """
-        able = sorted(
+        eligible = sorted(
             self.able(home), key=lambda d: (d.zone != self.zone, zlib.crc32(f"{mid}/{d.node}".encode()))
         )
-        first: list[Depot] = []
-        rest: list[Depot] = []
+        first: list[StoreState] = []
+        rest: list[StoreState] = []
         zones: set[str] = set()
-        for depot in able:
-            (rest if depot.zone in zones else first).append(depot)
-            if self.spread or depot.zone != self.zone:
-                zones.add(depot.zone)
-        # a sort keeps the order of equals
-        return sorted(first + rest, key=lambda depot: depot.behind)
+        for store in eligible:
+            (rest if store.zone in zones else first).append(store)
+            if self.spread or store.zone != self.zone:
+                zones.add(store.zone)
+        # the sort is stable: the order above holds among stores with equally fast disks
+        return sorted(first + rest, key=lambda store: store.behind)
 
     # ---- messages
 
     def under_way(self, node: str) -> list[str]:
-        """What this depot was asked to keep and this counter will deliver: what has just been accepted and is
-        not handed on yet is among it, or the depot would take it for nobody's.
+        """Messages sent to this store that this gateway will deliver. Includes those just accepted and not
+        yet passed on by `effects()`: the store would otherwise consider them to have no owner.
         """
-        waits = [mid for mid, wait in self.waits.items() if node in wait.asked and not wait.parked]
-        return waits + [letter.mid for letter, touched in self.accepted if node in touched]
+        mids = [mid for mid, entry in self.waits.items() if node in entry.asked and not entry.parked]
+        return mids + [letter.mid for letter, touched in self.accepted if node in touched]
 
     def offered(
         self, call: Any, letter: Letter, parked: bool, name: Callable[[Letter], str] = known_name
     ) -> None:
-        """`name`: the message's whole name, once `letter.holders` says which depots are asked to keep it."""
-        order = self.order(letter.mid, letter.home)[: self.copies]
-        if len(order) < self.copies or len(self.waits) >= self.most:
+        """A client's message. `parked`: stores hold it until it is due, and then assign it to a gateway.
+        `name`: returns the message's complete name, once `letter.holders` lists the stores it is sent to.
+        """
+        ranked = self.ranked(letter.mid, letter.home)[: self.copies]
+        if len(ranked) < self.copies or len(self.waits) >= self.most:
             self.figures["refused"] += 1
-            self.told.append(Told(call, 503))
+            self.answers.append(ClientAnswer(call, 503))
             return
-        letter.holders.extend(depot.node for depot in order)
+        letter.holders.extend(store.node for store in ranked)
         letter.mid = name(letter)
-        wait = self.waits[letter.mid] = Wait(call, letter, parked, self.now)
-        for depot in order:
-            self.ask(wait, depot.node)
-        heapq.heappush(self.looks, (self.now + HEDGE, letter.mid))
+        entry = self.waits[letter.mid] = PendingMessage(call, letter, parked, self.now)
+        for store in ranked:
+            self.send_keep(entry, store.node)
+        heapq.heappush(self.timers, (self.now + HEDGE, letter.mid))
 
-    def ask(self, wait: Wait, node: str) -> None:
-        wait.asked.append(node)
-        self.sends.append((node, "keep", Keep(letter=wait.letter, parked=wait.parked)))
+    def send_keep(self, entry: PendingMessage, node: str) -> None:
+        entry.asked.append(node)
+        self.sends.append((node, "keep", Keep(letter=entry.letter, parked=entry.parked)))
 
     def kept(self, node: str, mid: str, refused: bool = False) -> None:
-        wait = self.waits.get(mid)
-        if wait is None:
-            self.late(node, mid, refused)
+        """A store has the message on disk, or with `refused` has rejected it."""
+        entry = self.waits.get(mid)
+        if entry is None:
+            self.kept_late(node, mid, refused)
             return
-        if node in wait.kept or node in wait.full:
+        if node in entry.kept or node in entry.full:
             return
         if refused:
-            self.refused(wait, node)
+            self.rejected(entry, node)
             return
-        wait.kept.append(node)
-        if len(wait.kept) >= self.copies:
+        entry.kept.append(node)
+        if len(entry.kept) >= self.copies:
             del self.waits[mid]
-            letter = wait.letter
-            holders = [node for node in wait.asked if node in wait.kept]
-            touched = tuple(node for node in wait.asked if node not in wait.full)
-            if len(touched) > len(holders):  # a copy too many would wait where no end is ever told
-                self.over[mid] = self.now, holders
-            if wait.hedged:  # what was meant first is not what has it
+            letter = entry.letter
+            replicas = [node for node in entry.asked if node in entry.kept]
+            touched = tuple(node for node in entry.asked if node not in entry.full)
+            # a surplus replica would stay on a store that is never sent the outcome
+            if len(touched) > len(replicas):
+                self.answered[mid] = self.now, replicas
+            if entry.hedged:  # the replicas are not the stores that were chosen first
                 del letter.holders[:]
-                letter.holders.extend(holders)
-                for one in touched:  # one whose disk is behind might assign it from memory
-                    self.sends.append((one, "holders", Holders(mid=mid, holders=holders)))
+                letter.holders.extend(replicas)
+                for one in touched:  # a store with a slow disk might assign the message from memory
+                    self.sends.append((one, "holders", Holders(mid=mid, holders=replicas)))
             self.figures["accepted"] += 1
-            self.told.append(Told(wait.call, 202, mid, letter.rid))
-            if not wait.parked:
+            self.answers.append(ClientAnswer(entry.call, 202, mid, letter.rid))
+            if not entry.parked:
                 self.accepted.append(Accepted(letter, touched))
-            if wait.taken_away:
+            if entry.reassigned:
                 self.taken_away([mid])
-        elif len(wait.full) + len(wait.kept) == len(wait.asked) > self.copies - 1 and wait.full:
-            self.refused(wait, "")
+        elif len(entry.full) + len(entry.kept) == len(entry.asked) > self.copies - 1 and entry.full:
+            self.rejected(entry, "")
 
     def taken_away(self, mids: Iterable[str]) -> None:
-        """These have another deliverer, says a depot: once they are accepted they are not delivered here."""
+        """A store has assigned these messages to another gateway: they are not delivered here, whether they
+        have been accepted or will be.
+        """
         for mid in mids:
-            if (wait := self.waits.get(mid)) is not None:
-                wait.taken_away = True
+            if (entry := self.waits.get(mid)) is not None:
+                entry.reassigned = True
         for one in [one for one in self.accepted if one.letter.mid in mids]:
             self.accepted.remove(one)
-            # those that take this counter for the deliverer must not wait for it
+            # stores that have this gateway as the owner must not wait for it to deliver
             refuse = Refuse(mid=one.letter.mid, claim=one.letter.claim)
             self.sends += [(node, "refuse", refuse) for node in one.touched]
 
-    def late(self, node: str, mid: str, refused: bool) -> None:
-        """It answers after the client was: it is told who keeps the message, and drops it if it does not."""
-        found = self.over.get(mid)
+    def kept_late(self, node: str, mid: str, refused: bool) -> None:
+        """A store replied after the client was answered: it is sent the list of replicas, and deletes the
+        message if it is not one of them.
+        """
+        found = self.answered.get(mid)
         if found is not None and not refused:
             self.sends.append((node, "holders", Holders(mid=mid, holders=found[1])))
 
-    def refused(self, wait: Wait, node: str) -> None:
-        """That depot has no room, and never had it: another is asked, or the client is told at once."""
+    def rejected(self, entry: PendingMessage, node: str) -> None:
+        """The store has no room and has not stored the message: another one is used, or if none is left the
+        client is answered at once.
+        """
         if node:
-            wait.full.append(node)
-        mid = wait.letter.mid
-        further = next((d.node for d in self.order(mid, wait.letter.home) if d.node not in wait.asked), None)
-        if further is not None:
-            wait.hedged = True
-            self.ask(wait, further)
+            entry.full.append(node)
+        mid = entry.letter.mid
+        other = next((d.node for d in self.ranked(mid, entry.letter.home) if d.node not in entry.asked), None)
+        if other is not None:
+            entry.hedged = True
+            self.send_keep(entry, other)
             return
-        if len(wait.full) == len(wait.asked):  # nobody has it, nor ever had
+        if len(entry.full) == len(entry.asked):  # no store has it or ever had it
             del self.waits[mid]
             self.figures["refused"] += 1
-            self.told.append(Told(wait.call, 503))
-        elif len(wait.full) + len(wait.kept) == len(wait.asked):
-            self.give_up(wait)
+            self.answers.append(ClientAnswer(entry.call, 503))
+        elif len(entry.full) + len(entry.kept) == len(entry.asked):
+            self.give_up(entry)
 
-    def give_up(self, wait: Wait) -> None:
-        """Too few have said that they have it. Who has it drops it, as the client will not ask again."""
-        del self.waits[wait.letter.mid]
+    def give_up(self, entry: PendingMessage) -> None:
+        """Too few stores have confirmed the message. Those that have it are told to delete it, as the client
+        will not ask for it again.
+        """
+        del self.waits[entry.letter.mid]
         self.figures["unsure"] += 1
-        self.told.append(Told(wait.call, 504))
-        self.over[wait.letter.mid] = self.now, []
-        for node in wait.asked:
-            if node not in wait.full:
-                self.sends.append((node, "holders", Holders(mid=wait.letter.mid)))
+        self.answers.append(ClientAnswer(entry.call, 504))
+        self.answered[entry.letter.mid] = self.now, []
+        for node in entry.asked:
+            if node not in entry.full:
+                self.sends.append((node, "holders", Holders(mid=entry.letter.mid)))
 
     def next_at(self) -> float:
-        return self.looks[0][0] if self.looks else float("inf")
+        """When `tick` is due next."""
+        return self.timers[0][0] if self.timers else float("inf")
 
     def tick(self) -> None:
-        while self.looks and self.looks[0][0] <= self.now:
-            mid = heapq.heappop(self.looks)[1]
-            wait = self.waits.get(mid)
-            if wait is None:
+        """Sends messages that are not replicated in time to one more store, and gives up overdue ones."""
+        while self.timers and self.timers[0][0] <= self.now:
+            mid = heapq.heappop(self.timers)[1]
+            entry = self.waits.get(mid)
+            if entry is None:
                 continue
-            end = wait.began + GIVE_UP
-            if self.now >= end:
-                self.give_up(wait)
+            deadline = entry.started_at + GIVE_UP
+            if self.now >= deadline:
+                self.give_up(entry)
                 continue
-            further = next(
-                (d.node for d in self.order(mid, wait.letter.home) if d.node not in wait.asked), None
+            other = next(
+                (d.node for d in self.ranked(mid, entry.letter.home) if d.node not in entry.asked), None
             )
-            if further is not None:
-                wait.hedged = True
+            if other is not None:
+                entry.hedged = True
                 self.figures["hedged"] += 1
-                self.ask(wait, further)
-            heapq.heappush(self.looks, (min(self.now + HEDGE, end), mid))
-        while self.over and self.now - next(iter(self.over.values()))[0] > REMEMBER:
-            del self.over[next(iter(self.over))]
+                self.send_keep(entry, other)
+            heapq.heappush(self.timers, (min(self.now + HEDGE, deadline), mid))
+        while self.answered and self.now - next(iter(self.answered.values()))[0] > REMEMBER:
+            del self.answered[next(iter(self.answered))]
--- a/opalwick/post/counter/status.py
+++ b/opalwick/post/counter/status.py
@@ -101,12 +101,12 @@
             {
                 "node": d.node,
                 "zone": d.zone,
-                "age": role.now - d.heard_at,
+                "age": role.now - d.last_heartbeat,
                 "leaving": d.leaving,
                 "heard_here": since(role.now, role.heard_here.get(d.node)),
                 "sure": d.node in role.sure,
             }
-            for d in role.intake.depots.values()
+            for d in role.intake.stores.values()
         ],
         "keeping": len(role.intake.waits),
         "held": r.held(),
--- a/tests/test_post_intake.py
+++ b/tests/test_post_intake.py
@@ -16,10 +16,10 @@
 def test_copies_cross_zones_only_where_zones_may_be_lost() -> None:
     """All near ones, then one of each other zone, then the rest."""
     c = Clients("d1 d2 d3 d4 d5")
-    assert {"".join(ZONES[d.node] for d in c.i.order(f"m{n}"))[:3] for n in range(9)} <= {"nsw", "nws"}
+    assert {"".join(ZONES[d.node] for d in c.i.ranked(f"m{n}"))[:3] for n in range(9)} <= {"nsw", "nws"}
     c.i.spread = False
-    assert {tuple(ZONES[d.node] for d in c.i.order(f"m{n}"))[:2] for n in range(9)} == {("n", "n")}
-    assert {ZONES[d.node] for d in c.i.order("m1")[2:4]} == {"s", "w"}
+    assert {tuple(ZONES[d.node] for d in c.i.ranked(f"m{n}"))[:2] for n in range(9)} == {("n", "n")}
+    assert {ZONES[d.node] for d in c.i.ranked("m1")[2:4]} == {"s", "w"}
 
 
 class Clients(Player):
@@ -139,8 +139,8 @@
 def test_a_look_at_the_very_moment_of_giving_up_ends() -> None:
     """As a lab's clock has it, or by bad luck a real one."""
     began = next(n / 10 for n in range(1, 99) if n / 10 + GIVE_UP - n / 10 < GIVE_UP)
-    c, looks, order = Clients(), iter(range(99)), Intake.order
-    c.i.order = lambda mid, _="": order(c.i, mid) if next(looks) < 98 else pytest.fail("it looks without end")
+    c, looks, order = Clients(), iter(range(99)), Intake.ranked
+    c.i.ranked = lambda mid, _="": order(c.i, mid) if next(looks) < 98 else pytest.fail("it looks without end")
     c.play(f"{began} call1 sends m1")
     c.i.clock(began + GIVE_UP)
     c.i.tick()
@@ -164,7 +164,7 @@
     c.do_leaves("d1")
     c.do_silent("d3")
     c.until(1.1)
-    assert next(d.node for d in c.i.order("m1")) == "d4" and {d.node for d in c.i.able()} == {
+    assert next(d.node for d in c.i.ranked("m1")) == "d4" and {d.node for d in c.i.able()} == {
         "d2",
         "d4",
         "d5",
@@ -175,6 +175,6 @@
     """Not left out: with two others away it is all there is."""
     i = Clients("d1 d2 d3").i
     i.depot_pulse("d1", False, BEHIND)
-    assert [d.node for d in i.order("m1")][2] == "d1"
+    assert [d.node for d in i.ranked("m1")][2] == "d1"
     i.depot_pulse("d1", False, 0.0)
-    assert next(d.node for d in i.order("m1")) == "d1"
+    assert next(d.node for d in i.ranked("m1")) == "d1"
