--- a/opalwick/post/counter/lookup.py
+++ b/opalwick/post/counter/lookup.py
@@ -1,8 +1,8 @@
-"""Clients look up messages by name at a gateway: it asks the stores that may have them, one after the other.
+"""Lookup of messages by name for clients of a gateway, which queries one store after the other.
 
-A name that cannot be any message's is answered 404 at once (`names.read`). For any other the answer is 404
-only if each store that the name hints at is there, and all stores have said that they do not know it; 503 if
-one of them could not say, or did not answer in time. No socket and no clock.
+A name that cannot belong to any message is answered with 404 at once (`names.read`). Any other name gets 404
+only if every store that the name hints at is known, and all stores have replied that they do not have the
+message. If some store could not tell or did not answer in time, the answer is 503. No socket and no clock.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 from opalwick.post.wire_pb2 import Ask, Node, Told
 from opalwick.protocol.conversation import Call
 
-ANSWER_TIME = 0.35  # s for one store's answer: clients wait two seconds for theirs
-MOST = 256  # lookups under way at once
+ANSWER_TIME = 0.35  # s that one store has for its answer: clients wait 2 s for theirs
+MOST = 256  # lookups in progress at once
 
 
 class Gateway(Protocol):
-    """What a lookup needs of the gateway that it is made at. `now`: s, of its own clock."""
+    """What a lookup needs of its gateway."""
 
-    now: float
+    now: float  # s, the gateway's own clock
     zone: str
     guard: Guard
     counts: dict[str, int]
@@ -41,42 +41,43 @@
 
 
 class Lookup:
-    """One question of a client."""
+    """One lookup by a client."""
 
-    __slots__ = ("asked", "body", "call", "left", "name", "pending", "sure", "until")
+    __slots__ = ("asked", "body", "call", "deadline", "left", "name", "pending", "sure")
 
     def __init__(self, call: Call, name: str, asked: Asked, body: bool, left: list[str], sure: bool) -> None:
-        """`name`: as the client wrote it. `body`: its octets are wanted, not its state. `left`: stores that
-        are still to be asked. `sure`: no store that may have the message has failed to say so.
+        """`name`: as the client wrote it. `asked`: the same, parsed. `body`: the message's body is requested,
+        not its state. `left`: stores not queried yet. `sure`: no store that may have the message has failed
+        to tell.
         """
         self.call, self.name, self.asked = call, name, asked
         self.body, self.left, self.sure = body, left, sure
-        self.pending: Told | None = None  # what a store has said that does not know of an end
-        self.until = 0.0  # s: the store that is asked has as long
+        self.pending: Told | None = None  # the answer of a store that has no outcome of the message
+        self.deadline = 0.0  # s: by when the store being queried must have answered
 
 
 class Lookups:
-    """All questions that are under way at a gateway."""
+    """All lookups in progress at a gateway."""
 
     def __init__(self, gateway: Gateway) -> None:
         self.gateway = gateway
-        self.number = 0  # of the question to a store that was asked last; never used again
-        self.under_way: dict[int, Lookup] = {}
+        self.last_query = 0  # number of the last query sent to a store; numbers are never reused
+        self.under_way: dict[int, Lookup] = {}  # sent and not answered, by number
 
     def begin(self, call: Call, name: str, body: bool) -> None:
-        """A client asks for a message's state, or with `body` for its octets."""
+        """Starts a client's lookup of a message's state, or with `body` of its body."""
         gateway = self.gateway
         gateway.counts["asked_back"] += 1
         if len(self.under_way) >= MOST:
-            self.not_shown(call, name, body, 503, "too many questions under way")
+            self.answer_error(call, name, body, 503, "too many lookups in progress")
             return
         asked = read(name, field(call.message, b"host").decode("latin-1"))
         if asked is None:
-            self.not_shown(call, name, body, 404, "no such message")
+            self.answer_error(call, name, body, 404, "no such message")
             return
         stores = gateway.nodes("depot")
         hinted = {store.node for store in stores if asked.hinted(store.node)}
-        # of those that have it the near one first: a body that crosses zones is dear
+        # stores in the gateway's own zone first: traffic between zones is expensive
         stores.sort(
             key=lambda store: (
                 store.node not in hinted,
@@ -85,87 +86,87 @@
                 store.node,
             )
         )
-        names = [store.node for store in stores]
-        self.ask_next(Lookup(call, name, asked, body, names, asked.all_among(names)))
+        nodes = [store.node for store in stores]
+        self.query_next(Lookup(call, name, asked, body, nodes, asked.all_among(nodes)))
 
-    def ask_next(self, lookup: Lookup) -> None:
-        """The next store is asked; or, where none is left, the client has its answer."""
+    def query_next(self, lookup: Lookup) -> None:
+        """Queries the next store, or answers the client if none is left."""
         if lookup.left:
-            self.number += 1
-            lookup.until = self.gateway.now + ANSWER_TIME
-            self.under_way[self.number] = lookup
+            self.last_query += 1
+            lookup.deadline = self.gateway.now + ANSWER_TIME
+            self.under_way[self.last_query] = lookup
             asked = lookup.asked
-            word = Ask(call=self.number, mid=asked.mid, body=lookup.body, tags=asked.tags)
-            self.gateway.call_on(lookup.left.pop(0), "ask", word)
+            query = Ask(call=self.last_query, mid=asked.mid, body=lookup.body, tags=asked.tags)
+            self.gateway.call_on(lookup.left.pop(0), "ask", query)
         elif lookup.pending is not None:
             self.show(lookup, lookup.pending)
         elif lookup.sure:
-            self.not_shown(lookup.call, lookup.name, lookup.body, 404, "no such message")
+            self.answer_error(lookup.call, lookup.name, lookup.body, 404, "no such message")
         else:
-            why = "the depots that may have it do not answer"
-            self.not_shown(lookup.call, lookup.name, lookup.body, 503, why)
+            reason = "some stores that may have the message did not answer"
+            self.answer_error(lookup.call, lookup.name, lookup.body, 503, reason)
 
-    def told(self, told: Told) -> None:
-        """A store's answer. One that comes too late is passed over: its number is no one's any more."""
-        lookup = self.under_way.pop(told.call, None)
+    def told(self, reply: Told) -> None:
+        """A store's reply. One that is too late is ignored, as its query number is no longer in use."""
+        lookup = self.under_way.pop(reply.call, None)
         if lookup is None:
             return
-        if told.state not in FOUND:
-            lookup.sure = lookup.sure and told.state == MessageState.UNKNOWN
-            self.ask_next(lookup)
-        elif self.may_have_ended(lookup, told):
-            lookup.pending = told
-            self.ask_next(lookup)
+        if reply.state not in FOUND:
+            lookup.sure = lookup.sure and reply.state == MessageState.UNKNOWN
+            self.query_next(lookup)
+        elif self.may_have_ended(lookup, reply):
+            lookup.pending = reply
+            self.query_next(lookup)
         else:
-            self.show(lookup, told)
+            self.show(lookup, reply)
 
     @staticmethod
-    def may_have_ended(lookup: Lookup, told: Told) -> bool:
-        """Whether another store is asked as well, which may know of an end that this one has not heard of."""
+    def may_have_ended(lookup: Lookup, reply: Told) -> bool:
+        """Whether to query another store too, which may have an outcome that this one has not received."""
         first = lookup.pending is None and lookup.asked.copies > 1
-        return first and told.state == MessageState.PENDING and not lookup.body
+        return first and reply.state == MessageState.PENDING and not lookup.body
 
     def tick(self) -> None:
-        """Stores that have not answered in time are passed over."""
+        """Skips stores that have not answered in time."""
         now = self.gateway.now
-        for number in [number for number, lookup in self.under_way.items() if lookup.until <= now]:
+        for number in [number for number, lookup in self.under_way.items() if lookup.deadline <= now]:
             lookup = self.under_way.pop(number)
             lookup.sure = False
-            self.ask_next(lookup)
+            self.query_next(lookup)
 
     # ---- answers
 
-    def show(self, lookup: Lookup, told: Told) -> None:
+    def show(self, lookup: Lookup, reply: Told) -> None:
         if lookup.body:
-            self.show_body(lookup, told)
+            self.answer_body(lookup, reply)
             return
-        state = MessageState(told.state)
+        state = MessageState(reply.state)
         answer = {"state": CLIENT_STATES[state]}
         if state is MessageState.COMPLETE:
-            answer["seal"] = told.seal
-        self.count_shown(lookup, answer["state"])
+            answer["seal"] = reply.seal
+        self.count_found(lookup, answer["state"])
         lookup.call.answer(200, json.dumps(answer).encode(), "Content-Type: application/json")
 
-    def show_body(self, lookup: Lookup, told: Told) -> None:
+    def answer_body(self, lookup: Lookup, reply: Told) -> None:
         guard = self.gateway.guard
-        if told.abroad or (told.home and not guard.tells(told.home, guard.here)):
-            fault(lookup.call, 421, "its bytes are shown at its home alone", LATER)
+        if reply.abroad or (reply.home and not guard.tells(reply.home, guard.here)):
+            fault(lookup.call, 421, "the body is available only in the message's country of residency", LATER)
             return
-        if told.state == MessageState.COMPLETE:
-            self.not_shown(lookup.call, lookup.name, True, 404, "it is complete: its bytes are not kept")
+        if reply.state == MessageState.COMPLETE:
+            self.answer_error(lookup.call, lookup.name, True, 404, "complete: its body is no longer stored")
             return
-        self.count_shown(lookup, "bytes")
-        lookup.call.answer(200, told.body, "Content-Type: application/octet-stream")
+        self.count_found(lookup, "bytes")
+        lookup.call.answer(200, reply.body, "Content-Type: application/octet-stream")
 
-    def count_shown(self, lookup: Lookup, what: str) -> None:
+    def count_found(self, lookup: Lookup, what: str) -> None:
         self.gateway.counts["asked_found"] += 1
         self.trace_answer(lookup.call, lookup.name, lookup.body, 200, what)
 
-    def not_shown(self, call: Call, name: str, body: bool, status: int, why: str) -> None:
-        """404: there is no such message, for sure. 503: that is not known here."""
+    def answer_error(self, call: Call, name: str, body: bool, status: int, reason: str) -> None:
+        """404: there is certainly no such message. 503: that could not be determined."""
         self.gateway.counts["asked_unknown" if status == 404 else "asked_unsure"] += 1
-        self.trace_answer(call, name, body, status, why)
-        fault(call, status, why, *([LATER] if status == 503 else []))
+        self.trace_answer(call, name, body, status, reason)
+        fault(call, status, reason, *([LATER] if status == 503 else []))
 
     def trace(self, number: int, **fields: Any) -> None:
         self.gateway.trace(number, **fields)
