--- a/opalwick/post/counter/agent.py
+++ b/opalwick/post/counter/agent.py
@@ -10,7 +10,7 @@
 
 from opalwick.post import events
 from opalwick.post.counter.delivery import Delivery, Meeting
-from opalwick.post.counter.front import Counting
+from opalwick.post.counter.front import ClientConnection
 from opalwick.post.counter.item import Start
 from opalwick.post.counter.role import Counter
 from opalwick.post.link import Process, Shell
@@ -53,12 +53,12 @@
         self.role.clock(time.monotonic())
         return self.role.ready()
 
-    def offered(self, call: Call, message: Message, letter: Letter, delay: float) -> None:
+    def submit(self, call: Call, message: Message, letter: Letter, delay: float) -> None:
         self.role.clock(time.monotonic())
         self.guarded(self.role.offered, call, message, letter, delay)
         self.settle()
 
-    def asked_back(self, call: Call, name: str, body: bool) -> None:
+    def look_up(self, call: Call, name: str, body: bool) -> None:
         self.role.clock(time.monotonic())
         self.guarded(self.role.asked_back, call, name, body)
 
@@ -136,7 +136,7 @@
                 listening(place, 1024),
                 self.limits,
                 self.pulse,
-                lambda c, full: Counting(c, self.limits, self, full),
+                lambda c, full: ClientConnection(c, self.limits, self, full),
                 lambda: self.limits.clients,
                 self.pool,
             )
--- a/opalwick/post/counter/front.py
+++ b/opalwick/post/counter/front.py
@@ -1,4 +1,4 @@
-"""The clients' side of a counter: messages in, states and bytes back, and whether it is ready."""
+"""HTTP interface of a gateway for clients: submitting messages, looking them up, and the readiness probe."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from opalwick.protocol.conversation import Call, Conversation, House
 from opalwick.protocol.http import Malformed, Message
 
-# of one connection, or said anew on each delivery
-_OURS = frozenset(
+# headers that apply to one connection only, or are set on each delivery; not stored with the message
+_NOT_STORED = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -30,80 +30,83 @@
         b"x-want-worker",
     )
 )
-_ID = re.compile(rb"[!-~]{1,200}")
-_MS = re.compile(rb"[0-9]{1,9}([.][0-9]{1,6})?")
-# within the half second that clients have: what is short of depots mostly is so for a moment
+_REQUEST_ID = re.compile(rb"[!-~]{1,200}")
+_MILLISECONDS = re.compile(rb"[0-9]{1,9}([.][0-9]{1,6})?")
+# well within the 0.5 s that clients have: a shortage of stores usually lasts only a moment
 LATER = "Retry-After: 0.1"
 
 
-class Takes(House, Protocol):
-    """What the counter does for its clients; nothing of it waits."""
+class GatewayService(House, Protocol):
+    """What a gateway does for its clients. No method blocks; each ends with an answer to `call`."""
 
     def ready(self) -> bool: ...
 
-    def offered(self, call: Call, message: Message, letter: Letter, delay: float) -> None: ...
+    def submit(self, call: Call, request: Message, letter: Letter, delay: float) -> None: ...
 
-    def asked_back(self, call: Call, name: str, body: bool) -> None: ...
+    def look_up(self, call: Call, name: str, body: bool) -> None: ...
 
 
-def field(message: Message, name: bytes) -> bytes:
-    return message.headers.get(name, b"")
+def field(request: Message, name: bytes) -> bytes:
+    """The value of a header, empty if it is missing."""
+    return request.headers.get(name, b"")
 
 
-def decode(message: Message) -> tuple[Letter, float]:
-    """The message and its delay in seconds; Malformed names the field."""
-    rid = field(message, b"x-request-id")
-    if not rid:
+def decode(request: Message) -> tuple[Letter, float]:
+    """The message to store and its delay in s. Raises Malformed, which names the header at fault."""
+    request_id = field(request, b"x-request-id")
+    if not request_id:
         raise Malformed(400, "X-Request-Id is missing")
-    if not _ID.fullmatch(rid):
+    if not _REQUEST_ID.fullmatch(request_id):
         raise Malformed(400, "X-Request-Id is malformed")
-    delay = field(message, b"x-delay-ms")
-    if delay and not _MS.fullmatch(delay):
-        raise Malformed(400, "X-Delay-Ms is malformed: a number of milliseconds is due")
-    host = field(message, b"host")
+    delay = field(request, b"x-delay-ms")
+    if delay and not _MILLISECONDS.fullmatch(delay):
+        raise Malformed(400, "X-Delay-Ms is malformed: it must be a number of milliseconds")
+    host = field(request, b"host")
     if not host:
         raise Malformed(400, "Host is missing")
-    fields = [Field(name=name, value=value) for name, value in message.headers.items() if name not in _OURS]
+    fields = [
+        Field(name=name, value=value) for name, value in request.headers.items() if name not in _NOT_STORED
+    ]
     return Letter(
-        rid=rid.decode("latin-1"),
+        rid=request_id.decode("latin-1"),
         host=host,
-        method=message.method,
-        target=message.target,
+        method=request.method,
+        target=request.target,
         fields=fields,
-        body=message.body,
+        body=request.body,
     ), float(delay or b"0") / 1000.0
 
 
 class Question(NamedTuple):
-    """A client asks for a message: for its bytes, or for its state."""
+    """A client's lookup of a message."""
 
-    name: str  # as it was written
-    body: bool
+    name: str  # as the client wrote it
+    body: bool  # the message's body is requested, not its state
 
 
-def question(message: Message) -> Question | None:
-    """What a request asks of a message; None: it asks for something else. All that follows the path's first
-    part is taken for the name, a query too: a name has one spelling.
+def question(request: Message) -> Question | None:
+    """The lookup that a request makes, or None if it is no lookup. Everything after the first part of the
+    path is the name, including a query string, since a name has exactly one spelling.
     """
-    if message.method == b"GET":
+    if request.method == b"GET":
         for stem, body in ((b"/message/", False), (b"/message-body/", True)):
-            if message.target.startswith(stem):
-                return Question(message.target[len(stem) :].decode("latin-1"), body)
+            if request.target.startswith(stem):
+                return Question(request.target[len(stem) :].decode("latin-1"), body)
     return None
 
 
-class Counting(Conversation):
-    """A client's connection."""
+class ClientConnection(Conversation):
+    """A client's connection to a gateway."""
 
-    house: Any
+    house: Any  # a GatewayService
 
     def whole(self, message: Message, now: float) -> None:
         call = self.asks(message)
         if message.method == b"GET" and message.target.partition(b"?")[0] == b"/readyz":
             call.answer(200 if self.house.ready() else 503)
             return
-        if (asked := question(message)) is not None:
-            self.house.asked_back(call, asked.name, asked.body)
+        if (lookup := question(message)) is not None:
+            self.house.look_up(call, lookup.name, lookup.body)
             return
         try:
             letter, delay = decode(message)
@@ -113,8 +116,9 @@
         if self.full:
             call.answer(503, b"", LATER)
             return
-        self.house.offered(call, message, letter, delay)
+        self.house.submit(call, message, letter, delay)
 
 
 def fault(call: Call, status: int, text: str, *fields: str) -> None:
+    """Answers with an error text; `fields`: further headers."""
     call.answer(status, json.dumps({"err": text}).encode(), "Content-Type: application/json", *fields)
