--- a/opalwick/post/counter/agreement.py
+++ b/opalwick/post/counter/agreement.py
@@ -1,8 +1,8 @@
-"""Whether the depots that keep a message agree that it is delivered here. No I/O; part of `rounds.py`.
+"""Confirmation by stores that a message is delivered by this gateway. No I/O; part of `rounds.py`.
 
-A message that one depot gives to this counter may have ended, or have another deliverer, by what another
-depot knows that keeps it too. So each of them is asked, and the message begins once all that are in touch
-have agreed. Whether a depot is in touch is the role's to say (`may_send` of the rounds).
+A message that one store assigns to this gateway may have ended or have another owner according to another
+store that has a replica. Therefore all of these stores are asked, and delivery starts once every store that
+is in contact has agreed. Whether a store is in contact is decided by the role (`may_send` of the rounds).
 """
 
 from __future__ import annotations
@@ -12,10 +12,13 @@
 from opalwick.post.counter.item import Item
 from opalwick.post.wire_pb2 import Mine
 
-LOOK = 0.05  # s between looks whether a depot that has not answered is out of touch: the role's own step
+# s between checks whether a store that has not answered has lost contact: the interval of the role's ticks
+CHECK_INTERVAL = 0.05
 
 
 class Agreement:
+    """Messages whose delivery waits for stores to confirm that this gateway owns them."""
+
     def __init__(
         self,
         items: Mapping[str, Item],
@@ -23,31 +26,34 @@
         resume: Callable[[Item], None],
         may_send: Callable[[Item], bool],
     ) -> None:
-        """`items`: all that this counter delivers, by message. `send`: a word of a kind to a depot.
-        `resume`: the item has its turn again. `may_send`: whether the item's depots are in touch."""
+        """`items`: all messages that this gateway delivers, by id. `send`: sends a peer message (store, kind,
+        message). `resume`: schedules the item again. `may_send`: whether the item's stores are in contact.
+        """
         self.items, self.send, self.resume, self.may_send = items, send, resume, may_send
-        self.waiting: dict[str, Item] = {}  # items whose turn it is, by message
-        self.look_at = 0.0
+        self.waiting: dict[str, Item] = {}  # items that are due for delivery, by message id
+        self.next_check = 0.0
 
     def await_from(self, item: Item, nodes: set[str], now: float) -> None:
-        """It begins once these have agreed, or are out of touch."""
+        """Delivery starts once these stores have agreed or have lost contact."""
         item.awaited, item.since = nodes, now
 
-    def tell(self, item: Item, claim: int, holders: Iterable[str]) -> None:
-        """All that keep the message hear that it is delivered here; those that it awaits are asked."""
-        for node in holders:
-            word = Mine(mids=[item.mid], claims=[claim], ask=node in item.awaited)
-            self.send(node, "mine", word)
+    def tell(self, item: Item, claim: int, replicas: Iterable[str]) -> None:
+        """Notifies all stores with a replica that the message is delivered here, and requests an answer from
+        those whose agreement is needed.
+        """
+        for node in replicas:
+            mine = Mine(mids=[item.mid], claims=[claim], ask=node in item.awaited)
+            self.send(node, "mine", mine)
 
     def ask_again(self, node: str) -> None:
-        """That depot's answers may have been lost with a link."""
+        """Repeats requests to a store whose answers may have been lost with a link."""
         asked = [item for item in self.items.values() if node in item.awaited and not item.foreign]
         if asked:
             mids, claims = [item.mid for item in asked], [item.claim for item in asked]
             self.send(node, "mine", Mine(mids=mids, claims=claims, ask=True))
 
     def agreed(self, node: str, mids: Iterable[str]) -> None:
-        """A depot knows no end of these messages and no other deliverer."""
+        """A store has neither an outcome nor another owner of these messages."""
         for mid in mids:
             if (item := self.items.get(mid)) is None:
                 continue
@@ -56,21 +62,22 @@
                 self.resume(item)
 
     def holds_back(self, item: Item) -> bool:
-        """Whether it must wait for depots; it goes on by itself once they have agreed or are out of touch."""
+        """Whether the item must wait for stores. It is resumed once they have agreed or have lost contact."""
         if not item.awaited or self.may_send(item):
             return False
         self.waiting[item.mid] = item
         return True
 
     def tick(self, now: float) -> None:
-        if not self.waiting or now < self.look_at:
+        """Resumes items whose stores have lost contact, and those that need no delivery any more."""
+        if not self.waiting or now < self.next_check:
             return
-        self.look_at = now + LOOK
+        self.next_check = now + CHECK_INTERVAL
         for mid, item in list(self.waiting.items()):
-            if self.goes_on(item, now):
+            if self.may_resume(item, now):
                 del self.waiting[mid]
                 self.resume(item)
 
-    def goes_on(self, item: Item, now: float) -> bool:
+    def may_resume(self, item: Item, now: float) -> bool:
         over = item.over or item.foreign or item.until <= now
         return over or self.may_send(item)
--- a/opalwick/post/counter/answers.py
+++ b/opalwick/post/counter/answers.py
@@ -1,11 +1,12 @@
-"""Whose answer came on a connection to a worker. No I/O.
+"""Matching of HTTP answers to requests on a connection to a worker. No I/O.
 
-An answer belongs to one request on one connection. One that repeats the request's id belongs to it. One
-without an id belongs to it only if nothing else was ever asked on that connection and nothing had come on it
-before: else it may be the late or second answer to an earlier request. Whatever belongs to another request,
-or to nobody, is never taken for an outcome: the request may have run, and the connection is not used again.
+An answer belongs to exactly one request on one connection. An answer that repeats the request's id belongs to
+that request. An answer without an id belongs to the request only if no other request was ever sent on the
+connection and nothing had arrived on it before; otherwise it may be a late or second answer to an earlier
+request. An answer that belongs to another request, or to none, is never used as an outcome: the request may
+have run, and the connection is not used again.
 
-A request whose last bytes were not written cannot have run, whatever comes back.
+A request whose last bytes were not written cannot have run, whatever the answer says.
 """
 
 from __future__ import annotations
@@ -13,22 +14,24 @@
 from opalwick.post.verdict import Verdict, of_status
 from opalwick.protocol.http import Message
 
-EARLY = 8192  # bytes of a request from which an answer may come before all of it is written
-TAIL = 1  # bytes that are held back of such a request until nothing has come
+EARLY = 8192  # bytes; requests longer than this may be answered before they are completely written
+TAIL = 1  # bytes at the end of such a request that are not written if an answer has already arrived
 
 
 def belongs(answer: Message, request_id: bytes, only_request: bool) -> bool:
-    """`only_request`: no other was written on that connection, and nothing came before this one was."""
-    said = answer.headers.get(b"x-request-id")
-    return only_request if said is None else said == request_id
+    """Whether an answer is that of the request. `only_request`: no other request was written on the
+    connection, and nothing had arrived before this one was written.
+    """
+    answered_id = answer.headers.get(b"x-request-id")
+    return only_request if answered_id is None else answered_id == request_id
 
 
 def verdict(answer: Message, request_id: bytes, only_request: bool, whole_request: bool) -> Verdict:
-    """What a whole answer proves. `whole_request`: the last byte of the request was written."""
+    """The outcome proven by a complete answer. `whole_request`: the last byte of the request was written."""
     if not belongs(answer, request_id, only_request):
         return Verdict.BROKEN if whole_request else Verdict.NOT_SENT
     sealed = bool(answer.headers.get(b"x-seal"))
-    found = of_status(answer.status, b"x-not-run" in answer.headers, sealed)
-    if whole_request or found in (Verdict.FULL, Verdict.ABSENT):
-        return found
+    outcome = of_status(answer.status, b"x-not-run" in answer.headers, sealed)
+    if whole_request or outcome in (Verdict.FULL, Verdict.ABSENT):
+        return outcome
     return Verdict.NOT_SENT
--- a/opalwick/post/counter/status.py
+++ b/opalwick/post/counter/status.py
@@ -1,4 +1,4 @@
-"""What a counter tells operators: its desks, its ceilings, what it holds, and why a message waits."""
+"""Status of a gateway for operators: dispatchers, rate limits, held messages and why they wait; metrics."""
 
 from __future__ import annotations
 
@@ -12,39 +12,43 @@
 from opalwick.post.names import kept_by
 from opalwick.post.operators import since
 
-# figures that tell of now; all others count since the start
+# figures that are current values; all others are counts since the start
 NOW = frozenset(("held", "ending", "duties"))
 
 
 def unready(role: Counter) -> list[str]:
-    """Why it says that it is not ready; nothing where it is."""
-    why, able = [], len(role.intake.able())
+    """Reasons why the gateway is not ready; empty if it is."""
+    reasons, able = [], len(role.intake.able())
     if role.leaving:
-        why.append("it is to end")
+        reasons.append("it is shutting down")
     if role.rounds.routes is None:
-        why.append("it has no configuration yet")
+        reasons.append("it has no configuration yet")
     elif not role.confirmed:
-        why.append("no office that hears the primary has confirmed its configuration in this life")
+        reasons.append(
+            "no controller in contact with the primary has confirmed its configuration since it started"
+        )
     if able < role.copies:
-        why.append(f"{able} depots take messages, {role.copies} are needed")
-    return why
+        reasons.append(f"{able} stores accept messages, {role.copies} are needed")
+    return reasons
 
 
 def worker_state(worker: Any, now: float) -> str:
+    """Whether a worker gets messages, and why not."""
     if worker.phase is not Phase.READY:
         return str(worker.phase.name.lower())
     if worker.shun_until > now:
-        return "silent"  # and tried again then
+        return "silent"  # avoided until then
     return "rests" if worker.rest_until > now else "ready"
 
 
-def desk_status(desk: Desk, now: float) -> dict[str, Any]:
-    balancer, items = desk.reducer.balancer, desk.reducer.items
-    zones = {number: zone for zone, number in desk.zones.items()}
+def desk_status(dispatcher: Desk, now: float) -> dict[str, Any]:
+    """Status of a service's dispatcher ("desk" is the outer name)."""
+    balancer, items = dispatcher.reducer.balancer, dispatcher.reducer.items
+    zones = {number: zone for zone, number in dispatcher.zones.items()}
     return {
-        "rate": desk.service.rate,
-        "dedup": desk.service.dedup,
-        "static": desk.service.static,
+        "rate": dispatcher.service.rate,
+        "dedup": dispatcher.service.dedup,
+        "static": dispatcher.service.static,
         "workers": [
             {
                 "id": id,
@@ -56,45 +60,47 @@
                 "pace": w.pace,
                 "others": w.others,
             }
-            for id, w in desk.reducer.workers.items()
+            for id, w in dispatcher.reducer.workers.items()
             if w.phase is not Phase.GONE or w.held
         ],
-        "queue": len(desk.queue),
+        "queue": len(dispatcher.queue),
         "jobs": len(items),
-        "out": sum(not ho.ended for wi in items.values() for ho in wi.hand_offs),
-        "blocks": len({id(wi.block) for wi in items.values() if wi.block is not None}),
+        "out": sum(not attempt.ended for job in items.values() for attempt in job.hand_offs),
+        "blocks": len({id(job.block) for job in items.values() if job.block is not None}),
         "firsts": balancer.firsts,
         "copies": balancer.copies,
-        "cancels": getattr(desk, "cancels", None),
+        "cancels": getattr(dispatcher, "cancels", None),
     }
 
 
 def ceiling_status(role: Counter, svc: str) -> dict[str, Any]:
-    c, held = role.ceilings, role.ceilings.holds(svc)
+    """Status of a service's rate limit ("ceiling" is the outer name); times in s."""
+    limits, held = role.ceilings, role.ceilings.holds(svc)
     found: dict[str, Any] = {
-        "rate": c.rates[svc],
-        "holder": c.holders.get(svc, ""),
+        "rate": limits.rates[svc],
+        "holder": limits.holders.get(svc, ""),
         "here": held is not None,
-        "wants": c.wants.get(svc, 0),
+        "wants": limits.wants.get(svc, 0),
     }
     if held is not None:
         found |= {
-            "tokens": min(SAVED, held.tokens + (c.now - held.at) * held.rate),
-            "until": held.until - c.now,
+            "tokens": min(SAVED, held.tokens + (limits.now - held.at) * held.rate),
+            "until": held.until - limits.now,
         }
     return found
 
 
 def status(role: Counter) -> dict[str, Any]:
-    r, why = role.rounds, unready(role)
+    """Status of the whole gateway; times in s."""
+    rounds, reasons = role.rounds, unready(role)
     missing: dict[str, int] = {}
-    for untold in r.ending.values():
-        for node in untold.missing:
+    for unsent in rounds.ending.values():
+        for node in unsent.missing:
             missing[node] = missing.get(node, 0) + 1
     return {
-        "ready": not why,
-        "why_not": why,
-        "conf": r.routes.gen if r.routes is not None else 0,
+        "ready": not reasons,
+        "why_not": reasons,
+        "conf": rounds.routes.gen if rounds.routes is not None else 0,
         "confirmed": role.confirmed,
         "leaving": role.leaving,
         "depots": [
@@ -109,36 +115,36 @@
             for d in role.intake.stores.values()
         ],
         "keeping": len(role.intake.waits),
-        "held": r.held(),
+        "held": rounds.held(),
         "held_octets": role.heavy,
         "parks_over": HEAVY * role.settings.mem_mb * 1e6,
-        "oldest_due": max((0.0, *(role.now - item.aim_at for item in r.items.values()))),
+        "oldest_due": max((0.0, *(role.now - item.aim_at for item in rounds.items.values()))),
         "ends": {
-            "waiting": len(r.ending),
+            "waiting": len(rounds.ending),
             "missing": missing,
-            "oldest": max((role.now - untold.since for untold in r.ending.values()), default=0.0),
+            "oldest": max((role.now - unsent.since for unsent in rounds.ending.values()), default=0.0),
         },
         "desks": {
-            name.replace("\x1f", " at "): desk_status(desk, role.now)
-            for name, desk in sorted(r.desks.items())
+            name.replace("\x1f", " at "): desk_status(dispatcher, role.now)
+            for name, dispatcher in sorted(rounds.desks.items())
         },
         "ceilings": {svc: ceiling_status(role, svc) for svc in sorted(role.ceilings.rates)},
     }
 
 
 def home(role: Counter, look: Any) -> dict[str, Any]:
-    """Where this process is, what its guard has seen, and what waits here of partners at home."""
+    """Data residency: where this process runs, the guard's counts, and messages that wait, by partner."""
     waiting: dict[str, dict[str, Any]] = {}
     for item in role.rounds.items.values():
         if item.letter.home:
-            one = waiting.setdefault(
+            entry = waiting.setdefault(
                 role.rounds.whose(item),
                 {"home": item.letter.home, "held": 0, "out": 0, "shelved": 0, "oldest_due": 0.0},
             )
-            one["held"] += 1
-            one["out"] += bool(item.out)
-            one["shelved"] += item.queued and item.svc in role.rounds.shelves
-            one["oldest_due"] = max(one["oldest_due"], role.now - item.aim_at)
+            entry["held"] += 1
+            entry["out"] += bool(item.out)
+            entry["shelved"] += item.queued and item.svc in role.rounds.shelves
+            entry["oldest_due"] = max(entry["oldest_due"], role.now - item.aim_at)
     return role.guard.status() | {
         "partners": waiting,
         "sent_home": role.abroad,
@@ -151,65 +157,69 @@
 
 
 def why(role: Counter, item: Item) -> str:
-    """Why it has not ended, as this counter sees it."""
-    r, now = role.rounds, role.now
+    """Why a message has no outcome yet, as far as this gateway can tell."""
+    rounds, now = role.rounds, role.now
     if item.out:
-        return "a delivery is on its way: its end is awaited"
+        return "a delivery attempt is in progress"
     if item.until <= now:
-        return "its time is over: it ends with the next look"
+        return "its retention has expired: it will be dropped at the next check"
     if item.foreign:
-        return "its depots have given it to another counter"
-    if r.routes is None or r.routes.gen < item.letter.gen:
-        return f"configuration {item.letter.gen}, by which it was taken, is not here yet"
+        return "its stores have assigned it to another gateway"
+    if rounds.routes is None or rounds.routes.gen < item.letter.gen:
+        return f"configuration {item.letter.gen}, under which it was accepted, has not been received yet"
     if not role.may_send(item):
-        late = [node for node in item.touched if not role.fresh(node)]
+        silent = [node for node in item.touched if not role.fresh(node)]
         unsure = [node for node in item.touched if role.fresh(node) and node not in role.sure]
         if unsure:
-            return f"{', '.join(unsure)} must say first that it is still this counter's"
-        return f"none of its depots ({', '.join(late)}) has proved of late that it hears this counter"
-    if item.queued and item.svc in r.shelves:
-        others = len(r.shelves[item.svc]) - 1
-        return f"it waits for room at a worker in {item.letter.home}, with {others} others"
+            return f"{', '.join(unsure)} must first confirm that this gateway still owns it"
+        return f"none of its stores ({', '.join(silent)}) has recently acknowledged this gateway's heartbeats"
+    if item.queued and item.svc in rounds.shelves:
+        others = len(rounds.shelves[item.svc]) - 1
+        return f"it waits for a free worker in {item.letter.home}, with {others} others"
     if item.queued:
         holder = role.ceilings.holders.get(item.svc, "")
-        return f"it waits for a permit of the ceiling of {item.svc}, held by {holder or 'nobody known'}"
+        return f"it waits for a permit of the rate limit of {item.svc}, held by {holder or 'unknown gateway'}"
     if item.dated:
-        at = next((at for at, _, other in r.due if other is item), now)
-        tried = f"after {item.fails} failed, {item.lost} unknown, {item.turned} turned away in a row"
+        at = next((at for at, _, other in rounds.due if other is item), now)
+        tried = f"after {item.fails} failed, {item.lost} unknown, {item.turned} rejected attempts in a row"
         return f"its next attempt is due in {max(0.0, at - now):.2f} s, {tried}"
-    desk = r.desks.get(item.svc)
-    if desk is None:
-        return f"no service {item.svc!r} is known here"
-    open_ = sum(worker_state(w, now) == "ready" for w in desk.reducer.workers.values())
+    dispatcher = rounds.desks.get(item.svc)
+    if dispatcher is None:
+        return f"service {item.svc!r} is not configured"
+    ready = sum(worker_state(w, now) == "ready" for w in dispatcher.reducer.workers.values())
     svc = item.svc.replace("\x1f", " at ")
-    return f"it waits at the desk of {svc}: none of its {open_} workers in use has room"
+    return f"it waits for service {svc}: none of its {ready} ready workers has a free slot"
 
 
 def workers(role: Counter, item: Item) -> list[dict[str, Any]]:
-    """Where it is on its way to."""
-    desk = role.rounds.desks.get(item.svc)
-    wi = desk.reducer.items.get((item.mid, item.attempt)) if desk is not None else None
-    if desk is None or wi is None:
+    """Delivery attempts of the message in progress."""
+    dispatcher = role.rounds.desks.get(item.svc)
+    job = dispatcher.reducer.items.get((item.mid, item.attempt)) if dispatcher is not None else None
+    if dispatcher is None or job is None:
         return []
     return [
-        {"worker": desk.reducer.names.get(ho.worker), "copy": ho.copy, "age": role.now - item.out[ho.number]}
-        for ho in wi.hand_offs
-        if ho.number in item.out
+        {
+            "worker": dispatcher.reducer.names.get(attempt.worker),
+            "copy": attempt.copy,
+            "age": role.now - item.out[attempt.number],
+        }
+        for attempt in job.hand_offs
+        if attempt.number in item.out
     ]
 
 
 def message(role: Counter, name: str) -> dict[str, Any] | None:
-    """By its name, or by its request id while it is held here."""
-    r, mid = role.rounds, kept_by(name)
-    if (wait := role.intake.waits.get(mid)) is not None:
+    """Status of a message by its name, or by its request id while this gateway holds it; None if unknown."""
+    rounds, mid = role.rounds, kept_by(name)
+    if (entry := role.intake.waits.get(mid)) is not None:
         return {
             "id": mid,
             "state": "being kept",
-            "asked": wait.asked,
-            "kept": wait.kept,
-            "why": f"{len(wait.kept)} of {role.copies} depots have it on their disks",
+            "asked": entry.asked,
+            "kept": entry.kept,
+            "why": f"{len(entry.kept)} of {role.copies} stores have it on disk",
         }
-    item = r.items.get(mid) or next((i for i in r.items.values() if i.letter.rid == name), None)
+    item = rounds.items.get(mid) or next((i for i in rounds.items.values() if i.letter.rid == name), None)
     if item is not None:
         letter = item.letter
         return {
@@ -234,18 +244,18 @@
             "until_in": item.until - role.now,
             "out": workers(role, item),
         }
-    if mid in r.ending:
-        end, nodes, at = r.ending[mid]
+    if mid in rounds.ending:
+        outcome, nodes, at = rounds.ending[mid]
         return {
             "id": mid,
-            "state": "complete" if end.complete else "dead",
-            "seal": end.seal,
+            "state": "complete" if outcome.complete else "dead",
+            "seal": outcome.seal,
             "ended": role.now - at,
-            "why": f"its end is not on the disks of {', '.join(sorted(nodes))}",
+            "why": f"its outcome is not on disk yet at {', '.join(sorted(nodes))}",
         }
-    if mid in r.ended:
-        ended, said = r.ended[mid]
-        state = "ended" if said is None else "complete" if said.complete else "dead"
+    if mid in rounds.ended:
+        ended, outcome = rounds.ended[mid]
+        state = "ended" if outcome is None else "complete" if outcome.complete else "dead"
         return {"id": mid, "state": state, "ended": role.now - ended, "why": "it has ended"}
     return None
 
@@ -254,61 +264,64 @@
 
 
 def metrics(role: Counter) -> list[Any]:
-    c, mine = role.ceilings, {}
-    desks = [(name.replace("\x1f", " at "), desk) for name, desk in sorted(role.rounds.desks.items())]
-    for name, desk in desks:
+    """Each metric's name, whether it is a counter, its help text, and its samples (labels, value)."""
+    limits, states_of = role.ceilings, {}
+    dispatchers = [
+        (name.replace("\x1f", " at "), dispatcher) for name, dispatcher in sorted(role.rounds.desks.items())
+    ]
+    for name, dispatcher in dispatchers:
         states: dict[str, int] = {}
-        for worker in desk.reducer.workers.values():
+        for worker in dispatcher.reducer.workers.values():
             if worker.phase is not Phase.GONE:
                 state = worker_state(worker, role.now)
                 states[state] = states.get(state, 0) + 1
-        mine[name] = states
+        states_of[name] = states
     return [
-        ("ready", False, "Whether it takes clients.", [({}, float(not unready(role)))]),
+        ("ready", False, "Whether it accepts messages from clients.", [({}, float(not unready(role)))]),
         (
             "configuration",
             False,
-            "The number that it works by.",
+            "Generation of the configuration in use.",
             [({}, role.rounds.routes.gen if role.rounds.routes is not None else 0)],
         ),
         (
             "workers",
             False,
-            "Of a service, by what they are taken for.",
+            "Workers of a service, by state.",
             [
                 ({"service": name, "state": state}, count)
-                for name, states in mine.items()
+                for name, states in states_of.items()
                 for state, count in sorted(states.items())
             ],
         ),
         (
             "desk_queue",
             False,
-            "Messages that wait for a permit.",
-            [({"service": name}, len(desk.queue)) for name, desk in desks],
+            "Messages that wait for a permit under the service's rate limit.",
+            [({"service": name}, len(dispatcher.queue)) for name, dispatcher in dispatchers],
         ),
         (
             "desk_jobs",
             False,
-            "Messages at the desk.",
-            [({"service": name}, len(desk.reducer.items)) for name, desk in desks],
+            "Messages at the dispatcher.",
+            [({"service": name}, len(dispatcher.reducer.items)) for name, dispatcher in dispatchers],
         ),
         (
             "desk_first_sends",
             True,
-            "Since its start.",
-            [({"service": name}, desk.reducer.balancer.firsts) for name, desk in desks],
+            "First delivery attempts since the start.",
+            [({"service": name}, dispatcher.reducer.balancer.firsts) for name, dispatcher in dispatchers],
         ),
         (
             "desk_copies",
             True,
-            "Since its start.",
-            [({"service": name}, desk.reducer.balancer.copies) for name, desk in desks],
+            "Hedged delivery attempts since the start.",
+            [({"service": name}, dispatcher.reducer.balancer.copies) for name, dispatcher in dispatchers],
         ),
         (
             "ceiling_held",
             False,
-            "Whether this counter hands out its permits.",
-            [({"service": svc}, float(c.holds(svc) is not None)) for svc in sorted(c.rates)],
+            "Whether this gateway issues the permits of the service's rate limit.",
+            [({"service": svc}, float(limits.holds(svc) is not None)) for svc in sorted(limits.rates)],
         ),
     ]
--- a/tests/test_post_commands.py
+++ b/tests/test_post_commands.py
@@ -335,10 +335,10 @@
             counter.settle()
         seen.append(answers(counter, "/message/" + "mq"[step % 2])[1]["why"])
     assert seen == [
-        "configuration 9, by which it was taken, is not here yet",
-        "none of its depots (d1) has proved of late that it hears this counter",
-        "d1 must say first that it is still this counter's",
-        "it waits for a permit of the ceiling of s1, held by nobody known",
+        "configuration 9, under which it was accepted, has not been received yet",
+        "none of its stores (d1) has recently acknowledged this gateway's heartbeats",
+        "d1 must first confirm that this gateway still owns it",
+        "it waits for a permit of the rate limit of s1, held by unknown gateway",
     ]
 
 
@@ -351,7 +351,11 @@
     counter["why_not"] = []
     office |= {"active": True, "blank": False, "conf": 7}
     assert merged(said)["look"] == ["depot-1 has not settled: it awaits its time"]
-    other = json.loads(json.dumps(counter)) | {"node": "counter-2", "conf": 6, "why_not": ["it is to end"]}
+    other = json.loads(json.dumps(counter)) | {
+        "node": "counter-2",
+        "conf": 6,
+        "why_not": ["it is shutting down"],
+    }
     other["desks"]["s1"] |= {"firsts": 5, "queue": 2, "workers": []}
     counter["desks"]["s1"]["workers"][0]["state"] = "silent"
     counter["ceilings"]["s1"]["here"] = other["ceilings"]["s1"]["here"] = True
@@ -360,7 +364,7 @@
     assert found["look"] == [
         "gone (depot, b) does not answer: 10.0.0.9:7301: refused",
         "counter-2 is at configuration 6, others at 7",
-        "counter-2 is not ready: it is to end",
+        "counter-2 is not ready: it is shutting down",
         "depot-1 has not settled: it awaits its time",
         "the ceiling of s1 is held by counter-1, counter-2",
         "s1: messages wait, and no counter has a worker in use",
--- a/tests/test_post_intake.py
+++ b/tests/test_post_intake.py
@@ -140,7 +140,7 @@
     """As a lab's clock has it, or by bad luck a real one."""
     began = next(n / 10 for n in range(1, 99) if n / 10 + GIVE_UP - n / 10 < GIVE_UP)
     c, looks, order = Clients(), iter(range(99)), Intake.ranked
-    c.i.ranked = lambda mid, _="": order(c.i, mid) if next(looks) < 98 else pytest.fail("it looks without end")
+    c.i.ranked = lambda mid, _="": order(c.i, mid) if next(looks) < 98 else pytest.fail("endless loop")
     c.play(f"{began} call1 sends m1")
     c.i.clock(began + GIVE_UP)
     c.i.tick()
