--- a/opalwick/post/counter/__init__.py
+++ b/opalwick/post/counter/__init__.py
@@ -1,1 +1,1 @@
-"""A counter: takes messages from clients, has them kept, and delivers them to workers."""
+"""Gateway: accepts messages from clients, replicates them to stores, and delivers them to workers."""
--- a/opalwick/post/counter/agent.py
+++ b/opalwick/post/counter/agent.py
@@ -1,4 +1,4 @@
-"""A counter as a process: its clients, its deliveries, its links, its time. What it does is `role.py`'s."""
+"""Process of a gateway: client connections, deliveries, links and timers. Its logic is in `role.py`."""
 
 from __future__ import annotations
 
@@ -23,15 +23,17 @@
 from opalwick.transport.connection import listening
 from opalwick.transport.limits import Limits, within
 from opalwick.transport.pool import Pool
-from opalwick.transport.pulse import Pulse as Standing
+from opalwick.transport.pulse import Pulse as StallDetector
 
-ACCEPTS = 512  # messages on their way to depots at once: two seconds of a small machine's most
-BODY = 1 << 20  # octets of a body at most, whatever the configuration allows
-FINISH = 0.05  # s between looks whether all is finished before its end
-LAST = 1.0  # s before SIGKILL that it ends whatever is left
+ACCEPTS = 512  # messages being replicated to stores at once: what a small machine accepts in 2 s at most
+MAX_BODY = 1 << 20  # bytes of a message's body, whatever the configuration allows
+FINISH_INTERVAL = 0.05  # s between checks whether all work is finished during shutdown
+LAST = 1.0  # s before SIGKILL at which the process exits even if work is left
 
 
 class CounterShell(Shell):
+    """Runs a gateway's role in a process."""
+
     role: Counter
 
     def __init__(self, settings: Settings, process: Process) -> None:
@@ -39,15 +41,15 @@
         super().__init__(Counter(settings, int(time.time() * 1000), now, ACCEPTS), process)
         self.settings = settings
         self.limits: Limits = replace(
-            within(settings.nofile - 200, settings.mem_mb, 4096, 15.0, 0.3, 60.0, 3.0), body=BODY
+            within(settings.nofile - 200, settings.mem_mb, 4096, 15.0, 0.3, 60.0, 3.0), body=MAX_BODY
         )
         self.pool = Pool(self.limits.workers, 60.0, self.limits.ring)
         self.pool.each_to = self.role.rounds.each
         self.deliveries: dict[tuple[Any, int], Delivery] = {}
-        self.pulse = Standing(now)  # whether this process stood still
+        self.pulse = StallDetector(now)  # whether this process was suspended or stalled
         self.door: Any = None
 
-    # ---- what connections ask
+    # ---- for client connections (`front.GatewayService`)
 
     def ready(self) -> bool:
         self.role.clock(time.monotonic())
@@ -69,6 +71,7 @@
     # ---- deliveries
 
     def perform(self) -> None:
+        """Starts and stops deliveries as the role has ordered."""
         orders, self.role.orders = self.role.orders, []
         for order in orders:
             if isinstance(order, Start):
@@ -81,13 +84,13 @@
             self.role.clock(time.monotonic())
             return self.role.still(order)
 
-        def tell(end: Any, kept: bool) -> None:
+        def report(result: Any, kept: bool) -> None:
             self.deliveries.pop((order.key, order.number), None)
-            if end[0].ran is None and end[0] is not Verdict.CANCELLED:
-                # the next one finds out by a new connection, in a tenth of the time, whether anybody is there
+            if result[0].ran is None and result[0] is not Verdict.CANCELLED:
+                # a new connection shows in a tenth of the time whether the worker is still there
                 self.pool.drop(order.place[:2])
             self.role.clock(time.monotonic())
-            self.guarded(self.role.ended, order, *end, kept)
+            self.guarded(self.role.ended, order, *result, kept)
             self.settle()
 
         delivery = self.deliveries[order.key, order.number] = Delivery(
@@ -97,12 +100,13 @@
             wanted,
             self.pool,
             self.limits,
-            tell,
+            report,
             self.meeting(order),
         )
         gevent.spawn(delivery.run)
 
     def meeting(self, order: Start) -> Meeting | None:
+        """How the worker must identify itself before it is sent the message; None if it need not."""
         if not self.role.must_meet(order):
             return None
         service = self.role.rounds.desks[order.item.svc].service
@@ -111,50 +115,53 @@
     # ---- running
 
     def finish(self, until: float) -> None:
-        """Returns once nothing is held and nobody is owed an answer, at that time at the latest."""
+        """Returns once no message is held and no client waits for an answer, or at `until`."""
         while time.monotonic() < until and not (self.role.gone and not self.door.conversations):
             if self.role.closing and not self.closing:
                 self.door.close_at = self.door.end_at = time.monotonic()
                 self.door.turned.set()
-            gevent.sleep(FINISH)
+            gevent.sleep(FINISH_INTERVAL)
 
-    def beat(self) -> None:
+    def detect_stalls(self) -> None:
         """Runs in a greenlet of its own."""
         while True:
             self.pulse.beat(time.monotonic())
             gevent.sleep(self.pulse.EVERY)
 
     def sweep(self) -> None:
+        """Runs in a greenlet of its own."""
         while True:
             gevent.sleep(1.0)
             self.pool.sweep()
 
     def serve(self) -> None:
-        places = [self.settings.binds["front"], self.settings.binds["ready"]]
-        doors = [
+        """Runs until the process is told to stop, and returns once it has shut down."""
+        addresses = [self.settings.binds["front"], self.settings.binds["ready"]]
+        listeners = [
             Door(
-                listening(place, 1024),
+                listening(address, 1024),
                 self.limits,
                 self.pulse,
                 lambda c, full: ClientConnection(c, self.limits, self, full),
                 lambda: self.limits.clients,
                 self.pool,
             )
-            for place in places
+            for address in addresses
         ]
-        self.door = doors[0]
-        for work in (self.beat, self.sweep, self.door.usher):
+        self.door = listeners[0]
+        for work in (self.detect_stalls, self.sweep, self.door.usher):
             self.forever(work)
-        accepting = [self.forever(door.accept) for door in doors]
+        accepting = [self.forever(listener.accept) for listener in listeners]
         self.begin()
         self.stop.wait()
         self.role.clock(time.monotonic())
         self.role.leave()
         until = time.monotonic() + self.settings.bounds.grace - LAST
         self.finish(until)
-        for greenlet in accepting:  # what was not accepted was not read: the client goes on
+        # requests on connections that are not accepted are not read: their clients retry elsewhere
+        for greenlet in accepting:
             greenlet.kill()
-        self.finish(until)  # a request may have come in the moment before
+        self.finish(until)  # a request may have arrived just before
         events.say(104, held=self.role.rounds.held(), ends=len(self.role.rounds.ending))
         gevent.sleep(0.05)
         self.ending = True
