--- a/bench/post_log.py
+++ b/bench/post_log.py
@@ -18,7 +18,7 @@
 def cost(times: int, most: int, number: int, **fields: object) -> tuple[float, float]:
     """Microseconds an event, and octets a line that was written."""
     events.MOST, out = most, io.StringIO()
-    events._told.clear()
+    events._written.clear()
     to = eliot.FileDestination(file=out)
     eliot.add_destinations(to)
     began = time.perf_counter()
--- a/opalwick/post/directory.py
+++ b/opalwick/post/directory.py
@@ -1,7 +1,8 @@
-"""Which workers and nodes there are, and the newest configuration: what is newer wins, whoever brings it.
+"""Directory of workers, nodes and the newest configuration. The newer entry wins, regardless of its sender.
 
-Words may come twice, late and by several ways. A worker's words are ordered by its `calls`; one that has left
-never comes back under its id, as each start of a worker is a new life with a new one.
+Updates may arrive twice, late and over several paths. Updates about a worker are ordered by its `calls`. A
+worker that has left never returns under the same id, as every start of a worker is a new incarnation with a
+new id.
 """
 
 from __future__ import annotations
@@ -10,73 +11,80 @@
 
 from opalwick.post.wire_pb2 import Conf, News, Node, Worker
 
-# that have left and are remembered: words of them that are still on their way are seconds old
+# entries kept of those that have left: late updates about them are at most some seconds old
 GONE_WORKERS, GONE_NODES = 4096, 512
 
 
 class Directory:
+    """The workers and nodes that one process has been told of, and the configuration."""
+
     def __init__(self) -> None:
-        self.gone_workers = self.gone_nodes = 0  # at most so many of those below
+        self.gone_workers = self.gone_nodes = 0  # upper bounds of how many entries below have left
         self.workers: dict[str, Worker] = {}
         self.nodes: dict[str, Node] = {}
         self.conf: Conf | None = None
 
     @staticmethod
     def newer(worker: Worker, known: Worker | None) -> bool:
+        """Whether an update about a worker replaces the entry that there is."""
         if known is None:
             return True
         if known.gone or worker.gone:
             return bool(worker.gone) and not known.gone
         return (worker.calls, worker.silent) > (known.calls, known.silent)
 
-    def merge(self, news: News) -> News:
-        """What of it was new here."""
-        fresh = News(whole=news.whole)
-        for worker in news.workers:
+    def merge(self, update: News) -> News:
+        """Applies an update. Returns the part of it that was new."""
+        fresh = News(whole=update.whole)
+        for worker in update.workers:
             known = self.workers.get(worker.id)
             if self.newer(worker, known):
                 if known is not None and (known.disputed or (worker.zone != known.zone and not worker.gone)):
-                    worker.disputed = True  # one life stands in one place: it is nowhere for sure
+                    worker.disputed = True  # an incarnation cannot change zones: its zone is uncertain
                 self.gone_workers += worker.gone
                 self.workers[worker.id] = worker
                 fresh.workers.append(worker)
-        for node in news.nodes:
-            before = self.nodes.get(node.node)
-            if before is None or (node.life, node.count, node.gone) > (
-                before.life,
-                before.count,
-                before.gone,
+        for node in update.nodes:
+            known_node = self.nodes.get(node.node)
+            if known_node is None or (node.life, node.count, node.gone) > (
+                known_node.life,
+                known_node.count,
+                known_node.gone,
             ):
                 self.gone_nodes += node.gone
                 self.nodes[node.node] = node
                 fresh.nodes.append(node)
-        if news.HasField("conf") and (
-            self.conf is None or (news.conf.gen, news.conf.seq) > (self.conf.gen, self.conf.seq)
+        if update.HasField("conf") and (
+            self.conf is None or (update.conf.gen, update.conf.seq) > (self.conf.gen, self.conf.seq)
         ):
-            if self.conf is not None and self.conf.home.gen > news.conf.home.gen:
-                news.conf.home.CopyFrom(self.conf.home)  # a policy never goes back, whatever offices lost
-            self.conf = news.conf
-            fresh.conf.CopyFrom(news.conf)
+            if self.conf is not None and self.conf.home.gen > update.conf.home.gen:
+                update.conf.home.CopyFrom(
+                    self.conf.home
+                )  # a policy is never replaced by an older one, even if controllers lost state
+            self.conf = update.conf
+            fresh.conf.CopyFrom(update.conf)
         if self.gone_workers > GONE_WORKERS:
-            self.gone_workers = forget(self.workers, GONE_WORKERS)
+            self.gone_workers = evict_gone(self.workers, GONE_WORKERS)
         if self.gone_nodes > GONE_NODES:
-            self.gone_nodes = forget(self.nodes, GONE_NODES)
+            self.gone_nodes = evict_gone(self.nodes, GONE_NODES)
         return fresh
 
     def whole(self) -> News:
-        news = News(workers=list(self.workers.values()), nodes=list(self.nodes.values()), whole=True)
+        """The complete directory as an update."""
+        update = News(workers=list(self.workers.values()), nodes=list(self.nodes.values()), whole=True)
         if self.conf is not None:
-            news.conf.CopyFrom(self.conf)
-        return news
+            update.conf.CopyFrom(self.conf)
+        return update
 
 
-def forget(known: dict[str, Any], most: int) -> int:
-    """The oldest of those that are gone, until half of `most` are left; how many are."""
-    gone = [name for name, one in known.items() if one.gone]
+def evict_gone(entries: dict[str, Any], most: int) -> int:
+    """Removes the oldest entries that have left, until half of `most` of these remain. Returns their number."""
+    gone = [name for name, entry in entries.items() if entry.gone]
     for name in gone[: -(most // 2)]:
-        del known[name]
+        del entries[name]
     return min(len(gone), most // 2)
 
 
-def empty(news: News) -> bool:
-    return not (news.whole or news.workers or news.nodes or news.HasField("conf"))
+def empty(update: News) -> bool:
+    """Whether an update has no content."""
+    return not (update.whole or update.workers or update.nodes or update.HasField("conf"))
--- a/opalwick/post/events.py
+++ b/opalwick/post/events.py
@@ -1,9 +1,10 @@
-"""Numbered events, as eliot writes them: one JSON line each on standard output.
+"""Numbered log events, written with eliot as one JSON line each to standard output.
 
-The catalogue is `docs/operate/events.md`. Numbers: 1xx a counter, 2xx an office, 3xx a depot, 9xx any.
+The catalogue is `docs/operate/events.md`. Numbers: 1xx gateways, 2xx controllers, 3xx stores, 9xx all.
 
-Trace events (of the catalogue's level `trace`) tell of each message: who was given it and why, each delivery
-with what it came to, and who heard of its end. They are written only after `begin(trace=True)`, all of them.
+Trace events (level `trace` in the catalogue) concern single messages: to which gateway a message was assigned
+and why, each delivery attempt and its outcome, and which processes received the final outcome. They are
+written only after `begin(trace=True)`, and then without a rate limit.
 """
 
 from __future__ import annotations
@@ -14,33 +15,35 @@
 
 import eliot
 
-VIOLATIONS = frozenset((158,))  # numbers of events that tell of what must never be so
-MOST = 20  # lines of one number in a second: a storm of one kind must not cost the work its processor
-_told: dict[int, tuple[int, int]] = {}
+VIOLATIONS = frozenset((158,))  # numbers of events that report a violated invariant
+MOST = 20  # lines of one number per second, so that a burst of one event cannot use up the processor
+_written: dict[int, tuple[int, int]] = {}
 _tracing = False
 
 
 def begin(trace: bool = False) -> None:
-    """Events go to standard output from now on; with `trace` those of single messages as well."""
+    """Sends events to standard output from now on; with `trace` also those of single messages."""
     global _tracing
     _tracing = trace
     eliot.to_file(sys.stdout)
 
 
 def trace(number: int, **fields: Any) -> None:
-    """Writes an event of a single message, if these are asked for."""
+    """Writes an event of a single message, if tracing is on."""
     if _tracing:
         eliot.log_message(message_type=f"post:{number}", **fields)
 
 
 def say(number: int, **fields: Any) -> None:
-    """Writes the event; what is over the bound is counted and told with the next one of that number."""
+    """Writes an event. Events over the rate limit are counted, and the count is written with the next one of
+    that number.
+    """
     second = int(time.monotonic())
-    at, count = _told.get(number, (second, 0))
+    at, count = _written.get(number, (second, 0))
     if at != second:
         if count > MOST:
             fields["passed_over"] = count - MOST
         at, count = second, 0
-    _told[number] = at, count + 1
+    _written[number] = at, count + 1
     if count < MOST:
         eliot.log_message(message_type=f"post:{number}", **fields)
--- a/opalwick/post/files.py
+++ b/opalwick/post/files.py
@@ -1,5 +1,5 @@
-"""Databases of one process each: how they are opened, sums of what was written, and what becomes of a file
-that cannot be read.
+"""SQLite databases that one process uses exclusively: opening, checksums of rows, and handling of unreadable
+files.
 """
 
 from __future__ import annotations
@@ -11,27 +11,31 @@
 from contextlib import contextmanager
 from typing import Any
 
-ROTTEN = b""  # in place of octets that are not what was written
+ROTTEN = b""  # in place of data that fails its checksum
 
 
 def database(path: str, pages: int, *pragmas: str) -> sqlite3.Connection:
-    """What is committed there is synced. `pages` of the log are written back at once."""
+    """Opens a database whose commits are synced to disk. `pages`: pages of the write-ahead log at which it is
+    checkpointed.
+    """
     db = sqlite3.connect(path, isolation_level=None, check_same_thread=False)
     with closed_if_it_fails(db):
-        for line in (
-            "locking_mode = exclusive",  # one process: the index of the log needs no shared memory
+        for pragma in (
+            "locking_mode = exclusive",  # one process: the write-ahead log's index needs no shared memory
             "journal_mode = wal",
             "synchronous = full",
             f"wal_autocheckpoint = {pages}",
             *pragmas,
         ):
-            db.execute(f"pragma {line}").fetchall()
+            db.execute(f"pragma {pragma}").fetchall()
     return db
 
 
 @contextmanager
 def closed_if_it_fails(db: sqlite3.Connection) -> Iterator[None]:
-    """Closed later, it would remove the log of the file that has its name by then."""
+    """Closes the database if the block fails: a later close would remove the write-ahead log of the file that
+    has the same name by then.
+    """
     try:
         yield
     except BaseException:
@@ -40,37 +44,41 @@
 
 
 def add_columns(db: sqlite3.Connection, table: str, **columns: str) -> None:
-    """Those that a file of an earlier version lacks, each with its type."""
-    has = {row[1] for row in db.execute(f"pragma table_info({table})")}
+    """Adds columns, given with their types, that a file of an earlier version lacks."""
+    existing = {row[1] for row in db.execute(f"pragma table_info({table})")}
     for name, kind in columns.items():
-        if name not in has:
+        if name not in existing:
             db.execute(f"alter table {table} add column {name} {kind}")
 
 
 def keep_names(folder: str) -> None:
-    """The names of the files there last as well."""
-    holder = os.open(folder, os.O_RDONLY)
+    """Syncs a directory, so that the names of its files survive a power failure."""
+    descriptor = os.open(folder, os.O_RDONLY)
     try:
-        os.fsync(holder)
-    except OSError:  # some places sync no folders; the files' own syncs hold them
+        os.fsync(descriptor)
+    except OSError:  # some file systems cannot sync directories; there the sync of each file covers its name
         pass
     finally:
-        os.close(holder)
+        os.close(descriptor)
 
 
 def sum_of(*fields: Any) -> int:
-    """Of what may not change: CRC-32, which finds any burst of 32 bits."""
+    """Checksum of fields that must not change: CRC-32, which detects any error burst of up to 32 bits."""
     return zlib.crc32(b"\0".join(f if isinstance(f, bytes) else str(f).encode() for f in fields))
 
 
 def broken(problem: BaseException) -> bool:
-    """Whether the file itself is at fault, and not its use: sqlite has no class of its own for that."""
+    """Whether the database file is corrupt, rather than used wrongly: sqlite3 has no separate exception class
+    for corruption.
+    """
     return type(problem) is sqlite3.DatabaseError
 
 
 def set_aside(path: str) -> None:
-    """A file that cannot be read stays for whoever looks; its log and index are nothing without it."""
+    """Renames an unreadable database file for later inspection, and removes its log and index, which are of no
+    use without it.
+    """
     os.replace(path, path + ".broken")
-    for ending in ("-wal", "-shm"):
-        if os.path.exists(path + ending):
-            os.remove(path + ending)
+    for suffix in ("-wal", "-shm"):
+        if os.path.exists(path + suffix):
+            os.remove(path + suffix)
--- a/opalwick/post/message_state.py
+++ b/opalwick/post/message_state.py
@@ -1,4 +1,4 @@
-"""How a message stands, as a store tells a gateway (`Told.state` of `wire.proto`)."""
+"""States of a message as a store reports them to a gateway (`Told.state` of `wire.proto`)."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 
 class MessageState(IntEnum):
-    UNKNOWN = 0  # there is none of that name, as far as this store may have it
-    PENDING = 1  # it has not ended
-    COMPLETE = 2  # it has succeeded
-    DEAD = 3  # it has ended without a success
-    UNSURE = 4  # this store cannot tell
+    UNKNOWN = 0  # this store has no message with that name
+    PENDING = 1  # not finished
+    COMPLETE = 2  # finished successfully
+    DEAD = 3  # finished without success
+    UNSURE = 4  # this store cannot determine it
 
 
 FOUND = frozenset((MessageState.PENDING, MessageState.COMPLETE, MessageState.DEAD))
-WITH_BODY = frozenset((MessageState.PENDING, MessageState.DEAD))  # the message's octets are still kept
+WITH_BODY = frozenset((MessageState.PENDING, MessageState.DEAD))  # the message's body is still stored
 
-# as clients are told
+# in answers to clients
 CLIENT_STATES = {
     MessageState.PENDING: "pending",
     MessageState.COMPLETE: "complete",
--- a/tests/test_post_events.py
+++ b/tests/test_post_events.py
@@ -85,7 +85,7 @@
     lines: list[dict] = []
     clock = SimpleNamespace(monotonic=lambda: clock.now, now=7.0)
     monkeypatch.setattr(events, "time", clock)
-    monkeypatch.setattr(events, "_told", {})
+    monkeypatch.setattr(events, "_written", {})
     monkeypatch.setattr(events.eliot, "log_message", lambda **fields: lines.append(fields))
     for number in [205] * (events.MOST + 10) + [206]:
         events.say(number, gen=1)
