--- a/opalwick/post/directory.py
+++ b/opalwick/post/directory.py
@@ -16,7 +16,7 @@
 
 
 class Directory:
-    """The workers and nodes that one process has been told of, and the configuration."""
+    """The workers, nodes and configuration known to one process."""
 
     def __init__(self) -> None:
         self.gone_workers = self.gone_nodes = 0  # upper bounds of how many entries below have left
@@ -58,9 +58,8 @@
             self.conf is None or (update.conf.gen, update.conf.seq) > (self.conf.gen, self.conf.seq)
         ):
             if self.conf is not None and self.conf.home.gen > update.conf.home.gen:
-                update.conf.home.CopyFrom(
-                    self.conf.home
-                )  # a policy is never replaced by an older one, even if controllers lost state
+                # a policy is never replaced by an older one, even if controllers have lost state
+                update.conf.home.CopyFrom(self.conf.home)
             self.conf = update.conf
             fresh.conf.CopyFrom(update.conf)
         if self.gone_workers > GONE_WORKERS:
@@ -78,7 +77,7 @@
 
 
 def evict_gone(entries: dict[str, Any], most: int) -> int:
-    """Removes the oldest entries that have left, until half of `most` of these remain. Returns their number."""
+    """Removes the oldest entries that have left, until half of `most` remain. Returns their number."""
     gone = [name for name, entry in entries.items() if entry.gone]
     for name in gone[: -(most // 2)]:
         del entries[name]
--- a/opalwick/post/files.py
+++ b/opalwick/post/files.py
@@ -75,8 +75,8 @@
 
 
 def set_aside(path: str) -> None:
-    """Renames an unreadable database file for later inspection, and removes its log and index, which are of no
-    use without it.
+    """Renames an unreadable database file for later inspection. Removes its log and index, which are
+    useless without it.
     """
     os.replace(path, path + ".broken")
     for suffix in ("-wal", "-shm"):
--- a/opalwick/post/link.py
+++ b/opalwick/post/link.py
@@ -1,7 +1,8 @@
-"""Links between the processes of the post: words in order over TCP, a pulse each way, a bound on what waits.
+"""Links between the processes of the broker: ordered messages over TCP, heartbeats in both directions, and a
+limit on queued data.
 
-Whoever stands still, is cut off or does not read loses its links and is dialled again. A link says nothing of
-what a word means; a `Shell` has the links of one process and drives its role.
+A process that stalls, is disconnected or does not read loses its links and is connected to again. Links do
+not interpret messages. A `Shell` holds the links of one process and drives its role.
 """
 
 from __future__ import annotations
@@ -24,17 +25,17 @@
 from opalwick.post.wire_pb2 import Envelope, Hello
 from opalwick.transport.connection import Address, listening
 
-PULSE = 0.25  # s between pulses: four within the second after which a silent link is no longer trusted
-SLOW = 3  # pulses of which one goes out on links whose silence only SILENT judges
-SILENT = 3.0  # s without a word until a link is given up: under the shortest `contact_ms` of a deployment
-DIAL = 0.6  # s for a connection to come up: over twice the slowest trip between regions
-PAUSE = 0.05  # s until a place is dialled again; doubled up to the next
-PAUSES = 0.8  # s: a machine that is back is found within a second
-TICK = 0.05  # s between looks at the time where nothing is due sooner
-LOOK = 5.0  # s between looks at the settings file: far less than an operator's patience
-FIGURES = 10.0  # s between lines of figures in the log
-MOST = 16 << 20  # octets that may wait on a link: some seconds of a machine's whole traffic
-LONGEST = 8 << 20  # octets of one word: the largest body with room to spare
+PULSE = 0.25  # s between heartbeats: four within the 1 s after which roles no longer rely on a silent link
+SLOW = 3  # one of so many heartbeats is sent on links for which only SILENT matters
+SILENT = 3.0  # s without a message until a link is closed: below the shortest `contact_ms` of a deployment
+DIAL = 0.6  # s to establish a connection: over twice the slowest round trip between regions
+PAUSE = 0.05  # s until the first reconnection; doubled each time up to the next value
+PAUSES = 0.8  # s: a machine that has come back is connected within 1 s
+TICK = 0.05  # s between ticks when nothing is due sooner
+SETTINGS_INTERVAL = 5.0  # s between checks of the settings file: short enough for operators to wait for
+FIGURES_INTERVAL = 10.0  # s between log events with figures
+MAX_QUEUED = 16 << 20  # bytes queued on a link: some seconds of a machine's total traffic
+LONGEST = 8 << 20  # bytes of one message: well above the largest body
 _HEAD = struct.Struct("!I")
 
 
@@ -42,49 +43,49 @@
     """One connection to another process. `peer` is empty until its hello has come."""
 
     def __init__(self, sock: Any, shell: Shell, place: Address | None = None) -> None:
-        """`place`: where it was dialled; none if the other side did."""
+        """`place`: the address that was connected to; None if the peer connected."""
         self.place = place
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        # a machine without power gives no answer: the kernel's own patience is minutes
+        # a machine without power does not answer, and the kernel's own time-out is minutes
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(SILENT * 1000))
         self.sock, self.shell, self.role = sock, shell, shell.role
         self.peer = Hello()
-        self.over, self.waiting, self.words = False, 0, 0
-        self.out: list[bytes] = []
-        self.some = Event()
+        self.closed, self.queued_bytes, self.unsettled = False, 0, 0
+        self.output: list[bytes] = []
+        self.has_output = Event()
         self.heard_at = time.monotonic()
 
     def say(self, kind: str, word: Any) -> None:
-        """Waits for nobody; a link whose other side does not read is closed."""
-        if self.over:
+        """Queues a message without blocking. The link is closed if its peer does not read."""
+        if self.closed:
             return
         data = Envelope(**{kind: word}).SerializeToString()
-        self.out.append(_HEAD.pack(len(data)) + data)
-        self.waiting += len(data)
+        self.output.append(_HEAD.pack(len(data)) + data)
+        self.queued_bytes += len(data)
         if self.peer.zone != self.role.zone:
             self.role.crossed[kind] = self.role.crossed.get(kind, 0) + len(data) + 4
-        self.some.set()
-        if self.waiting > MOST:
+        self.has_output.set()
+        if self.queued_bytes > MAX_QUEUED:
             self.close()
 
     def write(self) -> None:
         """Runs in a greenlet of its own."""
         try:
-            while not self.over:
-                if not self.out:
-                    self.some.clear()
-                    self.some.wait()
+            while not self.closed:
+                if not self.output:
+                    self.has_output.clear()
+                    self.has_output.wait()
                     continue
-                data, self.out, self.waiting = b"".join(self.out), [], 0
+                data, self.output, self.queued_bytes = b"".join(self.output), [], 0
                 self.sock.sendall(data)
         except OSError:
             self.close()
 
     def read(self) -> None:
-        """Until the link ends; what comes is handed to the role, word by word."""
+        """Passes received messages to the role, one by one, until the link is closed."""
         buffer = bytearray()
         try:
-            while not self.over:
+            while not self.closed:
                 data = self.sock.recv(65536)
                 if not data:
                     return
@@ -98,56 +99,57 @@
                         return
                     if len(buffer) - at - 4 < size:
                         break
-                    self.take(bytes(memoryview(buffer)[at + 4 : at + 4 + size]))
+                    self.receive(bytes(memoryview(buffer)[at + 4 : at + 4 + size]))
                     at += 4 + size
                 if at:
                     del buffer[:at]
-                if self.words:  # what follows from pulses alone waits for the next tick
-                    self.words = 0
+                if self.unsettled:  # after heartbeats alone the next tick is soon enough
+                    self.unsettled = 0
                     self.shell.settle()
         except OSError:
             pass
         finally:
             self.close()
 
-    def take(self, data: bytes) -> None:
+    def receive(self, data: bytes) -> None:
+        """Handles one message."""
         try:
-            said = Envelope.FromString(data)
-            kind = said.WhichOneof("what")
-        except Exception:  # noqa: BLE001 - not ours, whatever protobuf makes of it
+            envelope = Envelope.FromString(data)
+            kind = envelope.WhichOneof("what")
+        except Exception:  # noqa: BLE001 - whatever protobuf raises, it is no message of ours
             self.close()
             return
         if kind is None:
-            return  # a word of a later version is passed over
-        word = getattr(said, kind)
-        self.words += kind != "pulse"
+            return  # a message kind of a later version is ignored
+        word = getattr(envelope, kind)
+        self.unsettled += kind != "pulse"
         if kind == "hello":
-            known, self.peer = self.peer, word
-            if not known.node:
+            before, self.peer = self.peer, word
+            if not before.node:
                 self.shell.close_older(self)
                 self.shell.guarded(self.role.joined, self)
         elif self.peer.node:
             self.shell.guarded(self.role.hear, self, kind, word)
 
     def is_older(self, newer: Link) -> bool:
-        """Whether the same process has dialled anew: it has given this one up, and what still lies unread
-        here was said before all that comes on the newer one.
+        """Whether the same process has connected again: it has abandoned this link, and unread messages on it
+        were sent before all messages on the newer one.
         """
         one, other = self.peer, newer.peer
-        dialled_here = self.place is None and newer.place is None
-        return self is not newer and dialled_here and (one.node, one.life) == (other.node, other.life)
+        accepted_here = self.place is None and newer.place is None
+        return self is not newer and accepted_here and (one.node, one.life) == (other.node, other.life)
 
     def close(self) -> None:
-        if not self.over:
-            self.over = True
-            self.some.set()
+        if not self.closed:
+            self.closed = True
+            self.has_output.set()
             self.sock.close()
             self.shell.all.pop(self, None)
             self.shell.guarded(self.role.parted, self)
 
 
 def stamp(path: str) -> tuple[int, int]:
-    """When a file was written last, in ns, and its octets; noughts where there is none."""
+    """A file's modification time in ns and its size in bytes; zeros if there is no file."""
     try:
         found = os.stat(path)
     except OSError:
@@ -156,72 +158,70 @@
 
 
 class Process(NamedTuple):
-    """What the platform says to a process: to end, to read its settings again; and where those stand.
-    `seen`: that file's stamp before it was read; what was changed since is read again.
-    """
+    """Signals and settings that the platform gives to a process."""
 
-    stop: Event
-    again: Event
-    path: str
+    stop: Event  # the process is to shut down
+    again: Event  # the settings are to be read again
+    path: str  # of the settings file
     metrics: Metrics | None = None
-    seen: tuple[int, int] = (0, 0)
+    seen: tuple[int, int] = (0, 0)  # the file's stamp before it was read, to detect later changes
 
 
 class Shell:
-    """Runs one role: its links, its time. What else a role needs of the world, a subclass brings."""
+    """Runs one role: its links and timers. Subclasses add the other I/O of their role."""
 
-    look: Look | None = None  # how operators' calls read the disk, where there is one
+    look: Look | None = None  # reads the disk for operators' calls, in roles that have one
 
     def __init__(self, role: Station, process: Process) -> None:
         self.role, self.process, self.stop = role, process, process.stop
         self.all: dict[Link, None] = {}
-        self.dialling: dict[Address, Any] = {}
-        self.turn = Event()  # something is due before `wake_at`
+        self.connecting: dict[Address, Any] = {}
+        self.wake = Event()  # something is due before `wake_at`
         self.wake_at = 0.0
         self.ending = False
 
     # ---- the role
 
     def settle(self) -> None:
-        """What was put in has its consequences."""
+        """Carries out what follows from the role's latest inputs."""
         self.role.clock(time.monotonic())
         self.guarded(self.role.settle)
         self.perform()
-        for far in self.role.wanted:
-            if far not in self.dialling:
-                self.dialling[far] = gevent.spawn(self.dial, far)
+        for address in self.role.wanted:
+            if address not in self.connecting:
+                self.connecting[address] = gevent.spawn(self.connect, address)
         if self.role.next_at() < self.wake_at:
-            self.turn.set()
+            self.wake.set()
 
     def perform(self) -> None:
-        """Carries out what the role left behind."""
+        """Hook: performs the I/O that the role has requested."""
 
-    def guarded(self, hear: Callable[..., Any], *told: Any) -> None:
-        """A word that the role fails on costs that word, and not all that comes after it."""
+    def guarded(self, handle: Callable[..., Any], *args: Any) -> None:
+        """Calls a method of the role. If it raises, only this input is lost: the exception is logged."""
         try:
-            hear(*told)
-        except Exception as problem:  # noqa: BLE001 - it is told, and costs that word
+            handle(*args)
+        except Exception as problem:  # noqa: BLE001 - it is logged, and only this input is lost
             events.say(
                 901,
-                work=getattr(hear, "__name__", str(hear)),
+                work=getattr(handle, "__name__", str(handle)),
                 problem=repr(problem),
                 where=traceback.format_exc(limit=-3),
             )
 
-    def time_passes(self) -> None:
-        """Runs in a greenlet of its own."""
+    def run_ticks(self) -> None:
+        """Calls the role's `tick` whenever it is due. Runs in a greenlet of its own."""
         while True:
             self.role.clock(time.monotonic())
             self.guarded(self.role.tick)
             self.settle()
-            self.turn.clear()
+            self.wake.clear()
             self.wake_at = min(self.role.next_at(), self.role.now + TICK)
-            self.turn.wait(max(0.002, self.wake_at - time.monotonic()))
+            self.wake.wait(max(0.002, self.wake_at - time.monotonic()))
 
     # ---- links
 
-    def dial(self, place: Address) -> None:
-        """Runs in a greenlet of its own: keeps a link to that place."""
+    def connect(self, place: Address) -> None:
+        """Maintains a link to that address. Runs in a greenlet of its own."""
         pause = PAUSE
         while not self.ending and place in self.role.wanted:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -239,7 +239,7 @@
                 pause = PAUSE
             gevent.sleep(pause)
             pause = min(2.0 * pause, PAUSES)
-        self.dialling.pop(place, None)
+        self.connecting.pop(place, None)
 
     def run(self, link: Link) -> None:
         self.all[link] = None
@@ -248,22 +248,22 @@
         link.read()
 
     def close_older(self, newer: Link) -> None:
-        """Words of one process are read in their order: nothing of a link that it has given up after those of
-        the next.
+        """Closes links that the peer of `newer` has abandoned: messages of one process are read in order, and
+        none of an abandoned link may be read after those of the next one.
         """
         for link in [link for link in self.all if link.is_older(newer)]:
             link.close()
 
     def listen(self) -> None:
-        """Runs in a greenlet of its own."""
+        """Accepts links. Runs in a greenlet of its own."""
         place = self.role.settings.binds.get("links", (self.role.ip, self.role.port))
         listener = listening(place, 256)
         while True:
             sock, _ = listener.accept()
             gevent.spawn(self.run, Link(sock, self))
 
-    def keep_pulse(self) -> None:
-        """Runs in a greenlet of its own."""
+    def send_heartbeats(self) -> None:
+        """Sends heartbeats and closes silent links. Runs in a greenlet of its own."""
         turn = 0
         while True:
             now, turn = time.monotonic(), (turn + 1) % SLOW
@@ -276,20 +276,20 @@
                     link.say("pulse", self.role.beat(link))
             gevent.sleep(PULSE)
 
-    def tell_figures(self) -> None:
+    def log_figures(self) -> None:
         """Runs in a greenlet of its own."""
         while True:
-            gevent.sleep(FIGURES)
-            crossed = {f"crossed_{kind}": octets for kind, octets in self.role.crossed.items()}
+            gevent.sleep(FIGURES_INTERVAL)
+            crossed = {f"crossed_{kind}": size for kind, size in self.role.crossed.items()}
             events.say(903, **self.role.figures(), **crossed)
 
     # ---- settings
 
     def reread(self) -> None:
-        """Runs in a greenlet of its own. The file may change without a signal, too."""
+        """Reads the settings again on a signal or when their file changes. Runs in a greenlet of its own."""
         seen = self.process.seen
         while True:
-            signalled = self.process.again.wait(LOOK)
+            signalled = self.process.again.wait(SETTINGS_INTERVAL)
             self.process.again.clear()
             found = stamp(self.process.path)
             if not signalled and found == seen:
@@ -297,7 +297,7 @@
             seen = found
             try:
                 settings = read(self.process.path)
-            except Faulty as problem:  # it goes on with what it has
+            except Faulty as problem:  # the settings in force stay
                 events.say(905, problem=str(problem))
                 continue
             self.role.clock(time.monotonic())
@@ -308,15 +308,16 @@
     # ---- running
 
     def begin(self) -> None:
+        """Starts the greenlets that all roles have."""
         operators = Operators(self.role, place(self.role.settings), self.look)
         if (metrics := self.process.metrics) is not None:
-            told = Operators(self.role, (self.role.ip, metrics.port), self.look, metrics_path=metrics.path)
-            self.forever(told.accept)
+            scraped = Operators(self.role, (self.role.ip, metrics.port), self.look, metrics_path=metrics.path)
+            self.forever(scraped.accept)
         for work in (
             self.listen,
-            self.keep_pulse,
-            self.tell_figures,
-            self.time_passes,
+            self.send_heartbeats,
+            self.log_figures,
+            self.run_ticks,
             self.reread,
             operators.accept,
         ):
@@ -324,11 +325,13 @@
         self.settle()
 
     def forever(self, work: Callable[[], None]) -> Any:
+        """Starts a greenlet that calls `work` again whenever it returns or raises. Returns the greenlet."""
+
         def again() -> None:
             while not self.ending:
                 try:
                     work()
-                except Exception as problem:  # noqa: BLE001 - it is told, and tried again
+                except Exception as problem:  # noqa: BLE001 - it is logged, and tried again
                     events.say(
                         901, work=work.__name__, problem=repr(problem), where=traceback.format_exc(limit=-3)
                     )
--- a/opalwick/post/station.py
+++ b/opalwick/post/station.py
@@ -1,8 +1,8 @@
-"""What every role of the post is to its links: a state machine that hears words and says some. No I/O.
+"""Base of all roles of the broker: a state machine that receives and sends peer messages. No I/O.
 
-The shell (`link.py` over sockets, the lab over its network) hands in links as they come up and go down, what
-was heard on them and the time; it keeps links to all places in `wanted`, and gives each link the role's pulse
-in turn.
+The shell (`link.py` over sockets, the simulation lab over its network) reports links that come up or go down,
+messages received on them and the time. It maintains links to all addresses in `wanted`, and regularly sends
+the role's heartbeat on each link.
 """
 
 from __future__ import annotations
@@ -24,13 +24,16 @@
     heard_at: float
 
     def say(self, kind: str, word: Any) -> None:
-        """Waits for nobody."""
+        """Queues a message of that kind; never blocks."""
 
 
 class Station:
-    role = ""
+    """A role without its logic: links, the directory and heartbeats. Roles override the hooks."""
+
+    role = ""  # as on the wire: counter (gateway), depot (store) or office (controller)
 
     def __init__(self, settings: Settings, life: int, now: float) -> None:
+        """`life`: start time of this process in ms, which identifies its incarnation."""
         self.settings, self.life, self.now = settings, life, now
         self.node, self.zone, self.ip, self.port = (
             settings.node,
@@ -39,9 +42,9 @@
             settings.ports[0],
         )
         self.links: dict[str, list[Link]] = {}  # by node
-        self.wanted: dict[Address, None] = {}  # where links are kept to
-        self.crossed: dict[str, int] = {}  # octets said to other zones, by kind of word
-        self.echoes: dict[tuple[str, int], float] = {}  # by process: the newest of its own times heard
+        self.wanted: dict[Address, None] = {}  # addresses to which links are maintained
+        self.crossed: dict[str, int] = {}  # bytes sent to other zones, by kind of message
+        self.echoes: dict[tuple[str, int], float] = {}  # by process: the newest of its timestamps received
         self.directory = Directory()
         for host, _ in settings.seeds:
             self.want(host)
@@ -49,58 +52,65 @@
     # ---- for the shell
 
     def resettle(self, settings: Settings) -> None:
-        """The settings have changed. What a process is bound to stays until its next start."""
+        """Applies changed settings. Addresses that the process is bound to stay until its next start."""
         self.settings = settings
         for host, _ in settings.seeds:
             self.want(host)
 
     def clock(self, now: float) -> None:
+        """Sets the current time, in s."""
         self.now = now
 
     def hello(self) -> Hello:
         return Hello(node=self.node, role=self.role, zone=self.zone, ip=self.ip, life=self.life)
 
     def pulse(self, link: Link) -> Pulse:
-        """What goes along with the next pulse on that link."""
+        """The role's part of the next heartbeat on that link."""
         return Pulse()
 
     def joined(self, link: Link) -> None:
-        """A link is up and its other side has said who it is."""
+        """A link is up and its peer has identified itself."""
         self.links.setdefault(link.peer.node, []).append(link)
         self.up(link)
         link.say("pulse", self.beat(link))
 
     def calm(self, link: Link) -> bool:
-        """Whether a pulse now and then does on that link: a counter's to offices and to other counters."""
+        """Whether infrequent heartbeats suffice on that link: those of gateways to controllers and to other
+        gateways.
+        """
         return "counter" in (self.role, link.peer.role) and "depot" not in (self.role, link.peer.role)
 
     def beat(self, link: Link) -> Pulse:
-        """The pulse on that link, with the time: an echo of it proves when this process was heard, however
-        long the words lay on the way.
+        """The heartbeat on that link, with a timestamp. An echo of it proves that the peer received messages
+        sent up to that time, however long they were in transit.
         """
         pulse = self.pulse(link)
         pulse.at, pulse.echo = self.now, self.echoes.get((link.peer.node, link.peer.life), 0.0)
         return pulse
 
     def hear(self, link: Link, kind: str, word: Any) -> None:
-        """For the shell: a word was heard."""
+        """Handles a received message; called by the shell."""
         if kind == "pulse":
-            who = link.peer.node, link.peer.life
-            self.echoes[who] = max(self.echoes.get(who, 0.0), word.at)
+            process = link.peer.node, link.peer.life
+            self.echoes[process] = max(self.echoes.get(process, 0.0), word.at)
         self.heard(link, kind, word)
 
     def parted(self, link: Link) -> None:
-        if link in (held := self.links.get(link.peer.node, [])):
-            held.remove(link)
-            if not held:
+        """A link is closed."""
+        if link in (open_links := self.links.get(link.peer.node, [])):
+            open_links.remove(link)
+            if not open_links:
                 del self.links[link.peer.node]
             self.down(link)
 
+    # hooks: a link is up; a link is closed, while others to its peer may be open
+
     def up(self, link: Link) -> None: ...
 
     def down(self, link: Link) -> None: ...
 
     def heard(self, link: Link, kind: str, word: Any) -> None:
+        """Hook: a message was received."""
         if kind == "news" and link.peer.role == "office":
             fresh = self.directory.merge(word)
             if not empty(fresh):
@@ -112,40 +122,40 @@
                 self.news(fresh)
 
     def news(self, news: News) -> None:
-        """What was new of it."""
+        """Hook: the directory was updated. `news`: the part of the update that was new."""
 
     def settle(self) -> None:
-        """All that came at once was heard: what follows is carried out."""
+        """Hook: all messages that arrived together have been handled; acts on the result."""
 
     def tick(self) -> None:
-        """Time has passed."""
+        """Hook: time has passed."""
 
     def next_at(self) -> float:
-        """When it wants the next tick at the latest."""
+        """The latest time for the next `tick`."""
         return math.inf
 
     def figures(self) -> dict[str, Any]:
-        """Counts since the start, and what is held now."""
+        """Counts since the start, and current values."""
         return {}
 
-    # ---- what a role does with its links
+    # ---- links
 
     def link(self, node: str) -> Link | None:
-        """The link to a node that was heard last."""
-        held = self.links.get(node)
-        if not held:
+        """The link to a node on which something was received last."""
+        open_links = self.links.get(node)
+        if not open_links:
             return None
-        return held[0] if len(held) == 1 else max(held, key=lambda link: link.heard_at)
+        return open_links[0] if len(open_links) == 1 else max(open_links, key=lambda link: link.heard_at)
 
     def say(self, node: str, kind: str, word: Any) -> bool:
-        """Whether there was a link to leave it to."""
+        """Sends a message to a node. Returns whether there was a link to send it on."""
         link = self.link(node)
         if link is not None:
             link.say(kind, word)
         return link is not None
 
     def of(self, role: str) -> list[Link]:
-        """A link to each node of that role, by name."""
+        """One link to each connected node of that role, in order of the nodes' names."""
         return [
             link
             for node in sorted(self.links)
@@ -153,22 +163,27 @@
         ]
 
     def nodes(self, role: str) -> list[Node]:
+        """All nodes of that role in the directory, connected or not."""
         return [node for node in self.directory.nodes.values() if node.role == role and not node.gone]
 
     def want(self, ip: str) -> None:
+        """Maintains a link to an address from now on."""
         if ip != self.ip:
             self.wanted[ip, self.port] = None
 
     def unwant(self, node: Node) -> None:
-        """It is gone: nobody dials it, unless its address is in the settings or another's by now."""
+        """Stops connecting to a node that is gone, unless its address is in the settings or has been taken
+        over by another node.
+        """
         if not any(other.ip == node.ip for other in self.directory.nodes.values() if not other.gone) and all(
             host != node.ip for host, _ in self.settings.seeds
         ):
             self.wanted.pop((node.ip, self.port), None)
 
     def event(self, number: int, **fields: Any) -> None:
+        """Logs an event."""
         events.say(number, **fields)
 
     def trace(self, number: int, **fields: Any) -> None:
-        """An event of a single message; written only where these are asked for."""
+        """Logs an event of a single message, if tracing is on."""
         events.trace(number, **fields)
