--- a/tests/test_post_events.py
+++ b/tests/test_post_events.py
@@ -1,4 +1,4 @@
-"""The catalogue of events against the code, both ways; the bound on lines; the operators' pages' figures."""
+"""Events, figures and constants in the documentation match the code; the rate limit of log lines."""
 
 from __future__ import annotations
 
@@ -27,50 +27,54 @@
 
 
 def rows(page: str, first: str) -> list[list[str]]:
-    """Of the tables whose rows begin so."""
+    """Cells of all table rows on a page whose first cell matches."""
     found = re.findall(rf"^\| {first} \|.*$", (PAGES / page).read_text(), re.M)
     return [[cell.strip() for cell in row.strip("|").split("|")] for row in found]
 
 
-def said(sayers: tuple[str, ...] = ("events.say", "self.event", "self.trace")) -> dict[int, set[str]]:
-    """Every number that the code says, with its fields; `*`: some that only the running process knows."""
+def logged(loggers: tuple[str, ...] = ("events.say", "self.event", "self.trace")) -> dict[int, set[str]]:
+    """All event numbers that the code logs, with their fields; `*`: fields determined at run time."""
     found: dict[int, set[str]] = {}
     for path in sorted((HERE / "opalwick" / "post").rglob("*.py")):
         for node in ast.walk(ast.parse(path.read_text())):
             if not isinstance(node, ast.Call) or not isinstance(node.func, ast.Attribute) or not node.args:
                 continue
-            first, whose = node.args[0], ast.unparse(node.func)
-            if whose in sayers:
+            first, function = node.args[0], ast.unparse(node.func)
+            if function in loggers:
                 fields = {keyword.arg or "*" for keyword in node.keywords}
-            elif "self.event" in sayers and whose.endswith("events.append") and isinstance(first, ast.Tuple):
+            elif (
+                "self.event" in loggers
+                and function.endswith("events.append")
+                and isinstance(first, ast.Tuple)
+            ):
                 first, given = first.elts
                 assert isinstance(given, ast.Dict)
                 fields = {ast.literal_eval(key) for key in given.keys if key is not None}
             else:
                 continue
-            if isinstance(first, ast.Constant):  # else it is passed on
+            if isinstance(first, ast.Constant):  # otherwise the number is a parameter
                 assert found.setdefault(first.value, fields) == fields, f"{path}: {first.value}: other fields"
     return found
 
 
-def test_every_event_is_in_the_catalogue_and_every_entry_is_said() -> None:
-    told = {
+def test_every_event_is_in_the_catalogue_and_every_entry_is_logged() -> None:
+    documented = {
         int(number): set(re.findall(r"`(\w+)`", fields)) | ({"*"} if "see below" in fields else set())
         for number, _, _, fields, _ in rows("events.md", r"\d{3}")
     }
-    assert said() == told
+    assert logged() == documented
     assert {row[1] for row in rows("events.md", r"\d{3}")} <= {"info", "warning", "error", "trace"}
-    # only what nobody asked for is unbounded, and so of the level trace
+    # only events of level trace, which are off by default, have no rate limit
     traced = {int(row[0]) for row in rows("events.md", r"\d{3}") if row[1] == "trace"}
-    assert said(("self.trace",)).keys() == traced
+    assert logged(("self.trace",)).keys() == traced
 
 
 @pytest.mark.parametrize("role", ROLES)
 def test_the_figures_are_in_the_catalogue(role: str) -> None:
-    told = {name.strip("`"): kind for _, name, kind, _ in rows("events.md", role)}
-    assert told.keys() == ROLES[role]().figures().keys()
+    documented = {name.strip("`"): kind for _, name, kind, _ in rows("events.md", role)}
+    assert documented.keys() == ROLES[role]().figures().keys()
     now = import_module(f"opalwick.post.{role}.status").NOW
-    assert {name for name, kind in told.items() if kind == "now"} - {"state"} == now
+    assert {name for name, kind in documented.items() if kind == "now"} - {"state"} == now
 
 
 def test_the_constants_on_the_page_are_those_in_force() -> None:
@@ -81,7 +85,7 @@
         assert found == float(value), f"docs/operate/post.md: {name}"
 
 
-def test_a_storm_of_one_number_is_bounded_and_counted(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_bursts_of_one_event_are_limited_and_counted(monkeypatch: pytest.MonkeyPatch) -> None:
     lines: list[dict] = []
     clock = SimpleNamespace(monotonic=lambda: clock.now, now=7.0)
     monkeypatch.setattr(events, "time", clock)
--- a/tests/test_post_intake.py
+++ b/tests/test_post_intake.py
@@ -1,4 +1,4 @@
-"""A counter's intake, played from traces: which depots are asked, and when a client gets which answer."""
+"""Replication of new messages at a gateway: which stores are used, and when a client gets which answer."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def test_copies_cross_zones_only_where_zones_may_be_lost() -> None:
-    """All near ones, then one of each other zone, then the rest."""
+    """Without spreading, all stores of the gateway's own zone come first, then one of each other zone."""
     c = Clients("d1 d2 d3 d4 d5")
     assert {"".join(ZONES[d.node] for d in c.i.ranked(f"m{n}"))[:3] for n in range(9)} <= {"nsw", "nws"}
     c.i.spread = False
@@ -23,13 +23,13 @@
 
 
 class Clients(Player):
-    """A counter in zone n with an intake of two copies. Depots pulse four times a second until `silent`."""
+    """A gateway in zone n with two replicas per message. Stores send 4 heartbeats a second until `silent`."""
 
     STEP = 0.01
 
     def __init__(self, depots: str = "d1 d2 d3", most: int = 8) -> None:
         super().__init__()
-        self.i, self.leaving, self.told = Intake("n", 2, most), dict[str, bool](), list[int]()
+        self.i, self.leaving, self.statuses = Intake("n", 2, most), dict[str, bool](), list[int]()
         for who in depots.split():
             self.do_up(who)
 
@@ -48,7 +48,7 @@
         self.i.depot_pulse(who, True)
 
     def do_sends(self, call: str, text: str) -> None:
-        """A client: a message, and whether it is parked."""
+        """A client sends a message. `text`: its id, and whether it is parked."""
         mid, *parked = text.split()
         self.i.clock(self.now)
         self.i.offered(call, Letter(mid=mid), bool(parked))
@@ -57,24 +57,24 @@
         self.i.kept(who, said.mid, said.refused)
 
     def step(self) -> None:
-        self.i.clock(self.now + 1e-5)  # a wake comes a little late
+        self.i.clock(self.now + 1e-5)  # timers fire a little late
         for who, leaving in self.leaving.items() if round(self.now * 100) % 25 == 0 else ():
             self.i.depot_pulse(who, leaving)
         if self.i.next_at() <= self.now:
             self.i.tick()
 
     def settle(self) -> None:
-        sends, told, accepted = self.i.effects()
+        sends, answers, accepted = self.i.effects()
         self.sent(sends)
-        for call, status, name, _ in told:
-            self.told.append(status)
+        for call, status, name, _ in answers:
+            self.statuses.append(status)
             self.note(f"{status} {name}".strip() + f" to {call}")
         for letter, touched in accepted:
             self.note(f"accepted {letter.mid}, holders {','.join(letter.holders)}, told {','.join(touched)}")
 
 
-def test_202_only_once_two_have_it(snapshot) -> None:
-    """Who says so twice counts once; what is parked is no counter's yet."""
+def test_202_only_after_two_stores_have_the_message(snapshot) -> None:
+    """A store that confirms twice counts once. A parked message has no owner yet."""
     c = Clients()
     assert (
         c.play("""
@@ -84,12 +84,13 @@
         0.22 d2 kept mid=m2; d2 kept mid=m2""")
         == snapshot
     )
-    assert c.told == [202, 202] and not c.i.waits
+    assert c.statuses == [202, 202] and not c.i.waits
 
 
 def test_one_more_depot_after_a_while_and_holders_as_they_are(snapshot) -> None:
-    """After HEDGE, and again; 504 when nobody knows, which late words do not undo. Who does not keep it knows
-    at once: where it is due before that disk has caught up it would be assigned from there.
+    """One more store is asked after each HEDGE. 504 is final, even if stores confirm later. Stores that are
+    not replicas are sent the list of replicas at once: one with a slow disk would otherwise assign the message
+    if it is due before the disk has caught up.
     """
     c = Clients()
     assert (
@@ -105,11 +106,11 @@
         1.30 d4 kept mid=m5""")
         == snapshot
     )
-    assert c.told == [202, 504, 202, 202] and not c.i.waits
+    assert c.statuses == [202, 504, 202, 202] and not c.i.waits
 
 
-def test_503_only_where_nothing_was_said_to_a_depot(snapshot) -> None:
-    """Too many under way; too few depots that are heard, and stay."""
+def test_503_only_if_no_store_was_sent_the_message(snapshot) -> None:
+    """Too many messages in progress, or too few stores that are in contact and not shutting down."""
     c = Clients("d1 d2", most=2)
     assert (
         c.play("""
@@ -120,11 +121,13 @@
         == snapshot
     )
     said = {w.letter.mid for _, _, kind, w in c.said if kind == "keep"}
-    assert said == {"m1", "m2", "m4", "m6"} and c.told == [503, 202, 504, 504, 503, 503]
+    assert said == {"m1", "m2", "m4", "m6"} and c.statuses == [503, 202, 504, 504, 503, 503]
 
 
-def test_a_full_depot_is_passed_over(snapshot) -> None:
-    """Whoever refused never had it and is told no end. 504 where another may have it."""
+def test_a_full_store_is_skipped(snapshot) -> None:
+    """A store that rejected a message does not have it and is not notified of its outcome. 504 if another
+    store may have it.
+    """
     c = Clients()
     assert (
         c.play("""
@@ -133,27 +136,27 @@
         0.30 call3 sends m3; d1 kept mid=m3 refused; d2 kept mid=m3 refused""")
         == snapshot
     )
-    assert c.told == [202, 504, 503]
+    assert c.statuses == [202, 504, 503]
 
 
-def test_a_look_at_the_very_moment_of_giving_up_ends() -> None:
-    """As a lab's clock has it, or by bad luck a real one."""
-    began = next(n / 10 for n in range(1, 99) if n / 10 + GIVE_UP - n / 10 < GIVE_UP)
-    c, looks, order = Clients(), iter(range(99)), Intake.ranked
-    c.i.ranked = lambda mid, _="": order(c.i, mid) if next(looks) < 98 else pytest.fail("endless loop")
-    c.play(f"{began} call1 sends m1")
-    c.i.clock(began + GIVE_UP)
+def test_a_timer_at_the_moment_of_the_time_out_terminates() -> None:
+    """Rounding of the clock must not make the timer repeat without end at the moment of the time-out."""
+    start = next(n / 10 for n in range(1, 99) if n / 10 + GIVE_UP - n / 10 < GIVE_UP)
+    c, calls, ranked = Clients(), iter(range(99)), Intake.ranked
+    c.i.ranked = lambda mid, _="": ranked(c.i, mid) if next(calls) < 98 else pytest.fail("endless loop")
+    c.play(f"{start} call1 sends m1")
+    c.i.clock(start + GIVE_UP)
     c.i.tick()
 
 
-def test_a_late_depot_learns_who_holds_what_it_was_asked_for() -> None:
+def test_a_late_store_is_sent_the_list_of_replicas() -> None:
     c = Clients()
     c.play("0.10 call1 sends m1; d1 kept mid=m1\n0.16 d3 kept mid=m1; d2 kept mid=m1")
     assert {node for _, node in c.got("holders")} == {"d1", "d2", "d3"}
 
 
-def test_messages_spread_over_zones_and_over_the_depots_of_a_zone() -> None:
-    """The first holder is near, the second elsewhere; silent and leaving ones are passed over."""
+def test_messages_are_distributed_over_zones_and_stores() -> None:
+    """The first replica is in the gateway's zone, the second elsewhere; silent and leaving ones are skipped."""
     c = Clients("d1 d2 d3 d4 d5", most=1000)
     letters = [Letter(mid=f"m{n}") for n in range(400)]
     for letter in letters:
@@ -171,8 +174,8 @@
     }
 
 
-def test_a_depot_whose_disk_is_slow_is_asked_last() -> None:
-    """Not left out: with two others away it is all there is."""
+def test_a_store_with_a_slow_disk_is_used_last() -> None:
+    """It is still used, since the other stores may be unavailable."""
     i = Clients("d1 d2 d3").i
     i.depot_pulse("d1", False, BEHIND)
     assert [d.node for d in i.ranked("m1")][2] == "d1"
--- a/tests/test_post_known.py
+++ b/tests/test_post_known.py
@@ -1,4 +1,4 @@
-"""Which depots a counter knows, and how it calls on the others."""
+"""Stores that a gateway keeps links to, and links to other stores on demand."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class Spy:
-    """A link that remembers what was said on it."""
+    """A link that records the messages sent on it."""
 
     def __init__(self, role: str, node: str, zone: str = "a") -> None:
         self.peer, self.heard_at = Hello(node=node, role=role, zone=zone, ip="10.0.2.7", life=1), 0.0
@@ -46,7 +46,9 @@
         return [kind for kind, _ in self.said if kind != "pulse"]
 
 
-class Asked:
+class LookupCall:
+    """A client's call that records its answers."""
+
     def __init__(self) -> None:
         self.message = Message(0.0)
         self.answers: list[tuple[int, bytes]] = []
@@ -68,54 +70,60 @@
     return c
 
 
-def test_few_are_known_however_many_there_are() -> None:
+def test_the_number_of_linked_stores_is_bounded() -> None:
     sets = {count: known(depots(count), "c1", "a", 3, False) for count in (12, 48, 400)}
     assert [len(found) for found in sets.values()] == [3 * NEAR, 3 * NEAR + 3 * FAR, 3 * NEAR + 3 * FAR]
     few = [node for node in depots(48) if node.zone == "b" or node.node == "d0"]
-    assert len(known(few, "c1", "a", 3, False)) == 3 * NEAR  # its own zone has one
+    assert len(known(few, "c1", "a", 3, False)) == 3 * NEAR  # its own zone has one store
     assert len(known(depots(400), "c1", "a", 3, True)) == 3 * NEAR + 3 * 3 * FAR
-    # one more changes one at most in its zone, and all depots are known to some
+    # one more store changes at most one of the set, and every store is in the set of some gateway
     more = {d.node for d in known(depots(401), "c1", "a", 3, False)}
     assert len(more - {d.node for d in sets[400]}) <= 1
     seen = {d.node for n in range(64) for d in known(depots(48), f"c{n}", ZONES[n % 4], 3, False)}
     assert len(seen) == 48
 
 
-def test_holders_that_it_does_not_know_are_called_on_and_let_go() -> None:
-    """It is assigned a message: all who keep it must hear whose it is, and how it ends."""
+def test_other_replicas_are_linked_on_demand_and_released() -> None:
+    """A gateway that is assigned a message must notify all its replicas of the owner and of the outcome, and
+    closes links to other stores some time after their last use.
+    """
     c = counter()
-    mine = sorted(c.mine)
-    near, far = Spy("depot", mine[0]), next(f"d{n}" for n in range(100) if f"d{n}" not in c.mine)
+    linked = sorted(c.mine)
+    near, far = Spy("depot", linked[0]), next(f"d{n}" for n in range(100) if f"d{n}" not in c.mine)
     c.joined(near)
     place = (c.directory.nodes[far].ip, 7300)
     assert place not in c.wanted
-    letter = Letter(mid="m", host=b"h", target=b"/", holders=[mine[0], far], until=1)
+    letter = Letter(mid="m", host=b"h", target=b"/", holders=[linked[0], far], until=1)
     c.hear(near, "assign", Assign(letter=letter))
     c.settle()
     assert place in c.wanted and "mine" in near.kinds()
     late = Spy("depot", far, "b")
-    c.joined(late)  # its link comes up
+    c.joined(late)  # its link is established
     c.settle()
-    # what had waited, the same asked anew as its answer may be lost with a link, and all that is here
+    # the queued request, its repetition as answers may be lost with a link, and the list of all deliveries
     assert late.kinds() == ["mine"] * 3
-    words = [word for kind, word in late.said if kind == "mine"]
-    assert [(word.ask, word.whole) for word in words] == [(True, False), (True, False), (False, True)]
-    c.clock(2.0)  # its time is over
+    requests = [message for kind, message in late.said if kind == "mine"]
+    assert [(request.ask, request.whole) for request in requests] == [
+        (True, False),
+        (True, False),
+        (False, True),
+    ]
+    c.clock(2.0)  # its retention has expired
     c.hear(near, "pulse", Pulse(settled=True, at=1.0, echo=2.0))
     c.settle()
     assert "end" in near.kinds() and "end" in late.kinds()
     c.clock(CALLED + 4.0)
     c.tick()
-    assert place in c.wanted  # who has not said that it has the end is not let go
+    assert place in c.wanted  # a store that has not confirmed the outcome stays linked
     for spy in (near, late):
         c.hear(spy, "ended", next(word for kind, word in spy.said if kind == "end"))
     c.clock(CALLED + 6.0)
     c.tick()
-    assert place not in c.wanted and all((c.directory.nodes[node].ip, 7300) in c.wanted for node in mine)
+    assert place not in c.wanted and all((c.directory.nodes[node].ip, 7300) in c.wanted for node in linked)
 
 
-def test_a_message_is_asked_for_at_those_that_its_name_tells() -> None:
-    c, call = counter(), Asked()
+def test_a_lookup_queries_the_stores_hinted_by_the_name() -> None:
+    c, call = counter(), LookupCall()
     far = next(f"d{n}" for n in range(100) if f"d{n}" not in c.mine)
     call.message.headers[b"host"] = b"h"
     c.asked_back(call, finish(c.names.begin(1), [far], "h"), True)
--- a/tests/test_post_names.py
+++ b/tests/test_post_names.py
@@ -1,6 +1,7 @@
-"""A state is shown for a name that was given out, spelled as it was given, under the message's own host.
+"""A message's state is returned only for the exact name that was given to its client, under its own host.
 
-Found by `docs/incidents/mixed-state-for-a-name-never-given.md`.
+Guards against the fault in `docs/incidents/mixed-state-for-a-name-never-given.md`: a state was returned for a
+name that no client had been given.
 """
 
 from __future__ import annotations
@@ -34,15 +35,15 @@
 
 
 def other_spellings(name: str) -> list[str]:
-    """What somebody might take for the same name, and what is no name at all."""
-    pieces = re.split("([-_.])", name)
+    """Variants that could be mistaken for the same name, and strings that are no name at all."""
+    parts = re.split("([-_.])", name)
     found = [
-        *("".join(pieces[:count]) for count in range(1, len(pieces))),  # cut off behind any of its pieces
-        *("".join(pieces[count:]) for count in range(1, len(pieces))),
-        *("".join([*pieces[:at], *pieces[at + 2 :]]) for at in range(0, len(pieces) - 2, 2)),  # without one
-        *("".join([*pieces[:at], pieces[at], "-", *pieces[at:]]) for at in range(0, len(pieces), 2)),  # twice
+        *("".join(parts[:count]) for count in range(1, len(parts))),  # cut off after any of its parts
+        *("".join(parts[count:]) for count in range(1, len(parts))),
+        *("".join([*parts[:at], *parts[at + 2 :]]) for at in range(0, len(parts) - 2, 2)),  # without one
+        *("".join([*parts[:at], parts[at], "-", *parts[at:]]) for at in range(0, len(parts), 2)),  # twice
         name + "-x",
-        name + "_" + pieces[-1],
+        name + "_" + parts[-1],
         name.upper(),
         name + "/",
         name + "?x=1",
@@ -77,27 +78,27 @@
 
 
 def test_who_has_one_name_cannot_make_another(cluster: Cluster) -> None:
-    """Its neighbours are messages that somebody sent, and their names were given to others."""
+    """Neighbouring names belong to messages of other clients and must not be derivable from one's own."""
     names = [cluster.named("c1", delay=60.0) for _ in range(40)]
     shown = []
     for name in names[::20]:
         for at in range(len(name)):
             for letter in LETTERS:
-                made = name[:at] + letter + name[at + 1 :]
-                if made not in names and cluster.ask("c2", made).status not in NOT_SHOWN:
-                    shown.append(made)
-        pieces = name.split(".")
-        for other in names:  # one piece of a name put into another
-            for at, piece in enumerate(other.split(".")):
-                made = ".".join([*pieces[:at], piece, *pieces[at + 1 :]])
-                if made not in names and cluster.ask("c2", made).status not in NOT_SHOWN:
-                    shown.append(made)
+                forged = name[:at] + letter + name[at + 1 :]
+                if forged not in names and cluster.ask("c2", forged).status not in NOT_SHOWN:
+                    shown.append(forged)
+        parts = name.split(".")
+        for other in names:  # one part of a name replaced by that of another
+            for at, part in enumerate(other.split(".")):
+                forged = ".".join([*parts[:at], part, *parts[at + 1 :]])
+                if forged not in names and cluster.ask("c2", forged).status not in NOT_SHOWN:
+                    shown.append(forged)
     assert not shown
 
 
 def test_a_message_is_shown_under_its_own_host_alone(cluster: Cluster) -> None:
     name = cluster.named("c1", delay=60.0)
-    for host in (b"h", b"H", b"h:8080"):  # as routes take it
+    for host in (b"h", b"H", b"h:8080"):  # equal under the rules of routes
         assert cluster.ask("c2", name, host).status == 200
     for host in (b"other", b"hh", b"h.example", b"", b"h,h"):
         assert cluster.ask("c2", name, host).status in NOT_SHOWN
@@ -111,20 +112,22 @@
     [mid] = cluster.out
     cluster.answer(mid)
     cluster.run(1.0)
-    cluster.end("c1")  # whoever gave the name out has gone
+    cluster.end("c1")  # the process that gave the name has gone
     cluster.start_counter("c1", 11)
     cluster.introduce()
     cluster.run(4.0)
     for node in ("c1", "c2", "c3"):
-        told = cluster.ask(node, name)
-        assert (told.status, json.loads(told.body)) == (200, {"state": "complete", "seal": "seal of c1"})
-    for one in ("d1", "d2"):  # one depot after the other cannot say: never 404
+        found = cluster.ask(node, name)
+        assert (found.status, json.loads(found.body)) == (200, {"state": "complete", "seal": "seal of c1"})
+    for one in ("d1", "d2"):  # stores become unavailable one after the other: never 404
         cluster.end(one)
         assert cluster.ask("c2", name).status in (200, 503)
 
 
-def test_what_the_version_before_has_named_keeps_its_name(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its stores keep a message by the first part of the name; the tags are compared with who keeps it."""
+def test_names_of_the_earlier_version_stay_valid(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Stores of the earlier version hold a message under the first part of its name, and compare the tags
+    with its replicas.
+    """
     cluster = Cluster(counters=2, depots=3)
     cluster.introduce()
     monkeypatch.setattr("opalwick.post.counter.role.whole_name", lambda letter: "1c.k3f9a2.zz")
@@ -139,6 +142,6 @@
         assert cluster.ask("c2", other).status in NOT_SHOWN
         assert cluster.ask("c2", other, body=True).status in NOT_SHOWN
     assert cluster.ask("c2", name.replace("zz", "zy")).status == 404
-    for node in (first, second):  # it was moved since: whether the name was given out is not known here
+    for node in (first, second):  # its replicas have changed: whether the name was ever given is uncertain
         cluster.roles[node].keeping.entries["1c.k3f9a2.zz"].holders = (first, third)
     assert cluster.ask("c2", name).status == 503
