--- a/tests/test_post_intake.py
+++ b/tests/test_post_intake.py
@@ -89,7 +89,7 @@
 
 def test_one_more_depot_after_a_while_and_holders_as_they_are(snapshot) -> None:
     """One more store is asked after each HEDGE. 504 is final, even if stores confirm later. Stores that are
-    not replicas are sent the list of replicas at once: one with a slow disk would otherwise assign the message
+    not replicas are sent the list of replicas at once: one with a slow disk would assign the message
     if it is due before the disk has caught up.
     """
     c = Clients()
