--- a/tests/test_post_intake.py
+++ b/tests/test_post_intake.py
@@ -156,7 +156,7 @@
 
 
 def test_messages_are_distributed_over_zones_and_stores() -> None:
-    """The first replica is in the gateway's zone, the second elsewhere; silent and leaving ones are skipped."""
+    """First replica in the own zone, second elsewhere; silent and leaving stores are skipped."""
     c = Clients("d1 d2 d3 d4 d5", most=1000)
     letters = [Letter(mid=f"m{n}") for n in range(400)]
     for letter in letters:
