--- a/opalwick/post/operators.py
+++ b/opalwick/post/operators.py
@@ -95,7 +95,7 @@
             "zone": link.peer.zone,
             "life": link.peer.life,
             "age": role.now - link.heard_at,
-            "waiting": getattr(link, "waiting", 0),
+            "waiting": getattr(link, "queued_bytes", 0),
         }
         for node in sorted(role.links)
         for link in role.links[node]
