--- a/opalwick/lab/verify/copying.py
+++ b/opalwick/lab/verify/copying.py
@@ -24,7 +24,7 @@
 OUT = {"figures", "counts", "events", "crossed"}
 NO_TIME = {"rate", "tokens", "room", "state_s"}
 # order of these decides: the first of several that are equal is taken
-ORDERED = {"votes", "counters", "peers", "over"}
+ORDERED = {"votes", "counters", "peers", "answered"}
 
 
 @cache
