--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -300,7 +300,7 @@
 
     class Shell:
         def __init__(self) -> None:
-            self.all: dict[Any, None] = {}
+            self.links: dict[Any, None] = {}
             self.heard = 0
             self.role = self
 
--- a/opalwick/post/counter/answers.py
+++ b/opalwick/post/counter/answers.py
@@ -14,9 +14,8 @@
 from opalwick.post.verdict import Verdict, of_status
 from opalwick.protocol.http import Message
 
-EARLY_ANSWER_SIZE = (
-    8192  # bytes; requests longer than this may be answered before they are completely written
-)
+# bytes; requests longer than this may be answered before they are completely written
+EARLY_ANSWER_SIZE = 8192
 WITHHELD_TAIL = 1  # bytes at the end of such a request that are not written if an answer has already arrived
 
 
--- a/opalwick/post/counter/intake.py
+++ b/opalwick/post/counter/intake.py
@@ -67,18 +67,12 @@
         "parked",
         "reassigned",
         "requested",
-        "started_at",
+        "since",
         "stored",
     )
 
-    def __init__(self, call: Any, letter: Letter, parked: bool, started_at: float) -> None:
-        self.call, self.letter, self.parked, self.started_at, self.hedged = (
-            call,
-            letter,
-            parked,
-            started_at,
-            False,
-        )
+    def __init__(self, call: Any, letter: Letter, parked: bool, since: float) -> None:
+        self.call, self.letter, self.parked, self.since, self.hedged = call, letter, parked, since, False
         self.reassigned = False  # a store has assigned it to another gateway
         self.requested: list[str] = []  # stores that the message was sent to
         self.stored: list[str] = []  # stores that have it on disk
@@ -88,9 +82,9 @@
 class Intake:
     """Replication of all messages that are being accepted at a gateway."""
 
-    def __init__(self, zone: str, copies: int, most: int, spread: bool = True) -> None:
-        """`most`: messages being accepted at once. `spread`: replicas are placed in different zones."""
-        self.zone, self.copies, self.most, self.spread, self.now = zone, copies, most, spread, 0.0
+    def __init__(self, zone: str, copies: int, capacity: int, spread: bool = True) -> None:
+        """`capacity`: messages being accepted at once. `spread`: replicas must be in different zones."""
+        self.zone, self.copies, self.capacity, self.spread, self.now = zone, copies, capacity, spread, 0.0
         self.stores: dict[str, StoreState] = {}
         self.retiring = set[str]()  # stores that are being decommissioned
         self.policy: Policy | None = None  # where messages with a data residency may be stored
@@ -173,7 +167,7 @@
         `name`: returns the message's complete name, once `letter.holders` lists the stores it is sent to.
         """
         ranked = self.ranked(letter.mid, letter.home)[: self.copies]
-        if len(ranked) < self.copies or len(self.pending) >= self.most:
+        if len(ranked) < self.copies or len(self.pending) >= self.capacity:
             self.figures["refused"] += 1
             self.answers.append(ClientAnswer(call, 503))
             return
@@ -287,7 +281,7 @@
             entry = self.pending.get(mid)
             if entry is None:
                 continue
-            deadline = entry.started_at + ACCEPT_TIMEOUT
+            deadline = entry.since + ACCEPT_TIMEOUT
             if self.now >= deadline:
                 self.give_up(entry)
                 continue
--- a/opalwick/post/events.py
+++ b/opalwick/post/events.py
@@ -16,9 +16,8 @@
 import eliot
 
 VIOLATIONS = frozenset((158,))  # numbers of events that report a violated invariant
-MAX_PER_SECOND = (
-    20  # lines of one number per second, so that a burst of one event cannot use up the processor
-)
+# lines of one number per second, so that a burst of one event cannot use up the processor
+MAX_PER_SECOND = 20
 _written: dict[int, tuple[int, int]] = {}
 _tracing = False
 
--- a/opalwick/post/link.py
+++ b/opalwick/post/link.py
@@ -25,13 +25,11 @@
 from opalwick.post.wire_pb2 import Envelope, Hello
 from opalwick.transport.connection import Address, listening
 
-HEARTBEAT_INTERVAL = (
-    0.25  # s between heartbeats: four within the 1 s after which roles no longer rely on a silent link
-)
+# s between heartbeats: four within the 1 s after which roles no longer rely on a silent link
+HEARTBEAT_INTERVAL = 0.25
 SLOW_FACTOR = 3  # one of so many heartbeats is sent on links for which only SILENCE_TIMEOUT matters
-SILENCE_TIMEOUT = (
-    3.0  # s without a message until a link is closed: below the shortest `contact_ms` of a deployment
-)
+# s without a message until a link is closed: below the shortest `contact_ms` of a deployment
+SILENCE_TIMEOUT = 3.0
 CONNECT_TIMEOUT = 0.6  # s to establish a connection: over twice the slowest round trip between regions
 RECONNECT_DELAY = 0.05  # s until the first reconnection; doubled each time up to the next value
 MAX_RECONNECT_DELAY = 0.8  # s: a machine that has come back is connected within 1 s
@@ -46,9 +44,9 @@
 class Link:
     """One connection to another process. `peer` is empty until its hello has come."""
 
-    def __init__(self, sock: Any, shell: Shell, place: Address | None = None) -> None:
-        """`place`: the address that was connected to; None if the peer connected."""
-        self.place = place
+    def __init__(self, sock: Any, shell: Shell, address: Address | None = None) -> None:
+        """`address`: the address that was connected to; None if the peer connected."""
+        self.address = address
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         # a machine without power does not answer, and the kernel's own time-out is minutes
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(SILENCE_TIMEOUT * 1000))
@@ -59,11 +57,11 @@
         self.has_output = Event()
         self.last_received = time.monotonic()
 
-    def send(self, kind: str, word: Any) -> None:
+    def send(self, kind: str, message: Any) -> None:
         """Queues a message without blocking. The link is closed if its peer does not read."""
         if self.closed:
             return
-        data = Envelope(**{kind: word}).SerializeToString()
+        data = Envelope(**{kind: message}).SerializeToString()
         self.output.append(_HEAD.pack(len(data)) + data)
         self.queued_bytes += len(data)
         if self.peer.zone != self.role.zone:
@@ -125,22 +123,22 @@
             return
         if kind is None:
             return  # a message kind of a later version is ignored
-        word = getattr(envelope, kind)
+        message = getattr(envelope, kind)
         self.unsettled += kind != "pulse"
         if kind == "hello":
-            before, self.peer = self.peer, word
+            before, self.peer = self.peer, message
             if not before.node:
                 self.shell.close_older(self)
                 self.shell.guarded(self.role.add_link, self)
         elif self.peer.node:
-            self.shell.guarded(self.role.receive, self, kind, word)
+            self.shell.guarded(self.role.receive, self, kind, message)
 
     def is_older(self, newer: Link) -> bool:
         """Whether the same process has connected again: it has abandoned this link, and unread messages on it
         were sent before all messages on the newer one.
         """
         one, other = self.peer, newer.peer
-        accepted_here = self.place is None and newer.place is None
+        accepted_here = self.address is None and newer.address is None
         return self is not newer and accepted_here and (one.node, one.life) == (other.node, other.life)
 
     def close(self) -> None:
@@ -148,7 +146,7 @@
             self.closed = True
             self.has_output.set()
             self.sock.close()
-            self.shell.all.pop(self, None)
+            self.shell.links.pop(self, None)
             self.shell.guarded(self.role.remove_link, self)
 
 
@@ -165,7 +163,7 @@
     """Signals and settings that the platform gives to a process."""
 
     stop: Event  # the process is to shut down
-    again: Event  # the settings are to be read again
+    reload: Event  # the settings are to be read again
     path: str  # of the settings file
     metrics: Metrics | None = None
     seen: tuple[int, int] = (0, 0)  # the file's stamp before it was read, to detect later changes
@@ -178,7 +176,7 @@
 
     def __init__(self, role: RoleBase, process: Process) -> None:
         self.role, self.process, self.stop = role, process, process.stop
-        self.all: dict[Link, None] = {}
+        self.links: dict[Link, None] = {}
         self.connecting: dict[Address, Any] = {}
         self.wake = Event()  # something is due before `wake_at`
         self.wake_at = 0.0
@@ -224,17 +222,17 @@
 
     # ---- links
 
-    def connect(self, place: Address) -> None:
+    def connect(self, address: Address) -> None:
         """Maintains a link to that address. Runs in a greenlet of its own."""
         pause = RECONNECT_DELAY
-        while not self.ending and place in self.role.wanted:
+        while not self.ending and address in self.role.wanted:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             began = time.monotonic()
             try:
                 sock.settimeout(CONNECT_TIMEOUT)
-                sock.connect(place)
+                sock.connect(address)
                 sock.settimeout(None)
-                self.run(Link(sock, self, place))
+                self.run(Link(sock, self, address))
             except OSError:
                 pass
             finally:
@@ -243,10 +241,10 @@
                 pause = RECONNECT_DELAY
             gevent.sleep(pause)
             pause = min(2.0 * pause, MAX_RECONNECT_DELAY)
-        self.connecting.pop(place, None)
+        self.connecting.pop(address, None)
 
     def run(self, link: Link) -> None:
-        self.all[link] = None
+        self.links[link] = None
         link.send("hello", self.role.hello())
         gevent.spawn(link.write)
         link.read()
@@ -255,13 +253,13 @@
         """Closes links that the peer of `newer` has abandoned: messages of one process are read in order, and
         none of an abandoned link may be read after those of the next one.
         """
-        for link in [link for link in self.all if link.is_older(newer)]:
+        for link in [link for link in self.links if link.is_older(newer)]:
             link.close()
 
     def listen(self) -> None:
         """Accepts links. Runs in a greenlet of its own."""
-        place = self.role.settings.binds.get("links", (self.role.ip, self.role.port))
-        listener = listening(place, 256)
+        address = self.role.settings.binds.get("links", (self.role.ip, self.role.port))
+        listener = listening(address, 256)
         while True:
             sock, _ = listener.accept()
             gevent.spawn(self.run, Link(sock, self))
@@ -272,8 +270,8 @@
         while True:
             now, turn = time.monotonic(), (turn + 1) % SLOW_FACTOR
             self.role.clock(now)
-            for number, link in enumerate(list(self.all)):
-                wanted = link.place is None or link.place in self.role.wanted
+            for number, link in enumerate(list(self.links)):
+                wanted = link.address is None or link.address in self.role.wanted
                 if now - link.last_received > SILENCE_TIMEOUT or not wanted:
                     link.close()
                 elif number % SLOW_FACTOR == turn or not self.role.needs_few_heartbeats(link):
@@ -289,12 +287,12 @@
 
     # ---- settings
 
-    def reread(self) -> None:
+    def reload_settings(self) -> None:
         """Reads the settings again on a signal or when their file changes. Runs in a greenlet of its own."""
         seen = self.process.seen
         while True:
-            signalled = self.process.again.wait(SETTINGS_INTERVAL)
-            self.process.again.clear()
+            signalled = self.process.reload.wait(SETTINGS_INTERVAL)
+            self.process.reload.clear()
             found = file_stamp(self.process.path)
             if not signalled and found == seen:
                 continue
@@ -322,7 +320,7 @@
             self.send_heartbeats,
             self.log_figures,
             self.run_ticks,
-            self.reread,
+            self.reload_settings,
             operators.accept,
         ):
             self.keep_running(work)
--- a/opalwick/post/station.py
+++ b/opalwick/post/station.py
@@ -23,7 +23,7 @@
     peer: Hello
     last_received: float
 
-    def send(self, kind: str, word: Any) -> None:
+    def send(self, kind: str, message: Any) -> None:
         """Queues a message of that kind; never blocks."""
 
 
@@ -88,12 +88,12 @@
         pulse.at, pulse.echo = self.now, self.echoes.get((link.peer.node, link.peer.life), 0.0)
         return pulse
 
-    def receive(self, link: Link, kind: str, word: Any) -> None:
+    def receive(self, link: Link, kind: str, message: Any) -> None:
         """Handles a received message; called by the shell."""
         if kind == "pulse":
             process = link.peer.node, link.peer.life
-            self.echoes[process] = max(self.echoes.get(process, 0.0), word.at)
-        self.handle(link, kind, word)
+            self.echoes[process] = max(self.echoes.get(process, 0.0), message.at)
+        self.handle(link, kind, message)
 
     def remove_link(self, link: Link) -> None:
         """A link is closed."""
@@ -109,10 +109,10 @@
 
     def on_link_down(self, link: Link) -> None: ...
 
-    def handle(self, link: Link, kind: str, word: Any) -> None:
+    def handle(self, link: Link, kind: str, message: Any) -> None:
         """Hook: a message was received."""
         if kind == "news" and link.peer.role == "office":
-            fresh = self.directory.merge(word)
+            fresh = self.directory.merge(message)
             if not is_empty(fresh):
                 for node in fresh.nodes:
                     if node.gone:
@@ -147,11 +147,11 @@
             return None
         return open_links[0] if len(open_links) == 1 else max(open_links, key=lambda link: link.last_received)
 
-    def send(self, node: str, kind: str, word: Any) -> bool:
+    def send(self, node: str, kind: str, message: Any) -> bool:
         """Sends a message to a node. Returns whether there was a link to send it on."""
         link = self.link(node)
         if link is not None:
-            link.send(kind, word)
+            link.send(kind, message)
         return link is not None
 
     def links_to(self, role: str) -> list[Link]:
