--- a/opalwick/lab/post/net.py
+++ b/opalwick/lab/post/net.py
@@ -16,7 +16,7 @@
 from opalwick.lab.draws import Draws
 from opalwick.lab.post.day import PostDay
 from opalwick.post import wire_pb2
-from opalwick.post.link import SILENCE_TIMEOUT
+from opalwick.post.link import SILENT
 from opalwick.post.wire_pb2 import Envelope, Hello
 
 if TYPE_CHECKING:
@@ -166,7 +166,7 @@
         if not self.held:
             self.held_at = self.net.agenda.now
             self.net.when_open(self.near, self.far, self.release)
-            self.net.agenda.after(SILENCE_TIMEOUT, self.timeout, self.held_at)
+            self.net.agenda.after(SILENT, self.timeout, self.held_at)
         self.held.append(batch)
 
     def release(self) -> None:
--- a/opalwick/lab/post/process.py
+++ b/opalwick/lab/post/process.py
@@ -19,8 +19,8 @@
     CONNECT_TIMEOUT,
     RECONNECT_DELAY,
     MAX_RECONNECT_DELAY,
-    HEARTBEAT_INTERVAL,
-    SILENCE_TIMEOUT,
+    PULSE,
+    SILENT,
     SLOW_FACTOR,
     TICK_INTERVAL,
 )
@@ -224,7 +224,7 @@
         return self.machine.ahead + self.agenda.now
 
     def begin(self) -> None:
-        self.agenda.after(HEARTBEAT_INTERVAL * self.machine.draw.random(), self.event, self.keep_pulse)
+        self.agenda.after(PULSE * self.machine.draw.random(), self.event, self.keep_pulse)
         self.event(self.time_passes)
 
     # ---- what reaches it
@@ -311,11 +311,11 @@
     def keep_pulse(self) -> None:
         now, self.turns = self.now(), (self.turns + 1) % SLOW_FACTOR
         for number, end in enumerate(list(self.all)):
-            if now - end.last_received > SILENCE_TIMEOUT:
+            if now - end.last_received > SILENT:
                 end.close()
             elif number % SLOW_FACTOR == self.turns or not self.role.needs_few_heartbeats(end):
                 end.send("pulse", self.role.heartbeat(end))
-        self.after(HEARTBEAT_INTERVAL + 0.002 * self.machine.draw.random(), self.keep_pulse)
+        self.after(PULSE + 0.002 * self.machine.draw.random(), self.keep_pulse)
 
     # ---- links
 
--- a/opalwick/post/counter/intake.py
+++ b/opalwick/post/counter/intake.py
@@ -16,11 +16,11 @@
 from opalwick.post.wire_pb2 import Holders, Keep, Letter, Refuse
 
 # s until one more store is asked: half of the shortest latency target, several disk syncs and round trips
-HEDGE_DELAY = 0.04
-ACCEPT_TIMEOUT = 0.4  # s until a client gets 504: within the shortest client deadline of 0.5 s
+HEDGE = 0.04
+GIVE_UP = 0.4  # s until a client gets 504: within the shortest client deadline of 0.5 s
 # s that late stores are still sent the list of replicas: longer than any peer message is in transit
 ANSWERED_RETENTION = 30.0
-# s that a store has waited for its disk after which it is used last: half of HEDGE_DELAY
+# s that a store has waited for its disk after which it is used last: half of HEDGE
 SLOW_DISK_DELAY = 0.02
 HEARTBEAT_TIMEOUT = 0.8  # s without a heartbeat after which a store is skipped: three heartbeat intervals
 
@@ -176,7 +176,7 @@
         entry = self.pending[letter.mid] = PendingMessage(call, letter, parked, self.now)
         for store in ranked:
             self.send_keep(entry, store.node)
-        heapq.heappush(self.timers, (self.now + HEDGE_DELAY, letter.mid))
+        heapq.heappush(self.timers, (self.now + HEDGE, letter.mid))
 
     def send_keep(self, entry: PendingMessage, node: str) -> None:
         entry.requested.append(node)
@@ -281,7 +281,7 @@
             entry = self.pending.get(mid)
             if entry is None:
                 continue
-            deadline = entry.since + ACCEPT_TIMEOUT
+            deadline = entry.since + GIVE_UP
             if self.now >= deadline:
                 self.give_up(entry)
                 continue
@@ -292,6 +292,6 @@
                 entry.hedged = True
                 self.figures["hedged"] += 1
                 self.send_keep(entry, other)
-            heapq.heappush(self.timers, (min(self.now + HEDGE_DELAY, deadline), mid))
+            heapq.heappush(self.timers, (min(self.now + HEDGE, deadline), mid))
         while self.answered and self.now - next(iter(self.answered.values()))[0] > ANSWERED_RETENTION:
             del self.answered[next(iter(self.answered))]
--- a/opalwick/post/link.py
+++ b/opalwick/post/link.py
@@ -26,16 +26,16 @@
 from opalwick.transport.connection import Address, listening
 
 # s between heartbeats: four within the 1 s after which roles no longer rely on a silent link
-HEARTBEAT_INTERVAL = 0.25
-SLOW_FACTOR = 3  # one of so many heartbeats is sent on links for which only SILENCE_TIMEOUT matters
+PULSE = 0.25
+SLOW_FACTOR = 3  # one of so many heartbeats is sent on links for which only SILENT matters
 # s without a message until a link is closed: below the shortest `contact_ms` of a deployment
-SILENCE_TIMEOUT = 3.0
+SILENT = 3.0
 CONNECT_TIMEOUT = 0.6  # s to establish a connection: over twice the slowest round trip between regions
 RECONNECT_DELAY = 0.05  # s until the first reconnection; doubled each time up to the next value
 MAX_RECONNECT_DELAY = 0.8  # s: a machine that has come back is connected within 1 s
 TICK_INTERVAL = 0.05  # s between ticks when nothing is due sooner
 SETTINGS_INTERVAL = 5.0  # s between checks of the settings file: short enough for operators to wait for
-FIGURES_INTERVAL = 10.0  # s between log events with figures
+FIGURES = 10.0  # s between log events with figures
 MAX_QUEUED = 16 << 20  # bytes queued on a link: some seconds of a machine's total traffic
 MAX_MESSAGE_SIZE = 8 << 20  # bytes of one message: well above the largest body
 _HEAD = struct.Struct("!I")
@@ -49,7 +49,7 @@
         self.address = address
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         # a machine without power does not answer, and the kernel's own time-out is minutes
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(SILENCE_TIMEOUT * 1000))
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(SILENT * 1000))
         self.sock, self.shell, self.role = sock, shell, shell.role
         self.peer = Hello()
         self.closed, self.queued_bytes, self.unsettled = False, 0, 0
@@ -272,16 +272,16 @@
             self.role.clock(now)
             for number, link in enumerate(list(self.links)):
                 wanted = link.address is None or link.address in self.role.wanted
-                if now - link.last_received > SILENCE_TIMEOUT or not wanted:
+                if now - link.last_received > SILENT or not wanted:
                     link.close()
                 elif number % SLOW_FACTOR == turn or not self.role.needs_few_heartbeats(link):
                     link.send("pulse", self.role.heartbeat(link))
-            gevent.sleep(HEARTBEAT_INTERVAL)
+            gevent.sleep(PULSE)
 
     def log_figures(self) -> None:
         """Runs in a greenlet of its own."""
         while True:
-            gevent.sleep(FIGURES_INTERVAL)
+            gevent.sleep(FIGURES)
             crossed = {f"crossed_{kind}": size for kind, size in self.role.cross_zone_bytes.items()}
             events.emit(903, **self.role.figures(), **crossed)
 
--- a/tests/test_post_intake.py
+++ b/tests/test_post_intake.py
@@ -7,7 +7,7 @@
 import pytest
 from post_helper import Player
 
-from opalwick.post.counter.intake import ACCEPT_TIMEOUT, SLOW_DISK_DELAY, Intake
+from opalwick.post.counter.intake import GIVE_UP, SLOW_DISK_DELAY, Intake
 from opalwick.post.wire_pb2 import Letter
 
 ZONES = {"d1": "n", "d2": "s", "d3": "w", "d4": "n", "d5": "s"}
@@ -88,7 +88,7 @@
 
 
 def test_one_more_depot_after_a_while_and_holders_as_they_are(snapshot) -> None:
-    """One more store is asked after each HEDGE_DELAY. 504 is final, even if stores confirm later. Stores that
+    """One more store is asked after each HEDGE. 504 is final, even if stores confirm later. Stores that
     are not replicas are sent the list of replicas at once: one with a slow disk would otherwise assign the
     message if it is due before the disk has caught up.
     """
@@ -141,11 +141,11 @@
 
 def test_a_timer_at_the_moment_of_the_time_out_terminates() -> None:
     """Rounding of the clock must not make the timer repeat without end at the moment of the time-out."""
-    start = next(n / 10 for n in range(1, 99) if n / 10 + ACCEPT_TIMEOUT - n / 10 < ACCEPT_TIMEOUT)
+    start = next(n / 10 for n in range(1, 99) if n / 10 + GIVE_UP - n / 10 < GIVE_UP)
     c, calls, ranked = Clients(), iter(range(99)), Intake.ranked
     c.i.ranked = lambda mid, _="": ranked(c.i, mid) if next(calls) < 98 else pytest.fail("endless loop")
     c.play(f"{start} call1 sends m1")
-    c.i.clock(start + ACCEPT_TIMEOUT)
+    c.i.clock(start + GIVE_UP)
     c.i.tick()
 
 
