--- a/tests/test_post_home.py
+++ b/tests/test_post_home.py
@@ -282,7 +282,7 @@
         (process(Counter, "b"), Told(state=1, body=b"x", home="jo")),
         (process(Counter), Told(state=1, abroad=True)),
     ):
-        counter.lookups.show(Lookup(call, "m", ParsedName("m", ()), True, [], True), told)
+        counter.lookups.answer(Lookup(call, "m", ParsedName("m", ()), True, [], True), told)
     assert answers == [200, 421, 421]
 
 
