--- a/opalwick/post/counter/status.py
+++ b/opalwick/post/counter/status.py
@@ -178,7 +178,7 @@
         return f"it waits for a free worker in {item.letter.home}, with {others} others"
     if item.queued:
         holder = role.ceilings.holders.get(item.svc, "")
-        return f"it waits for a permit of the rate limit of {item.svc}, held by {holder or 'unknown gateway'}"
+        return f"waits for a permit of the rate limit of {item.svc}, held by {holder or 'an unknown gateway'}"
     if item.dated:
         at = next((at for at, _, other in rounds.due if other is item), now)
         tried = f"after {item.fails} failed, {item.lost} unknown, {item.turned} rejected attempts in a row"
--- a/opalwick/post/names.py
+++ b/opalwick/post/names.py
@@ -60,9 +60,9 @@
     return base36(zlib.crc32(node.encode()))
 
 
-def process_id(node: str, life: int) -> str:
+def process_id(node: str, incarnation: int) -> str:
     """Identifies one process incarnation of a node."""
-    return f"{node}/{life}"
+    return f"{node}/{incarnation}"
 
 
 def hint(node: str) -> str:
@@ -87,9 +87,9 @@
 class NameGenerator:
     """Generates the names that one process gives to messages."""
 
-    def __init__(self, node: str, life: int, random_bytes: RandomBytes) -> None:
-        """`life`: the process's start time in ms. `random_bytes`: like `os.urandom`."""
-        self.prefix = f"{node_tag(node)}.{base36(life)}."
+    def __init__(self, node: str, incarnation: int, random_bytes: RandomBytes) -> None:
+        """`incarnation`: the process's start time in ms. `random_bytes`: like `os.urandom`."""
+        self.prefix = f"{node_tag(node)}.{base36(incarnation)}."
         self.random_bytes = random_bytes
         self.drawn = b""
 
--- a/tests/test_post_commands.py
+++ b/tests/test_post_commands.py
@@ -338,7 +338,7 @@
         "configuration 9, under which it was accepted, has not been received yet",
         "none of its stores (d1) has recently acknowledged this gateway's heartbeats",
         "d1 must first confirm that this gateway still owns it",
-        "it waits for a permit of the rate limit of s1, held by unknown gateway",
+        "waits for a permit of the rate limit of s1, held by an unknown gateway",
     ]
 
 
