--- a/opalwick/lab/post/sockets/doors.py
+++ b/opalwick/lab/post/sockets/doors.py
@@ -69,7 +69,7 @@
             fields=[Field(name=name, value=value) for name, value in fields.items()],
         )
         order = SimpleNamespace(
-            item=SimpleNamespace(letter=letter),
+            item=SimpleNamespace(message=letter),
             place=(*worker.place, fields.get(b"x-want-worker", b"").decode("latin-1")),
             within=float(fields.get(b"x-deadline-ms", b"1000")) / 1000.0,
         )
--- a/tests/test_post_safety.py
+++ b/tests/test_post_safety.py
@@ -385,7 +385,7 @@
         leave=lambda: None,
         gone=True,
         closing=True,
-        rounds=SimpleNamespace(held=lambda: 0, ending={}),
+        rounds=SimpleNamespace(held=lambda: 0, unconfirmed_ends={}),
     )
     there.limits = there.pulse = there.pool = None
     there.stop = SimpleNamespace(wait=lambda: None)
