--- a/opalwick/lab/verify/copying.py
+++ b/opalwick/lab/verify/copying.py
@@ -21,10 +21,10 @@
 VALUES = {int, str, bytes, bool, type(None)}
 
 # bookkeeping that decides nothing; and what is not a time though it is a float
-OUT = {"figures", "counts", "events", "crossed"}
+OUT = {"figures", "counts", "events", "cross_zone_bytes"}
 NO_TIME = {"rate", "tokens", "room", "state_s"}
 # order of these decides: the first of several that are equal is taken
-ORDERED = {"votes", "counters", "gateways", "peers", "over"}
+ORDERED = {"votes", "counters", "gateways", "peers", "answered"}
 
 
 @cache
--- a/opalwick/post/depot/role.py
+++ b/opalwick/post/depot/role.py
@@ -254,7 +254,7 @@
                     answer.abroad = True
             elif answer.state in WITH_BODY:
                 answer.state = MessageState.UNSURE
-            link.say("told", answer)
+            link.send("told", answer)
 
     # ---- time
 
--- a/tests/post_cluster.py
+++ b/tests/post_cluster.py
@@ -25,7 +25,7 @@
 )
 CONF = Conf(gen=1, body_bytes=99, routes=[ROUTE], services=[Service(name="s", max_conns=50)])
 # a link to one that brings news and hears nothing
-OFFICE = SimpleNamespace(peer=SimpleNamespace(role="office", node="o1"), say=lambda kind, word: None)
+OFFICE = SimpleNamespace(peer=SimpleNamespace(role="office", node="o1"), send=lambda kind, word: None)
 WORKER = Worker(id="w1", svc="s", host="10.9.0.1", port=80, zone="a", capacity=20)
 
 
@@ -57,9 +57,9 @@
 
     def __init__(self, cluster: Cluster, near: str, far: str) -> None:
         self.cluster, self.near, self.far = cluster, near, far
-        self.peer, self.heard_at = cluster.roles[far].hello(), 0.0
+        self.peer, self.last_received = cluster.roles[far].hello(), 0.0
 
-    def say(self, kind: str, word: Any) -> None:
+    def send(self, kind: str, word: Any) -> None:
         if (self.near, self.far) in self.cluster.ends:
             data = Envelope(**{kind: word}).SerializeToString()
             self.cluster.waiting[self.near, self.far].append(data)
@@ -100,7 +100,7 @@
         )
         for role in self.roles.values():
             if role.role == "counter":
-                role.heard(OFFICE, "news", news)
+                role.handle(OFFICE, "news", news)
 
     def join(self, node: str, role: Any) -> None:
         role.clock(self.now)
@@ -114,7 +114,7 @@
             self.ends[near, far] = End(self, near, far)
         for near, far in ((one, other), (other, one)):
             self.roles[near].clock(self.now)
-            self.roles[near].joined(self.ends[near, far])
+            self.roles[near].add_link(self.ends[near, far])
             self.settle(near)
 
     def part(self, one: str, other: str) -> None:
@@ -124,7 +124,7 @@
                 self.waiting.pop((near, far), None)
                 if near in self.roles:
                     self.roles[near].clock(self.now)
-                    self.roles[near].parted(end)
+                    self.roles[near].remove_link(end)
                     self.settle(near)
 
     def end(self, node: str) -> None:
@@ -177,9 +177,9 @@
     def holders(self, mid: str) -> tuple[str, ...]:
         """The depots that keep it, the one that acts first."""
         found = {
-            role.keeping.entries[mid].holders
+            role.store.entries[mid].replicas
             for role in self.roles.values()
-            if role.role == "depot" and mid in role.keeping.entries
+            if role.role == "depot" and mid in role.store.entries
         }
         assert len(found) == 1
         return tuple(found.pop())
@@ -196,21 +196,21 @@
     def hear(self, node: str, end: End | None, words: list[bytes]) -> None:
         if end is None:
             return
-        role, end.heard_at = self.roles[node], self.now
+        role, end.last_received = self.roles[node], self.now
         role.clock(self.now)
         pulses = 0
         for data in words:
             said = Envelope.FromString(data)
             kind = str(said.WhichOneof("what"))
             pulses += kind == "pulse"
-            role.hear(end, kind, getattr(said, kind))
+            role.receive(end, kind, getattr(said, kind))
         if pulses < len(words):  # what follows from pulses alone waits for the next tick
             self.settle(node)
 
     def pulses(self) -> None:
         for (near, _), end in list(self.ends.items()):
             self.roles[near].clock(self.now)
-            end.say("pulse", self.roles[near].beat(end))
+            end.send("pulse", self.roles[near].heartbeat(end))
 
     def run(self, seconds: float) -> None:
         """Time passes, and all that is said is read."""
--- a/tests/test_lab_post_mutants.py
+++ b/tests/test_lab_post_mutants.py
@@ -148,7 +148,7 @@
 
 @mutant('rate = 20.0\nlength = "3 s"', "AGAIN", "TWICE", "RECOVER")
 def assigned_without_a_lapse(patch: pytest.MonkeyPatch) -> None:
-    for name, span in (("LAPSE", 0.1), ("DEAF", 0.0), ("ASKED", 0.0)):
+    for name, span in (("LAPSE", 0.1), ("QUERY_AFTER", 0.0), ("QUERY_FOR", 0.0)):
         patch.setattr(keeping, name, span)
 
 
--- a/tests/test_post_home.py
+++ b/tests/test_post_home.py
@@ -252,9 +252,9 @@
 
 class Link:
     def __init__(self, **peer: Any) -> None:
-        self.peer, self.said, self.heard_at = Hello(**peer), list[tuple[str, Any]](), 0.0
+        self.peer, self.said, self.last_received = Hello(**peer), list[tuple[str, Any]](), 0.0
 
-    def say(self, kind: str, word: Any) -> None:
+    def send(self, kind: str, word: Any) -> None:
         self.said.append((kind, word))
 
     def got(self, kind: str) -> list[Any]:
@@ -273,8 +273,8 @@
         ({"home": "cl", "home_gen": 9}, True),
     ):
         role, link = process(StoreRole), Link(node="c1", role="counter", zone="a", life=1)
-        role.joined(link)
-        role.heard(link, "keep", Keep(letter=letter(**stamp)))
+        role.add_link(link)
+        role.handle(link, "keep", Keep(letter=letter(**stamp)))
         assert [word.refused for word in link.got("kept")] == [True] * refused
         assert ("m1" in role.store.entries) is not refused
 
@@ -283,12 +283,12 @@
     """Checked by the store, and again by the gateway."""
     for zone, abroad in (("a", False), ("b", True)):
         role, link = process(StoreRole), Link(node="c1", role="counter", zone=zone, life=1)
-        role.joined(link)
-        role.heard(link, "keep", Keep(letter=letter(home="jo", home_gen=2, body=b"octets")))
+        role.add_link(link)
+        role.handle(link, "keep", Keep(letter=letter(home="jo", home_gen=2, body=b"octets")))
         role.settle()
         writes, _ = role.batch()
         role.synced(writes, [], [])
-        role.heard(link, "ask", Ask(mid="m1", body=True, call=5))
+        role.handle(link, "ask", Ask(mid="m1", body=True, call=5))
         _, fetches = role.batch()
         role.synced([], fetches, [letter(home="jo", home_gen=2, body=b"octets").SerializeToString()])
         [answer] = link.got("told")
@@ -300,7 +300,7 @@
         (process(Gateway, "b"), Told(state=1, body=b"x", home="jo")),
         (process(Gateway), Told(state=1, abroad=True)),
     ):
-        counter.lookups.show(Lookup(call, "m", ParsedName("m", ()), True, [], True), answer)
+        counter.lookups.answer(Lookup(call, "m", ParsedName("m", ()), True, [], True), answer)
     assert answers == [200, 421, 421]
 
 
--- a/tests/test_post_roles.py
+++ b/tests/test_post_roles.py
@@ -29,10 +29,10 @@
     """A link that records what was sent on it."""
 
     def __init__(self, role: str, node: str = "c1") -> None:
-        self.peer, self.heard_at = Hello(node=node, role=role, zone="a", ip="10.0.0.2", life=1), 0.0
+        self.peer, self.last_received = Hello(node=node, role=role, zone="a", ip="10.0.0.2", life=1), 0.0
         self.said: list[tuple[str, Any]] = []
 
-    def say(self, kind: str, payload: Any) -> None:
+    def send(self, kind: str, payload: Any) -> None:
         self.said.append((kind, payload))
 
 
@@ -157,7 +157,7 @@
     links = [Spy("depot", f"d{n}") for n in (1, 2, 3, 4)]
     for link in links:
         controller.add_link(link)
-        link.heard_at = controller.now
+        link.last_received = controller.now
     for _ in range(2):
         controller.retire("d2", lambda status, body: answers.append(status))
     assert settled() == [200, 200] and list(Conf.FromString(controller.views.in_force).retiring) == ["d2"]
--- a/tests/test_post_safety.py
+++ b/tests/test_post_safety.py
@@ -152,8 +152,8 @@
     one, _ = link_controllers(controller, 2, 3)
     controller.add_link(gateway)
     steps: list[str] = []
-    gateway.say = lambda kind, word: steps.append(f"gateway {kind}")  # type: ignore[method-assign]
-    one.say = lambda kind, word: steps.append(f"o2 {kind}")  # type: ignore[method-assign]
+    gateway.send = lambda kind, word: steps.append(f"gateway {kind}")  # type: ignore[method-assign]
+    one.send = lambda kind, word: steps.append(f"o2 {kind}")  # type: ignore[method-assign]
     worker = {"id": "w1", "svc": "s", "draining": True, "calls": 2}
     from opalwick.post.wire_pb2 import Spread, Worker
 
@@ -184,7 +184,7 @@
     while controller.now < until:
         controller.clock(round(controller.now + 0.05, 3))
         for link in links:
-            link.heard_at = controller.now
+            link.last_received = controller.now
         controller.tick()
         controller.settle()
         while saves := controller.batch():
@@ -389,8 +389,8 @@
     )
     there.limits = there.pulse = there.pool = None
     there.stop = SimpleNamespace(wait=lambda: None)
-    monkeypatch.setattr(shell, "forever", lambda work: Accepting())
-    monkeypatch.setattr(shell, "begin", lambda: None)
+    monkeypatch.setattr(shell, "keep_running", lambda work: Accepting())
+    monkeypatch.setattr(shell, "start_greenlets", lambda: None)
     monkeypatch.setattr(shell, "finish", finish)
     shell.serve()
     assert steps == ["looked", *["no more are accepted"] * 2, *["waits"] * 3, "looked", "waits"]
--- a/tests/test_post_twice.py
+++ b/tests/test_post_twice.py
@@ -42,7 +42,7 @@
     cluster.run(0.1)
     first, second = cluster.holders(mid)
     for node in ("c1", "c3"):  # the two choose different counters
-        cluster.roles[second].keeping.counters[node].given = 19
+        cluster.roles[second].store.gateways[node].assigned = 19
     cluster.part(first, second)
     started = list(cluster.began[mid])
     if not moved:
@@ -124,22 +124,22 @@
     mid = cluster.accepted("c1")
     cluster.run(0.1)
     first, _ = cluster.holders(mid)
-    storage = cluster.roles[first].keeping
+    storage = cluster.roles[first].store
     target = next(node for node in ("d1", "d2", "d3") if node not in cluster.holders(mid))
-    storage.moving.on_way[mid] = Transfer(target, cluster.now, (first, target))
+    storage.rebalancing.transfers[mid] = Transfer(target, cluster.now, (first, target))
     storage.fetch(mid, ("move", target, (first, target)))
     cluster.settle(first)
     cluster.answer(mid)
     cluster.read()
-    assert mid in cluster.roles[target].keeping.ends
+    assert mid in cluster.roles[target].store.ends
 
 
 def test_messages_from_an_earlier_incarnation_of_a_gateway_are_no_claim_of_the_later_one() -> None:
     cluster = Cluster(counters=2, depots=2)
     store, earlier = cluster.roles["d1"], cluster.ends["d1", "c1"]
     later = Hello(node="c1", role="counter", zone="b", life=earlier.peer.life + 1)
-    store.joined(SimpleNamespace(peer=later, heard_at=cluster.now, say=lambda kind, word: None))
-    store.heard(earlier, "keep", Keep(letter=Letter(mid="m", holders=["d1", "d2"], due=9.0, until=90.0)))
-    assert store.keeping.entries["m"].owner == ""
-    store.heard(earlier, "mine", Mine(mids=["m"], claims=[7]))
-    assert store.keeping.entries["m"].owner == ""
+    store.add_link(SimpleNamespace(peer=later, last_received=cluster.now, send=lambda kind, word: None))
+    store.handle(earlier, "keep", Keep(letter=Letter(mid="m", holders=["d1", "d2"], due=9.0, until=90.0)))
+    assert store.store.entries["m"].owner == ""
+    store.handle(earlier, "mine", Mine(mids=["m"], claims=[7]))
+    assert store.store.entries["m"].owner == ""
