--- a/opalwick/program/__init__.py
+++ b/opalwick/program/__init__.py
@@ -1,1 +1,1 @@
-"""The command line, the configuration and the running scheduler."""
+"""Configuration and the running scheduler process."""
--- a/opalwick/program/configuration.py
+++ b/opalwick/program/configuration.py
@@ -1,4 +1,4 @@
-"""The one place where the configuration is read, checked and given defaults."""
+"""Reads and validates the configuration file and applies defaults."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class BadConfiguration(Exception):
-    """Names the faulty key."""
+    """The configuration is invalid; the message names the key."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,22 +26,22 @@
     name: str
     listen: Address
     discovery: Address
-    inherited: int | None  # the descriptor of the clients' listener, where the platform holds it
-    directory: str  # where a process that follows finds this one; empty: nowhere
+    inherited: int | None  # descriptor of the client listener, if the platform opened it
+    directory: str  # of the handover socket, where a successor process finds this one; empty: none
     operator: Address | None
     peer_listen: Address | None
     peers: list[Address]
     seed: int
-    known: dict[str, Any]  # the list of workers as last had
+    known: dict[str, Any]  # the last known list of workers
     terms: SchedulerConfig
     names: Names
     limits: Limits
-    fleet: dict[str, Any] | None  # what its parts were given, checked; none: off
-    records: str  # a file for what it takes to be so of the fleet; empty: none
-    given: dict[str, Any]  # as it was read, but for what is new each time
+    fleet: dict[str, Any] | None  # validated settings of fleet membership; None: off
+    records: str  # file for records of this scheduler's view of the fleet; empty: none
+    given: dict[str, Any]  # as read, without the keys that differ at every start
 
     def changed(self, other: Configuration) -> list[str]:
-        """The paths that differ."""
+        """The sorted paths of the keys that differ."""
         ours, theirs = flat(self.given), flat(other.given)
         return sorted(path for path in ours.keys() | theirs.keys() if ours.get(path) != theirs.get(path))
 
@@ -55,45 +55,50 @@
     return value
 
 
-def _address(text: Any, key: str, least: int = 1) -> Address:
+def _address(text: Any, key: str, minimum: int = 1) -> Address:
     try:
-        return address(text, least)
-    except ValueError as problem:
-        raise BadConfiguration(f"{key} is malformed: {problem}") from None
+        return address(text, minimum)
+    except ValueError as exc:
+        raise BadConfiguration(f"{key} is malformed: {exc}") from None
 
 
-def _number(limits: Mapping[str, Any], key: str, default: float, least: float) -> float:
+def _number(limits: Mapping[str, Any], key: str, default: float, minimum: float) -> float:
     value = limits.get(key, default)
-    if isinstance(value, bool) or not isinstance(value, (int, float)) or not least <= value < 1e9:
-        raise BadConfiguration(f"limits.{key} is malformed: {value!r} is not a number of {least:g} or more")
+    if isinstance(value, bool) or not isinstance(value, (int, float)) or not minimum <= value < 1e9:
+        raise BadConfiguration(f"limits.{key} is malformed: {value!r} is not a number of {minimum:g} or more")
     return value
 
 
-# of `fleet`, in microseconds; the defaults and what they bound stand in `fleet/members.py`
+# keys of `fleet`, in microseconds; for defaults and meaning see `fleet/members.py`
 _FLEET_TIMES = ("every-us", "answer-us", "missed-us", "suspect-us", "digest-us")
 
 
 def _fleet(
     given: Mapping[str, Any], terms: SchedulerConfig, peers: list[Any], peer_listen: Any
 ) -> dict[str, Any] | None:
-    """What `fleet` says, or none where it is off; the keys are named that are unknown or do not fit."""
+    """The validated `fleet` settings, or None if membership is off.
+
+    Raises BadConfiguration for unknown keys and invalid values.
+    """
     fleet = _take(given, "fleet", dict, {})
     for key, value in fleet.items():
         if key not in ("members", "life", *_FLEET_TIMES):
             raise BadConfiguration(f"fleet.{key} is unknown")
         if key == "members":
             if not isinstance(value, bool):
-                raise BadConfiguration(f"fleet.members is malformed: {value!r} is neither true nor false")
+                raise BadConfiguration(f"fleet.members is malformed: {value!r} is not a boolean")
         elif isinstance(value, bool) or not isinstance(value, int) or not 0 < value < 1 << 32:
-            raise BadConfiguration(f"fleet.{key} is malformed: {value!r} is no whole number above nought")
+            raise BadConfiguration(f"fleet.{key} is malformed: {value!r} is not a positive 32-bit integer")
     if not fleet.get("members"):
         return None
     if not terms.may_message_peers:
-        raise BadConfiguration("fleet.members needs settings.ceilings.peers: schedulers may not talk")
+        raise BadConfiguration(
+            "fleet.members needs settings.ceilings.peers: messages between schedulers are off"
+        )
     if not peers or peer_listen is None:
         raise BadConfiguration(f"fleet.members needs {'peer_listen' if peers else 'peers'}")
     if terms.position >= len(peers):
-        raise BadConfiguration(f"fleet.members: peers has no address of its own number, {terms.position}")
+        raise BadConfiguration(f"fleet.members: peers has no address for position {terms.position}")
     from opalwick.fleet.members import Terms as Times
 
     found = Times(**{key[:-3]: fleet[key] * 1e-6 for key in _FLEET_TIMES if key in fleet})
@@ -112,7 +117,10 @@
 
 
 def _inherited(text: str | None) -> int | None:
-    """A listening stream socket that is open in this process."""
+    """The descriptor of a listening stream socket that this process inherited, or None.
+
+    Raises BadConfiguration if the descriptor is not such a socket.
+    """
     if not text:
         return None
     if not text.isascii() or not text.isdigit():
@@ -123,32 +131,32 @@
                 socket.SOL_SOCKET, socket.SO_ACCEPTCONN
             ):
                 raise BadConfiguration(f"BALANCER_FD is malformed: {text} does not listen")
-    except (OSError, OverflowError) as problem:
-        raise BadConfiguration(f"BALANCER_FD is malformed: {text} is no open socket: {problem}") from None
+    except (OSError, OverflowError) as exc:
+        raise BadConfiguration(f"BALANCER_FD is malformed: {text} is no open socket: {exc}") from None
     return int(text)
 
 
 def read(environment: Mapping[str, str], path: str | None = None) -> Configuration:
-    """From the file that is named, else from that of BALANCER_CONFIG.
+    """Reads the file at `path`, by default the one that BALANCER_CONFIG names.
 
-    The name and the addresses may stand in the environment instead.
+    The name and the addresses may be given in the environment instead. Raises BadConfiguration.
     """
     path = path or environment.get("BALANCER_CONFIG")
     if not path:
         raise BadConfiguration("BALANCER_CONFIG is missing")
     try:
         given = json.loads(Path(path).read_text())
-    except OSError as problem:
-        raise BadConfiguration(f"BALANCER_CONFIG cannot be read: {problem}") from None
-    except ValueError as problem:
-        raise BadConfiguration(f"BALANCER_CONFIG is not JSON: {problem}") from None
+    except OSError as exc:
+        raise BadConfiguration(f"BALANCER_CONFIG cannot be read: {exc}") from None
+    except ValueError as exc:
+        raise BadConfiguration(f"BALANCER_CONFIG is not JSON: {exc}") from None
     if not isinstance(given, dict):
         raise BadConfiguration("BALANCER_CONFIG is not an object")
     listen = _address(given.get("listen") or environment.get("BALANCER_LISTEN"), "listen", 0)
     operator = given.get("operator") or environment.get("BALANCER_OPERATOR")
     operator_at = None if operator is None else _address(operator, "operator", 0)
     if operator_at == listen and listen[1]:
-        raise BadConfiguration(f"operator is malformed: {operator!r} is where clients connect")
+        raise BadConfiguration(f"operator is malformed: {operator!r} is also the listen address for clients")
     seed = _take(given, "seed", str, "0")
     try:
         seed_number = int(seed, 16)
@@ -164,7 +172,7 @@
         names = read_names(settings, terms)
         values = Values(settings)
         budgets = within(
-            # what a small machine gives
+            # defaults for a small machine
             int(_number(limits, "sockets", 1024, 1)),
             _number(limits, "memory_mb", 192, 1),
             int(values.number("ceilings.max-open", 20000)),
@@ -173,8 +181,8 @@
             terms.subscribe_within,
             max((c.expiry for c in terms.categories), default=0.0),
         )
-    except BadStart as problem:
-        raise BadConfiguration(f"settings: {problem}") from None
+    except BadStart as exc:
+        raise BadConfiguration(f"settings: {exc}") from None
     return Configuration(
         name=_take(given, "name", str, environment.get("BALANCER_NAME", "opalwick")),
         listen=listen,
--- a/opalwick/program/core.py
+++ b/opalwick/program/core.py
@@ -1,4 +1,4 @@
-"""What every front shares: the reducer with its one timer, the list of workers, words, the signals."""
+"""Base of the front ends: runs the reducer, its timer, discovery, peer messages and shutdown."""
 
 from __future__ import annotations
 
@@ -28,29 +28,29 @@
 from opalwick.transport.pulse import Pulse
 
 
-AGENT = b"\2"  # how words of the fleet's parts begin (`fleet/words.py`), which is not imported while off
+AGENT = b"\2"  # first byte of membership messages; `fleet/words.py` is not imported while membership is off
 
 
 class State(Enum):
-    """Of the process."""
+    """State of the process."""
 
     STARTING = "starting"
     SERVING = "serving"
-    DRAINING = "draining"  # by an operator's hand: clients are sent away, until they are let in again
-    LEAVING = "leaving"  # told to end, or another process serves in its place
+    DRAINING = "draining"  # requested by an operator: clients are rejected until it is undone
+    LEAVING = "leaving"  # shutting down, or another process serves in its place
 
 
 class Core:
-    """A front is a subclass: it feeds `put` with what is asked for, and carries out Send, Close and
+    """Base class of a front end, which passes requests to `put` and performs the effects Send, Close and
     Answer.
     """
 
-    hands_over = False  # whether a front can leave its door to another process
+    hands_over = False  # whether the front end can hand its listener over to a successor process
 
     def __init__(
         self, configuration: Configuration, stop: Event, again: Event, read: Callable[[], Configuration]
     ) -> None:
-        """To end when `stop` is set; to read its configuration, with `read`, each time that `again` is."""
+        """Shuts down when `stop` is set; reloads the configuration, with `read`, whenever `again` is set."""
         self.stop, self.again, self.read = stop, again, read
         c = self.configuration = configuration
         self.limits, self.names = c.limits, c.names
@@ -63,38 +63,40 @@
         self.operators = Operators(c.operator, c.limits, self) if c.operator else None
         self.wake_at, self.rearmed = now, Event()
         self.pulse = Pulse(now)
-        self.agent: Any = None  # of the parts of the fleet that are on
-        self.agent_at = math.inf  # when it wants to be woken
+        self.agent: Any = None  # fleet membership; None: off
+        self.agent_at = math.inf  # when its next timer is due
         if c.fleet is not None:
             from opalwick.fleet.agent import Agent
 
-            # sixteenths of a second of the wall clock: the later of two starts is the later life. Nothing
-            # rests on that clock: one that is behind is told of the life that is known, and takes the next
+            # sixteenths of a second of the wall clock, so that the later of two starts has the higher number.
+            # Correctness doesn't rest on the clock: a process whose clock is behind receives the number that
+            # others hold for it and takes the next one
             life = c.fleet["life"] or int(time.time() * 16.0)
             self.agent = Agent(c.terms.position, len(c.peers), life, now, c.fleet["terms"], c.seed)
             self.agent_at = now
-        self.waking = False  # it stood still, and takes in what lay unread
-        self.put_at, self.gap = now, 0.0  # time of the last input; how long it stood still last
+        self.waking = False  # after a stall: queued input is read, nothing is decided yet
+        self.put_at, self.gap = now, 0.0  # time of the last input; length of the last stall
         self.peers = {place: i for i, place in enumerate(c.peers)}
         self.datagrams: Datagrams | None = None
         path = meeting(c.directory, f"{c.name} {c.listen}") if c.directory and c.inherited is not None else ""
         self.handover = Handover(path if self.hands_over else "", self, self.forever)
-        self.relieved = False  # by a process that follows
+        self.relieved = False  # a successor process serves in place of this one
         self.other_ids: set[Any] = set()  # work items open in the other process
-        self.lent = 0  # descriptors that it holds
+        self.lent = 0  # descriptors that the other process holds
         try:
             version, _, known = rows(c.known, c.names, unix)
-        except ValueError as problem:
-            logger.warning("known: {}; starting from no list", problem)
+        except ValueError as exc:
+            logger.warning("known: {}; starting without a list of workers", exc)
             version, known = 0, []
         self.discovery = Discovery(c.discovery, version, c.names, unix, c.limits, self.listed)
-        self.watched: bool | None = None  # whether the last call to discovery was answered
+        self.watched: bool | None = None  # whether the last request to discovery succeeded; None: none yet
         self.known, self.had_list = known, Event()
         self.place: Address = c.listen  # as bound, once it is
 
-    # ---- reducer and effects; none of this waits, so one input is done before the next
+    # ---- reducer and effects; nothing here blocks, so one input is complete before the next
 
     def put(self, kind: str, *fields: Any) -> None:
+        """Applies an input to the reducer, by its method's name, and performs the effects."""
         now = self.put_at = time.monotonic()
         if self.pulse.late(now):
             self.stood(now)
@@ -104,19 +106,19 @@
                 return
             for effect in self.reducer.reduce(now, kind, *fields):
                 self.perform(effect)
-        except Exception:  # noqa: BLE001 - one work item's trouble must not end the others'
+        except Exception:  # noqa: BLE001 - a failure in one work item must not affect the others
             logger.exception("input {} failed", kind)
-            # the wake that was still to be asked for may be among what is lost
+            # the effects that were lost may include the next timer
             self.perform(Timer(time.monotonic() + 0.1))
 
     def stood(self, now: float) -> None:
-        """It stood still until now: the answers, lists and requests that lie in its sockets are taken in
-        before anything is decided, or a worker whose answer lies unread is taken for silent, and one that
-        drains for ready. What lay there as words tells of a load that is gone.
+        """Detects a stall that ended now. Queued answers, lists and requests are read before any decision:
+        otherwise a worker whose answer is still unread would look unresponsive, and a draining one ready.
+        Queued peer messages are dropped after a long stall, as they report outdated load.
         """
         gap = self.pulse.beat(now)
         if gap > 0.0 and not self.waking:
-            logger.warning("this process stood still for {:.2f} s", gap)
+            logger.warning("the process was stalled for {:.2f} s", gap)
             self.waking, self.gap = True, gap
             if self.agent is not None:
                 self.agent.clock(now)
@@ -126,7 +128,7 @@
             gevent.spawn(self.come_to, now)
 
     def come_to(self, now: float) -> None:
-        """Two turns of the loop find what lies in the sockets; a long list takes some more."""
+        """Decides again once queued input is read: two turns of the event loop, more for a long list."""
         for _ in range(2):
             gevent.sleep(0)
         while self.discovery.unread() and time.monotonic() < now + self.TAKE_IN:
@@ -137,7 +139,7 @@
         self.step()
 
     def step(self) -> None:
-        """What the fleet's parts want done by now."""
+        """Performs what fleet membership has due by now."""
         if self.agent is None or self.relieved:
             return
         self.agent.clock(time.monotonic())
@@ -159,15 +161,15 @@
                         decision.why,
                     )
                     if row := self.agent.record(decision):
-                        told = {"at": time.monotonic(), "what": row[0], "fields": row[1:]}
-                        logger.bind(fleet=told).debug("record")
-        if changed:  # once, however many came or went
+                        entry = {"at": time.monotonic(), "what": row[0], "fields": row[1:]}
+                        logger.bind(fleet=entry).debug("record")
+        if changed:  # once, however many members changed
             self.put("absent", self.agent.absent())
 
-    TAKE_IN = 0.1  # seconds that a list may take to be read; a second of a busy core reads one of thousands
+    TAKE_IN = 0.1  # seconds to read a list of workers; a busy core reads one of thousands in a second
 
     def perform(self, effect: Any) -> None:
-        """What is the same for every front; a front takes its own effects first."""
+        """Performs the effects common to all front ends; a front end handles its own first."""
         match effect:
             case Timer(at):
                 if at < self.wake_at or self.wake_at <= time.monotonic():
@@ -178,7 +180,7 @@
             case Watch():
                 gevent.spawn(self.discovery.watch)
             case Datagram(to, octets):
-                # the one that follows speaks for both: words of two would take each other's place
+                # a successor reports for both processes: messages of two would replace each other at peers
                 if self.datagrams is not None and not self.relieved and to < len(self.configuration.peers):
                     self.datagrams.send(self.configuration.peers[to], octets)
 
@@ -191,7 +193,7 @@
             self.pool.sweep()
 
     def keep_time(self) -> None:
-        """The one timer."""
+        """Runs the timers of the reducer and of fleet membership."""
         while True:
             self.rearmed.clear()
             due = min(self.wake_at, self.agent_at)
@@ -200,8 +202,8 @@
             if time.monotonic() >= self.agent_at and not self.waking:
                 self.agent_at = math.inf
                 self.step()
-            # the event loop's clock may run a little ahead: a wake that came early would be passed over by
-            # the module, and none would follow
+            # the event loop's clock may run slightly ahead: the reducer would ignore a wake that is early,
+            # and would not request another
             if rearmed or time.monotonic() < self.wake_at:
                 continue
             self.wake_at = float("inf")
@@ -214,9 +216,9 @@
         if watched != self.watched:
             self.watched = watched
             if watched:
-                logger.info("the list is watched")
+                logger.info("receiving the list of workers from discovery")
             else:
-                logger.warning("the watch on the list failed; what is held stays in use")
+                logger.warning("discovery did not answer; the last list of workers stays in use")
         self.put("listed", form, found)
 
     def heard(self, sender: Address, octets: bytes) -> None:
@@ -224,7 +226,7 @@
         if self.pulse.late(now):
             self.stood(now)
         if self.relieved or self.waking and self.gap > self.pulse.LONG:
-            return  # it may have lain there for as long
+            return  # the message may have been queued for the whole stall
         if (peer := self.peers.get(sender)) is None:
             return
         if self.agent is not None and octets.startswith(AGENT):
@@ -234,53 +236,56 @@
         else:
             self.put("heard", peer, octets)
 
-    # ---- the state of the process, and what operators ask for
+    # ---- state of the process, operators' requests
 
     def move(self, state: State) -> None:
-        # told to end it leaves for good; relieved it may be needed again
+        # a shutdown is final; a process with a successor may have to serve again
         if state is not self.state and not (self.state is State.LEAVING and self.stop.is_set()):
-            logger.info("{} was {} and is {}", self.configuration.name, self.state.value, state.value)
+            logger.info("{}: changed from {} to {}", self.configuration.name, self.state.value, state.value)
             self.state = state
             self.moved()
             if state is State.SERVING:
                 self.handover.serving()
 
     def moved(self) -> None:
-        """What a front does about a new state."""
+        """Called after a change of state; for front ends to override."""
 
     def ready(self) -> bool:
         """Whether this process serves."""
         return self.state is State.SERVING
 
     def lets_in(self) -> bool:
-        """Whether the scheduler does, by this process or the one that follows."""
+        """Whether the scheduler accepts work, in this process or in its successor."""
         return self.ready() or self.relieved
 
-    def drain(self, on: bool, told: bool = False) -> bool:
-        """Whether that holds now: one that leaves sends clients away, and lets none in again.
+    def drain(self, on: bool, notified: bool = False) -> bool:
+        """Starts or ends draining; returns whether the request holds, as a leaving process stays closed.
 
-        `told`: by the other process, which knows it.
+        `notified`: requested by the other process, which needs no notice.
         """
         if self.state is not State.LEAVING:
             self.move(State.DRAINING if on else State.SERVING)
-        if not told:
+        if not notified:
             self.handover.tell("drain", on=on)
         return on or self.lets_in()
 
-    def worker_out(self, id: str, out: bool, told: bool = False) -> bool:
-        """Leaves a worker out or puts it back; False where there is none with this id."""
+    def worker_out(self, id: str, out: bool, notified: bool = False) -> bool:
+        """Disables or enables a worker; False if none has this id.
+
+        `notified`: requested by the other process, which needs no notice.
+        """
         if id not in self.reducer.workers:
             return False
-        logger.info("worker {} is {} by hand", id, "left out" if out else "put back")
+        logger.info("worker {} was {} by an operator", id, "disabled" if out else "enabled")
         self.put("disabled" if out else "enabled", id)
-        if not told:
+        if not notified:
             self.handover.tell("out", who=id, out=out)
         return True
 
-    # ---- a new version under load: the old and the new process
+    # ---- handover between an old and a new process
 
     def state_of_things(self) -> dict[str, Any]:
-        """For the process that follows: all that it must know before it serves."""
+        """All that a successor process needs before it serves."""
         return {
             "list": listing(self.discovery.version, self.reducer.list_rows(), self.names, self.unix),
             "out": self.reducer.disabled_names(),
@@ -290,7 +295,7 @@
         }
 
     def goings_on(self) -> dict[str, Any]:
-        """For the other process: what it must count with its own."""
+        """What the other process has to add to its own counts."""
         return {
             "ids": self.open_ids(),
             "descriptors": self.descriptors(),
@@ -298,55 +303,57 @@
         }
 
     def descriptor(self) -> int | None:
+        """The descriptor of the peer messages' socket, to pass to a successor."""
         return None if self.datagrams is None else self.datagrams.sock.fileno()
 
-    def take_over(self, told: dict[str, Any]) -> State:
-        """What the process before knows; the state that follows from it."""
+    def take_over(self, state: dict[str, Any]) -> State:
+        """Takes over the old process's state; returns the process state to start in."""
         try:
-            self.discovery.version, _, self.known = rows(told.get("list"), self.names, self.unix)
-        except ValueError as problem:
-            logger.warning("the process before: {}", problem)
+            self.discovery.version, _, self.known = rows(state.get("list"), self.names, self.unix)
+        except ValueError as exc:
+            logger.warning("list of workers from the old process not used: {}", exc)
         self.put("listed", ListForm.CACHED, self.known)
-        self.put("taught", told.get("learned"))
-        for name in names(told, "out"):
+        self.put("taught", state.get("learned"))
+        for name in names(state, "out"):
             self.put("disabled", name)
-        self.heard_from_other("now", told)
-        return State.DRAINING if told.get("draining") is True else State.SERVING
+        self.heard_from_other("now", state)
+        return State.DRAINING if state.get("draining") is True else State.SERVING
 
-    def heard_from_other(self, kind: str, told: dict[str, Any]) -> None:
+    def heard_from_other(self, kind: str, fields: dict[str, Any]) -> None:
         match kind:
             case "now":
-                self.other_ids = {name.encode("latin-1", "replace") for name in names(told, "ids")}
-                self.lent = min(count(told, "descriptors"), self.limits.clients + self.limits.workers)
+                self.other_ids = {name.encode("latin-1", "replace") for name in names(fields, "ids")}
+                self.lent = min(count(fields, "descriptors"), self.limits.clients + self.limits.workers)
                 self.pool.most = self.share(self.limits.workers)
-                self.put("beside", pairs(told, "in_flight"))
+                self.put("beside", pairs(fields, "in_flight"))
             case "out":
-                if isinstance(who := told.get("who"), str):
-                    self.worker_out(who, told.get("out") is True, True)
+                if isinstance(who := fields.get("who"), str):
+                    self.worker_out(who, fields.get("out") is True, True)
             case "drain":
-                self.drain(told.get("on") is True, True)
+                self.drain(fields.get("on") is True, True)
             case "serving":
                 if not self.handover.follows and not self.stop.is_set():
                     self.relieved = True
                     self.move(State.LEAVING)
                     gevent.spawn(self.depart)
             case _:
-                logger.warning("the other process says {!r}, which is passed over", kind[:40])
+                logger.warning("ignored a message of unknown kind {!r} from the other process", kind[:40])
 
     def share(self, most: int) -> int:
-        """Of a limit: while there is another process, both together keep to it."""
+        """This process's share of a limit, as both processes together keep to it during a handover."""
         return max(4, most - self.lent * most // (self.limits.clients + self.limits.workers))
 
     def alone(self) -> None:
+        """The other process has ended."""
         self.other_ids, self.lent, self.pool.most = set(), 0, self.limits.workers
         self.put("beside", {})
         if self.relieved and not self.stop.is_set():
-            logger.warning("the process that follows is gone; this one goes on")
+            logger.warning("the successor process has ended; serving again")
             self.relieved = False
             self.move(State.SERVING)
 
     def depart(self) -> None:
-        """Relieved: it ends once it has finished."""
+        """With a successor in service: shuts down once open work is finished."""
         gevent.sleep(self.limits.stay)
         while self.relieved and not self.finished():
             gevent.sleep(0.02)
@@ -354,15 +361,18 @@
             self.stop.set()
 
     def open_ids(self) -> list[str]:
+        """Ids of open work items."""
         return []
 
     def descriptors(self) -> int:
+        """Descriptors in use for connections."""
         return 0
 
     def finished(self) -> bool:
         return not self.open_items()
 
     def figures(self) -> bytes:
+        """The metrics, as text."""
         counts = {} if self.agent is None else self.agent.counts
         fleet = {f"fleet_{name}": value for name, value in counts.items()}
         return figures.text(
@@ -372,7 +382,7 @@
         )
 
     def fleet(self) -> bytes | None:
-        """The view of the fleet's members, for people; none where the part is off."""
+        """Readable view of the fleet's members; None if membership is off."""
         if self.agent is None:
             return None
         self.agent.clock(time.monotonic())
@@ -381,25 +391,27 @@
     # ---- running
 
     def reread(self) -> None:
-        """Runs in a greenlet of its own. Discovery may move under load; all else is laid out at the start."""
+        """Runs in its own greenlet. Only a new address of discovery is applied without a restart: limits and
+        tables are sized at the start.
+        """
         while True:
             self.again.wait()
             self.again.clear()
             try:
-                found = self.read()
-            except BadConfiguration as problem:
-                logger.error("the configuration was read again and is not used: {}", problem)
+                new = self.read()
+            except BadConfiguration as exc:
+                logger.error("the configuration was read again and is not used: {}", exc)
                 continue
-            if found.discovery != self.discovery.place:
-                logger.info("discovery is at {}:{} now", *found.discovery)
-                self.discovery.move(found.discovery)
+            if new.discovery != self.discovery.place:
+                logger.info("discovery is at {}:{} now", *new.discovery)
+                self.discovery.move(new.discovery)
                 self.put("moved")
-            if others := [path for path in self.configuration.changed(found) if path != "discovery"]:
-                logger.warning("changed, but not applied before a restart: {}", ", ".join(others))
+            if ignored := [path for path in self.configuration.changed(new) if path != "discovery"]:
+                logger.warning("changed, but not applied before a restart: {}", ", ".join(ignored))
 
     @staticmethod
     def forever(work: Callable[..., None], *fields: Any) -> None:
-        """A fault in one of the standing greenlets must not leave the scheduler without it."""
+        """Runs `work` again whenever it fails, as the scheduler can't do without its background greenlets."""
         while True:
             try:
                 work(*fields)
@@ -408,7 +420,7 @@
                 gevent.sleep(0.1)
 
     def open(self) -> None:
-        """The listener at `place`; before the list is handed in, which may take a while."""
+        """Opens the listener at `place`, before the list of workers is applied, which may take a while."""
         if self.configuration.inherited is not None:
             self.listener = socket.socket(fileno=self.configuration.inherited)
         else:
@@ -416,19 +428,19 @@
         self.place = self.listener.getsockname()
 
     def listen_to_words(self, place: Address) -> None:
-        """Runs in a greenlet of its own. The place may still be held by a process that is about to end."""
+        """Runs in its own greenlet. The address may still be in use by a process that is about to end."""
         while self.datagrams is None:
             try:
                 self.datagrams = Datagrams(place, self.handover.passed)
-            except OSError as problem:
-                logger.warning("no words from other schedulers: {}:{}: {}", *place, problem)
+            except OSError as exc:
+                logger.warning("cannot receive peer messages on {}:{}: {}", *place, exc)
                 gevent.sleep(1.0)
         self.datagrams.receive(self.heard)
 
-    LOOK = 0.25  # seconds between two records: a few for each second that a belief may be wrong
+    LOOK = 0.25  # seconds between records: several per second, as a wrong view may last only a second
 
     def record(self) -> None:
-        """Runs in a greenlet of its own, where the configuration names a file: the lab reads it."""
+        """Runs in its own greenlet if the configuration names a file; the simulation lab reads that file."""
         while True:
             now = time.monotonic()
             for what, *fields in self.reducer.aggregation_state(now):
@@ -436,43 +448,44 @@
             gevent.sleep(self.LOOK)
 
     def start(self) -> None:
-        """The front's standing greenlets."""
+        """Starts the front end's background greenlets."""
         raise NotImplementedError
 
     def open_items(self) -> int:
+        """Number of unanswered work items."""
         raise NotImplementedError
 
     def close(self) -> None:
-        """Told to end, and the reducer knows: until all is answered."""
+        """Shutdown, after the reducer's input "closing": returns once all work items are answered."""
         raise NotImplementedError
 
     def run(self) -> None:
-        """Until it was told to close and all is answered."""
+        """Serves until `stop` is set and all work items are answered."""
         self.open()
-        self.pulse.beat_at = time.monotonic()  # what a start takes is no standing still
+        self.pulse.beat_at = time.monotonic()  # the time of the start-up is no stall
         if self.operators is not None:
             gevent.spawn(self.forever, self.operators.accept)
-        state, told = State.SERVING, self.handover.meet()
-        if told is None:
+        state, previous = State.SERVING, self.handover.meet()
+        if previous is None:
             self.put("listed", ListForm.CACHED, self.known)
         else:
-            state = self.take_over(told)
+            state = self.take_over(previous)
         if records := self.configuration.records:
-            logger.add(records, level="DEBUG", serialize=True, filter=lambda said: "fleet" in said["extra"])
+            logger.add(records, level="DEBUG", serialize=True, filter=lambda entry: "fleet" in entry["extra"])
             gevent.spawn(self.forever, self.record)
         for work in (self.keep_time, self.reread, self.sweep):
             gevent.spawn(self.forever, work)
         if (place := self.configuration.peer_listen) and self.configuration.terms.may_message_peers:
             gevent.spawn(self.forever, self.listen_to_words, place)
         self.start()
-        # without any list it could only send clients away
+        # without a list of workers every client would be rejected
         while not (self.known or self.had_list.is_set() or self.stop.is_set()):
             self.had_list.wait(0.1)
         self.move(state)
         self.handover.start()
-        logger.info("{} serves on {}:{}", self.configuration.name, *self.place)
+        logger.info("{}: listening on {}:{}", self.configuration.name, *self.place)
         self.stop.wait()
-        logger.info("{} is to end; {} work items unanswered", self.configuration.name, self.open_items())
+        logger.info("{}: shutting down; {} work items unanswered", self.configuration.name, self.open_items())
         self.move(State.LEAVING)
         if self.agent is not None and not self.relieved:
             self.agent.leave()
@@ -480,4 +493,4 @@
         self.put("closing", time.monotonic() + self.limits.leave)
         self.close()
         self.handover.close()
-        logger.info("{} ends", self.configuration.name)
+        logger.info("{}: stopped", self.configuration.name)
--- a/opalwick/program/handover.py
+++ b/opalwick/program/handover.py
@@ -1,8 +1,8 @@
-"""A new version under load: the process that follows meets the one before on a Unix socket.
+"""Handover between an old and a new process of one scheduler, over a Unix socket.
 
-Neither waits for the other without a limit, and without the other each is a whole scheduler. Of a link one
-greenlet reads and one writes; to say something is to leave it to the latter, and a side that does not read
-loses the link.
+Every wait for the other process has a time limit, and each process is a complete scheduler without the other.
+One greenlet reads a link and one writes it; messages are queued for the writer, and the link is closed if the
+other process does not read.
 """
 
 from __future__ import annotations
@@ -23,29 +23,29 @@
 
 from opalwick.protocol.handover import Odd, Reader, packed
 
-MEET = 1.5  # seconds for all that the old one tells: a new one has six, and must be up by itself in time
-TALK = 0.1  # seconds between words of what is going on: a tenth of what clients wait for most work
-UNSAID = 256  # messages: half a minute of words to one that does not read
-WRITE = 2.0  # seconds until one that does not read is given up
+MEET = 1.5  # seconds to receive the old process's state; a new process must be up within 6 s even without
+TALK = 0.1  # seconds between status messages: a tenth of what clients wait for most work
+UNSAID = 256  # queued messages: half a minute of them if the other process does not read
+WRITE = 2.0  # seconds until a link that does not accept data is closed
 _READ = 65536
 
 
 class Process(Protocol):
-    """What the two need of each other's scheduler; nothing of it waits."""
+    """What a handover needs from the local scheduler; no method blocks."""
 
     def state_of_things(self) -> dict[str, Any]: ...
 
     def goings_on(self) -> dict[str, Any]: ...
 
     def descriptor(self) -> int | None:
-        """To go over with the state."""
+        """The descriptor to pass along with the state, if any."""
 
-    def heard_from_other(self, kind: str, told: dict[str, Any]) -> None: ...
+    def heard_from_other(self, kind: str, fields: dict[str, Any]) -> None: ...
 
     def alone(self) -> None:
-        """The other process is gone."""
+        """Called when the link to the other process has ended."""
 
-    relieved: bool  # the process that follows serves
+    relieved: bool  # the successor process serves in place of this one
 
 
 class Link:
@@ -53,41 +53,41 @@
 
     def __init__(self, sock: Any) -> None:
         self.sock, self.reader = sock, Reader()
-        self.heard: deque[tuple[str, dict[str, Any]]] = deque()  # come, and not yet taken in
+        self.heard: deque[tuple[str, dict[str, Any]]] = deque()  # received and not yet processed
         self.over = False
         self.unsaid: deque[bytes] = deque()
         self.some = Event()
 
     def say(self, kind: str, **fields: Any) -> None:
-        """Waits for nobody."""
+        """Queues a message without blocking; closes the link if the queue is full."""
         if len(self.unsaid) >= UNSAID:
             return self.close()
         self.unsaid.append(packed(kind, **fields))
         self.some.set()
 
     def write(self) -> None:
-        """Runs in a greenlet of its own."""
+        """Runs in its own greenlet."""
         try:
             while not self.over:
                 while self.unsaid:
-                    # not by sendall, whose time-out is the reader's as well
+                    # not sendall: its time-out would be the reader's as well
                     rest = memoryview(self.unsaid.popleft())
                     while rest:
                         socket.wait_write(self.sock.fileno(), WRITE)
                         rest = rest[self.sock.send(rest, socket.MSG_DONTWAIT) :]
                 self.some.clear()
                 self.some.wait()
-        except OSError:  # gone, or it does not read
+        except OSError:  # disconnected, or the other process does not read
             self.close()
 
-    def hear(self, until: float = math.inf) -> tuple[str, dict[str, Any]]:
-        """The next message; TimeoutError, Odd, or ConnectionError at the other's end."""
+    def hear(self, deadline: float = math.inf) -> tuple[str, dict[str, Any]]:
+        """The next message. Raises TimeoutError, Odd, or ConnectionError if the link was closed."""
         while not self.heard:
-            if (left := until - time.monotonic()) <= 0:
+            if (left := deadline - time.monotonic()) <= 0:
                 raise TimeoutError
             self.sock.settimeout(None if left == math.inf else left)
             if not (data := self.sock.recv(_READ)):
-                raise ConnectionError("the other process has ended the link")
+                raise ConnectionError("the other process closed the link")
             self.heard.extend(self.reader.feed(data))
         return self.heard.popleft()
 
@@ -99,49 +99,51 @@
 
 
 def place(directory: str, scheduler: str) -> str:
-    """Where the two meet; `scheduler` is what both are told alike."""
+    """Path of the handover socket; `scheduler` identifies the scheduler alike in both processes."""
     return os.path.join(directory, f"opalwick-{zlib.crc32(scheduler.encode()):08x}.sock")
 
 
 class Handover:
+    """Finds a process that serves already and takes over from it, then waits for a successor."""
+
     def __init__(self, path: str, process: Process, forever: Callable[..., None]) -> None:
-        """`path`: where the two meet; empty where nothing is handed over."""
+        """`path`: of the handover socket; empty disables handover."""
         self.path, self.process, self.forever = path, process, forever
         self.link: Link | None = None
-        self.passed: int | None = None  # a descriptor that came over
-        self.follows = False  # the other process was here before
+        self.passed: int | None = None  # descriptor received from the old process
+        self.follows = False  # this process is the successor of the other
         self.listener: Any = None
         self.accepting: Any = None
 
-    # ---- the new one
+    # ---- the new process
 
     def meet(self) -> dict[str, Any] | None:
-        """What the process before tells; none where there is none that does within the time."""
+        """The state sent by a process that serves already; None if none does in time."""
         if not self.path:
             return None
-        until, sock = time.monotonic() + MEET, socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+        deadline, sock = time.monotonic() + MEET, socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         link = Link(sock)
         try:
             sock.settimeout(MEET)
             sock.connect(self.path)
             gevent.spawn(link.write)
             link.say("hello")
-            # its first byte carries the descriptor, if any
-            sock.settimeout(max(0.0, until - time.monotonic()))
+            # the first byte carries the descriptor, if any
+            sock.settimeout(max(0.0, deadline - time.monotonic()))
             mark, passed, _, _ = socket.recv_fds(sock, 1, 1)
             self.passed = passed[0] if passed else None
             if mark != b"+":
-                raise Odd("it hands nothing over")
-            kind, told = link.hear(until)
+                raise Odd("the first byte is not a handover's")
+            kind, state = link.hear(deadline)
             while kind != "state":
-                kind, told = link.hear(until)
+                kind, state = link.hear(deadline)
             self.link, self.follows = link, True
-            logger.info("the process before has told what it knows")
-            return told
+            logger.info("received the state of the old process")
+            return state
         except (FileNotFoundError, ConnectionRefusedError):
-            pass  # none is there, or it left its file behind
-        except (OSError, Odd) as problem:
-            logger.warning("no hand-over from the process before: {}", problem or type(problem).__name__)
+            pass  # no process listens; there may be a socket file of one that has ended
+        except (OSError, Odd) as exc:
+            logger.warning("no handover from the old process: {}", exc or type(exc).__name__)
         link.close()
         if self.passed is not None:
             os.close(self.passed)
@@ -149,33 +151,35 @@
         return None
 
     def serving(self) -> None:
-        """Told to the process before: it can leave the door."""
+        """Notifies the old process that it can stop accepting connections."""
         if self.follows:
             self.tell("serving")
 
-    # ---- the old one
+    # ---- the old process
 
     def listen(self) -> None:
-        """For the process that follows; what a former one left there is replaced whole. One that follows
-        leaves the place to the other until it is alone: should it end first, the other is still found there.
+        """Listens for a successor; the socket file of a former process is replaced atomically.
+
+        A successor does this only once the old process has gone: should the successor end first, the next
+        one still finds the old process here.
         """
         if not self.path or self.listener is not None or self.link is not None:
             return
-        listener, beside = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM), f"{self.path}.{os.getpid()}"
+        listener, temporary = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM), f"{self.path}.{os.getpid()}"
         try:
-            listener.bind(beside)
-            os.chmod(beside, 0o600)
+            listener.bind(temporary)
+            os.chmod(temporary, 0o600)
             listener.listen(4)
-            os.rename(beside, self.path)
-        except OSError as problem:
+            os.rename(temporary, self.path)
+        except OSError as exc:
             listener.close()
-            logger.warning("no process can follow under load: {}: {}", self.path, problem)
+            logger.warning("no handover to a successor is possible: {}: {}", self.path, exc)
             return
         self.listener = listener
         self.accepting = gevent.spawn(self.forever, self.accept)
 
     def close(self) -> None:
-        """It ends: the other process finds out at once."""
+        """Closes the link, so that the other process notices the end at once."""
         if self.listener is not None:
             self.accepting.kill()
             self.listener.close()
@@ -184,7 +188,7 @@
             link.close()
 
     def accept(self) -> None:
-        """Runs in a greenlet of its own."""
+        """Runs in its own greenlet."""
         while True:
             sock, _ = self.listener.accept()
             _, user, _ = struct.unpack("3i", sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, 12))
@@ -196,11 +200,11 @@
     def attend(self, link: Link) -> None:
         try:
             if self.process.relieved:
-                raise Odd("another process follows already")
+                raise Odd("another successor serves already")
             kind, _ = link.hear(time.monotonic() + MEET)
             if kind != "hello":
-                raise Odd(f"it begins with {kind[:40]!r}")
-            if self.link is not None:  # the one that came before never said that it serves
+                raise Odd(f"unexpected first message {kind[:40]!r}")
+            if self.link is not None:  # a former successor never reported that it serves
                 self.link.close()
             self.link = link
             passed = self.process.descriptor()
@@ -208,26 +212,26 @@
             socket.send_fds(link.sock, [b"+"], [] if passed is None else [passed])
             gevent.spawn(link.write)
             link.say("state", **self.process.state_of_things())
-            logger.info("a process that follows was told what this one knows")
-        except (OSError, Odd) as problem:
-            logger.warning("a process that follows is not spoken with: {}", problem or type(problem).__name__)
+            logger.info("sent the state of this process to its successor")
+        except (OSError, Odd) as exc:
+            logger.warning("handover to a successor failed: {}", exc or type(exc).__name__)
             return self.drop(link)
         self.follow(link)
 
-    # ---- both
+    # ---- both processes
 
     def follow(self, link: Link) -> None:
-        """Until the other process is gone."""
-        talking = gevent.spawn(self.talk, link)
+        """Processes messages until the link ends."""
+        sender = gevent.spawn(self.talk, link)
         try:
             while True:
                 self.process.heard_from_other(*link.hear())
         except OSError:
             pass
-        except Odd as problem:
-            logger.warning("the link to the other process ends: {}", problem)
+        except Odd as exc:
+            logger.warning("closed the link to the other process: {}", exc)
         finally:
-            talking.kill()
+            sender.kill()
             self.drop(link)
 
     def talk(self, link: Link) -> None:
--- a/opalwick/program/scheduler.py
+++ b/opalwick/program/scheduler.py
@@ -1,4 +1,4 @@
-"""The HTTP front: clients' connections on one side, hand-offs to workers on the other."""
+"""The HTTP front end: clients' connections on one side, attempts at workers on the other."""
 
 from __future__ import annotations
 
@@ -19,6 +19,8 @@
 
 
 class Scheduler(Core):
+    """Accepts work items over HTTP and sends them to workers."""
+
     hands_over = True
 
     def __init__(
@@ -26,11 +28,11 @@
     ) -> None:
         super().__init__(configuration, stop, again, read)
         c = configuration
-        self.calls: dict[bytes, Call] = {}  # taken and not yet answered, by the client's id
+        self.calls: dict[bytes, Call] = {}  # accepted and not yet answered, by the client's id
         self.out: dict[tuple[bytes, int], HandingOff] = {}
-        self.bodies = self.open_count = 0  # bytes, work items: unanswered
+        self.bodies = self.open_count = 0  # bytes and number of unanswered work items
         self.accepting: Any = None
-        # when the door itself defers: a second, in which a crowd passes, or as long as clients honour
+        # Retry-After of requests deferred on arrival: 1 s for a burst to pass, or the most clients honour
         self.advice = come_back(min(1.0, c.terms.max_retry_after))
 
     # ---- effects
@@ -38,42 +40,42 @@
     def perform(self, effect: Any) -> None:
         match effect:
             case Send(id, number, _, place, give_up_after):
-                # from the moment of the decision: this process may have stood still since
+                # counted from the decision, as this process may have been stalled since
                 call, decided, until = self.calls[id], self.put_at, self.put_at + give_up_after
                 dropped = False
 
-                def wanted() -> bool:
-                    # what was decided before this process stood still is decided anew, once: the worker may
-                    # have drained meanwhile, and a connection that takes a trip comes up only after it
+                def still_wanted() -> bool:
+                    # an attempt decided before a stall is dropped and decided again, once: the worker may
+                    # have drained meanwhile, and a new connection is established only after the stall
                     nonlocal dropped
                     if not (dropped or call.again) and self.pulse.stood(decided, time.monotonic()):
                         dropped = call.again = True
                     return call.taken and call.reply is None and not dropped
 
-                def tell(kind: str, *fields: Any) -> None:
+                def report(kind: str, *fields: Any) -> None:
                     if kind == "ended":
                         del self.out[id, number]
-                        if handing.fault:  # the client's own: it is told so, and nobody else is asked
-                            call.answer(handing.fault, b"turned away by a worker")
+                        if attempt.fault:  # the client's error: final, no other worker is tried
+                            call.answer(attempt.fault, b"turned away by a worker")
                     self.put(kind, id, number, *fields)
 
-                handing = self.out[id, number] = HandingOff(
+                attempt = self.out[id, number] = HandingOff(
                     place,
                     call.message,
                     until,
-                    wanted,
+                    still_wanted,
                     self.pool,
                     self.limits,
                     self.names.figures,
                     self.counts,
-                    tell,
+                    report,
                 )
-                gevent.spawn(handing.run)
+                gevent.spawn(attempt.run)
             case Close(id, number):
                 if (id, number) in self.out:
                     self.out[id, number].give_up()
             case Answer(id) if id not in self.calls:
-                pass  # its client left while this process took in what lay there
+                pass  # the client disconnected while input queued during a stall was read
             case Answer(id, Final.FINISHED, result):
                 self.calls[id].answer(200, result, "Content-Type: application/octet-stream")
             case Answer(id, Final.DEFERRED, _, come_back_in):
@@ -83,18 +85,19 @@
             case _:
                 super().perform(effect)
 
-    # ---- what the clients' side asks for
+    # ---- called by clients' connections
 
     @property
     def closing(self) -> bool:
         return self.door.closing
 
     def room_for(self, body: int) -> bool:
+        """Whether a work item with a body of so many bytes can be accepted."""
         return self.open_count < self.limits.work_items and self.bodies + body <= self.limits.bodies
 
     def holds(self, id: bytes) -> bool:
-        """Whether a work item with this id is open, at a worker if nowhere else: a second one must not get
-        what the first is owed, nor be taken for it there."""
+        """Whether a work item with this id is open, if only at a worker: a second one must not get the
+        first one's answer, nor be taken for it by the worker."""
         return id in self.reducer.items or id in self.other_ids
 
     def take(self, call: Call, *fields: Any) -> None:
@@ -112,7 +115,7 @@
             del self.calls[call.id]
             self.open_count -= 1
             self.bodies -= len(call.message.body)
-            call.message.body = b""  # the item is remembered until its expiry
+            call.message.body = b""  # the reducer keeps the item until its expiry
             self.door.thin()
 
     # ---- running
@@ -129,8 +132,8 @@
         )
 
     def moved(self) -> None:
-        """The door: from `close_at` on each answer ends its connection, so that nothing crosses a close; from
-        `end_at` on those that ask nothing more are ended.
+        """From `close_at` on each answer closes its connection, so that no request crosses a close; from
+        `end_at` on idle connections are closed.
         """
         door, now, limits = self.door, time.monotonic(), self.limits
         match self.state:
@@ -160,7 +163,7 @@
         return [id.decode("latin-1") for id in self.reducer.items if isinstance(id, bytes)]
 
     def most(self) -> int:
-        """Connections from clients, at this moment."""
+        """The most connections from clients at this time."""
         return self.share(self.limits.clients)
 
     def descriptors(self) -> int:
@@ -173,8 +176,8 @@
         gevent.sleep(max(0.0, self.door.close_at - time.monotonic()))
         self.accepting.kill()
         if self.configuration.inherited is None:
-            self.door.empty()  # what waits there otherwise is left to the next process
+            self.door.empty()  # an inherited listener's backlog is left to the next process
         self.listener.close()
-        # a request that has not come whole is not taken, so one that drips on may be left
+        # a request is accepted only once complete, so slow ones may be abandoned here
         while self.door.conversations and time.monotonic() < self.reducer.exit_at + self.limits.linger:
             gevent.sleep(0.01)
--- a/opalwick/program/service.py
+++ b/opalwick/program/service.py
@@ -1,4 +1,4 @@
-"""One scheduler as a service: its signals and its log, from the configuration to the exit code."""
+"""Runs one scheduler as a service: logging, signals and exit code."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
 
 
 def prepared(level: str) -> tuple[Event, Event] | None:
-    """The log and the signals of a scheduler, whatever its front: told to end, told to read again.
+    """Sets up logging and signal handlers; returns the events for shutdown and for reloading.
 
-    None, and it is said, where the level is none. To be called before the configuration is read: one that
-    changes meanwhile is read again.
+    Returns None, after an error on stderr, if the log level is unknown. Call this before the configuration
+    is read, so that a SIGHUP for a change made meanwhile is not lost.
     """
     logger.remove()
     try:
         logger.add(sys.stderr, level=level.upper(), backtrace=False, diagnose=False)
     except ValueError:
-        print(f"opalwick: --log is malformed: {level!r} is no level", file=sys.stderr)
+        print(f"opalwick: --log is malformed: {level!r} is not a log level", file=sys.stderr)
         return None
-    stop, again = Event(), Event()
-    for number, event in ((signal.SIGTERM, stop), (signal.SIGINT, stop), (signal.SIGHUP, again)):
+    stop, reload = Event(), Event()
+    for number, event in ((signal.SIGTERM, stop), (signal.SIGINT, stop), (signal.SIGHUP, reload)):
         gevent.signal_handler(number, event.set)
-    return stop, again
+    return stop, reload
 
 
 def run(core: Core) -> int:
-    """Until it is told to end."""
-    # what is there now stays: later collections look at what came since
+    """Runs until a signal requests shutdown; returns the exit code."""
+    # objects of the start-up live as long as the process: frozen, they are left out of later collections
     gc.collect()
     gc.freeze()
     core.run()
@@ -44,12 +44,12 @@
 
 
 def serve(path: str | None = None, level: str = "INFO") -> int:
-    """Until SIGTERM; SIGHUP has it read its configuration again."""
+    """Runs a scheduler until SIGTERM and returns the exit code; SIGHUP reloads the configuration."""
     if (events := prepared(level)) is None:
         return 2
     try:
         scheduler = Scheduler(read(os.environ, path), *events, lambda: read(os.environ, path))
-    except BadConfiguration as problem:
-        print(f"opalwick: {problem}", file=sys.stderr)
+    except BadConfiguration as exc:
+        print(f"opalwick: {exc}", file=sys.stderr)
         return 2
     return run(scheduler)
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -256,7 +256,7 @@
     for changes, why in (
         ({"peers": []}, "needs peers"),
         ({"peer_listen": None}, "needs peer_listen"),
-        ({"peers": ["127.0.0.1:1"], "settings.position": 1}, "no address of its own"),
+        ({"peers": ["127.0.0.1:1"], "settings.position": 1}, "peers has no address for position 1"),
     ):
         position = changes.pop("settings.position", None)
         if position is not None:
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -255,7 +255,7 @@
         ({"operator": "here"}, "operator is malformed: not an address: 'here'"),
         (
             {"operator": "127.0.0.1:80", "listen": "127.0.0.1:80"},
-            "operator is malformed: '127.0.0.1:80' is where clients connect",
+            "operator is malformed: '127.0.0.1:80' is also the listen address for clients",
         ),
     ],
 )
