--- a/opalwick/drill/__init__.py
+++ b/opalwick/drill/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter between the drill wire and the decision module; the wire's names end here."""
+"""Adapter between the simulator's protocol and the reducer; no other package uses the protocol's names."""
--- a/opalwick/drill/__main__.py
+++ b/opalwick/drill/__main__.py
@@ -1,4 +1,4 @@
-"""python -m opalwick.drill: batches on standard input, replies on standard output."""
+"""`python -m opalwick.drill`: reads batches from standard input, writes replies to standard output."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
         while (frame := read_frame(source)) is not None:
             sink.write(host.answer(*frame))
             sink.flush()
-    except (BadFrame, BadStart) as problem:
-        print(f"opalwick: {problem}", file=sys.stderr)
+    except (BadFrame, BadStart) as exc:
+        print(f"opalwick: {exc}", file=sys.stderr)
         return 1
     return 0
 
--- a/opalwick/drill/codec.py
+++ b/opalwick/drill/codec.py
@@ -1,4 +1,4 @@
-"""Framing and records of the drill wire: bytes to fields and back, nothing else."""
+"""Framing and records of the simulator's protocol: decodes and encodes, without interpretation."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class BadFrame(Exception):
-    """The other side broke the wire's rules."""
+    """The input violates the protocol."""
 
 
 _HEAD = struct.Struct("<QII")
@@ -55,7 +55,10 @@
 
 
 def read_frame(source: BinaryIO) -> tuple[int, int, bytes] | None:
-    """Clock, number of records and body of the next batch; None at a clean end of input."""
+    """Clock, number of records and body of the next batch; None at the end of input.
+
+    Raises BadFrame if the input ends within a batch.
+    """
     head = source.read(_HEAD.size)
     if not head:
         return None
@@ -71,7 +74,7 @@
 
 
 def records(body: bytes, count: int) -> Iterator[tuple[str, tuple[Any, ...]]]:
-    """The records of a batch, one by one, as (name, fields)."""
+    """Yields the records of a batch as (name, fields). Raises BadFrame for invalid records."""
     at, end = 0, len(body)
     for _ in range(count):
         if at >= end:
@@ -118,10 +121,12 @@
     def add(self, name: str, *fields: int) -> None:
         self._parts.append(_OUT[name].pack(_CODES[name], *fields))
 
-    def message(self, to: int, octets: bytes) -> None:
-        self._parts.append(struct.pack("<BHH", 40, to, len(octets)) + octets)
+    def message(self, to: int, payload: bytes) -> None:
+        """Adds a message to another scheduler."""
+        self._parts.append(struct.pack("<BHH", 40, to, len(payload)) + payload)
 
     def bug(self, message: str) -> None:
+        """Adds a report of an internal error, cut to 2,000 bytes."""
         text = message.encode()[:2000]
         self._parts.append(struct.pack("<BH", 50, len(text)) + text)
 
--- a/opalwick/drill/host.py
+++ b/opalwick/drill/host.py
@@ -1,4 +1,4 @@
-"""Hosts many schedulers in one process, each with a reducer of its own."""
+"""Runs many schedulers in one process, each with its own reducer."""
 
 from __future__ import annotations
 
@@ -26,7 +26,10 @@
 
 
 class Scheduler:
-    """One instance: the door between the wire's records and the reducer's inputs and effects."""
+    """One scheduler: converts the protocol's records to inputs of its reducer.
+
+    Methods other than the constructor are named after event records. Times of records are microseconds.
+    """
 
     def __init__(self, clock: int, seed: int, config: bytes) -> None:
         text = config.decode("utf-8", "replace")
@@ -106,18 +109,19 @@
     ) -> None:
         self.reducer.probed(wid, metrics)
 
-    def neighbour_says(self, clock: int, who: int, octets: bytes) -> None:
-        self.reducer.heard(who, octets)
+    def neighbour_says(self, clock: int, who: int, payload: bytes) -> None:
+        self.reducer.heard(who, payload)
 
     def wake(self, clock: int, key: int) -> None:
         self.reducer.woken()
 
 
 def write(effects: Iterator[Effect], clock: int, reply: Reply) -> None:
+    """Adds the records of these effects to the reply; `clock` is in microseconds."""
     for effect in effects:
         match effect:
             case Send(corr, copy, wid, _, give_up_after):
-                # rounded down: a time-out never reaches past the expiry
+                # rounded down, so that a time-out never ends after the expiry
                 reply.add("dispatch", corr, wid, max(1, min(0xFFFFFFFF, int(give_up_after / _MICRO))))
             case Close(corr, copy):
                 reply.add("undo_send", corr, copy)
@@ -128,22 +132,27 @@
             case Answer(corr, Final.WRITTEN_OFF):
                 reply.add("finish_error", corr)
             case Timer(at):
-                # rounded up and never now: a timer is not early and does not loop on itself
+                # rounded up and never now, so that a timer is not early and can't loop at the same time
                 reply.add("defer", max(clock + 1, math.ceil(at / _MICRO)), 0)
             case Watch():
                 reply.add("tail", 1)
-            case Datagram(to, octets):
-                reply.message(to, octets)
-            case Answer():  # finished: the simulator hands the first result on by itself
+            case Datagram(to, payload):
+                reply.message(to, payload)
+            case Answer():  # finished: the simulator passes on the first result by itself
                 pass
 
 
 class Host:
+    """The schedulers of one process, by instance number."""
+
     def __init__(self) -> None:
         self._schedulers: dict[int, Scheduler] = {}
 
     def answer(self, clock: int, count: int, body: bytes) -> bytes:
-        """Feeds a batch to the schedulers it names, then pulls each one's decisions until none is left."""
+        """Applies a batch to the schedulers that it names and returns the reply with their effects.
+
+        Raises BadFrame for an invalid batch.
+        """
         current: int | None = None
         touched: dict[int, None] = {}
         reply = Reply()
@@ -166,21 +175,21 @@
                     getattr(scheduler, name)(clock, *fields)
                 except BadFrame:
                     raise
-                except Exception as problem:  # noqa: BLE001 - the wire wants it told, whatever it is
-                    self._bug(reply, current, problem)
+                except Exception as exc:  # noqa: BLE001 - the protocol requires that every internal error is reported
+                    self._bug(reply, current, exc)
         for i in touched:
             reply.add("on_behalf", i)
             try:
                 write(self._schedulers[i].reducer.effects(), clock, reply)
-            except Exception as problem:  # noqa: BLE001
-                self._bug(reply, i, problem)
+            except Exception as exc:  # noqa: BLE001
+                self._bug(reply, i, exc)
         return reply.frame()
 
     @staticmethod
-    def _bug(reply: Reply, i: int, problem: Exception) -> None:
-        frame = problem.__traceback__
+    def _bug(reply: Reply, i: int, exc: Exception) -> None:
+        frame = exc.__traceback__
         while frame is not None and frame.tb_next is not None:
             frame = frame.tb_next
         line = frame.tb_lineno if frame else 0
         reply.add("on_behalf", i)
-        reply.bug(f"{type(problem).__name__}: {problem} (line {line})")
+        reply.bug(f"{type(exc).__name__}: {exc} (line {line})")
--- a/opalwick/fleet/__init__.py
+++ b/opalwick/fleet/__init__.py
@@ -1,5 +1,5 @@
-"""What schedulers know and do together: members, and on them owners, limits, verdicts (to come).
+"""Coordination between schedulers: membership; owners, limits and shared outcomes are to build on it.
 
-Cores are free of I/O and clocks: time and words go in, words, wakes and events come out. `agent.py` is the
-one thing that a front feeds. Nothing of it is imported while it is off.
+The modules do no I/O and read no clock: times and messages go in, messages, timers and events come out.
+`agent.py` is the interface for front ends. The package is not imported while membership is off.
 """
--- a/opalwick/fleet/agent.py
+++ b/opalwick/fleet/agent.py
@@ -1,4 +1,4 @@
-"""What a front feeds: the parts of a fleet that are on, behind one face, as free of I/O and clocks."""
+"""Interface of the fleet package for front ends, without I/O or a clock."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from opalwick.fleet.members import Event, Members, Send, Terms, Wake
 
-_BELIEVED = {
+_STATES = {
     "joined": "alive",
     "returned": "alive",
     "cleared": "alive",
@@ -18,7 +18,7 @@
 
 
 class Agent:
-    """Set the time with clock(), hand in what happened, pull decisions(): Send, Wake and Event."""
+    """Usage: set the time with clock(), pass in events, then consume decisions(): Send, Wake and Event."""
 
     def __init__(self, me: int, count: int, life: int, now: float, terms: Terms, seed: int) -> None:
         self.members = Members(me, count, life, now, terms, seed)
@@ -34,8 +34,8 @@
     def clock(self, now: float) -> None:
         self.members.clock(now)
 
-    def heard(self, sender: int, octets: bytes) -> None:
-        self.members.heard(sender, octets)
+    def heard(self, sender: int, payload: bytes) -> None:
+        self.members.heard(sender, payload)
 
     def stood(self) -> None:
         self.members.stood()
@@ -47,23 +47,26 @@
         return self.members.decisions()
 
     def absent(self) -> frozenset[int]:
-        """Members that are known not to be there."""
+        """Members known to be gone or to have left."""
         return frozenset(p.number for p in self.members.peers.values() if p.known and not p.there)
 
     def record(self, event: Event) -> tuple[Any, ...] | None:
-        """What it believes of another: its own life, whom, what, that one's life; or its own new life."""
+        """The record of an event for the simulation lab, or None.
+
+        "believes": this process's life, the member, its state, its life. "renamed": this process's new life.
+        """
         if event.member == self.members.me:
             return ("renamed", event.life) if event.kind == "returned" else None
-        believed = _BELIEVED.get(event.kind)
-        return None if believed is None else ("believes", self.life, event.member, believed, event.life)
+        state = _STATES.get(event.kind)
+        return None if state is None else ("believes", self.life, event.member, state, event.life)
 
     def told(self) -> str:
-        """For people: the view, and what was counted."""
+        """The member list and counters as readable text."""
         m = self.members
-        seen = "alone" if m.alone() else "a majority" if m.share() > 0.5 else "a minority"
+        visible = "alone" if m.alone() else "a majority" if m.share() > 0.5 else "a minority"
         lines = [
             f"s{m.me} in life {m.life}, incarnation {m.incarnation}: sees {m.share():.0%} of {m.count} "
-            f"members ({seen}), own health {m.health} (0: well)"
+            f"members ({visible}), own health {m.health} (0: well)"
         ]
         lines.append(f"{'member':>8} {'state':10} {'life':>11} {'since':>8} {'heard':>8} {'reach':12} why")
         for row in m.view():
--- a/opalwick/fleet/words.py
+++ b/opalwick/fleet/words.py
@@ -1,7 +1,10 @@
-"""The words of membership: one further kind of those that schedulers send each other, of at most 256 octets.
+"""Membership messages between schedulers, of at most 256 bytes each.
 
-One first octet for all of them, so that a network that does away with some kinds does away with none or all
-of these. A checksum, as a changed octet in a life or in a piece of news would be a lie about somebody.
+All of them begin with the same byte, so that a network that drops some kinds of messages drops either all or
+none of these. They carry a checksum, as a corrupted byte would spread a false state of a member.
+
+A life is a number of a process incarnation: it differs between starts of one scheduler. An incarnation is
+SWIM's: a member raises it to refute a suspicion within one life.
 """
 
 from __future__ import annotations
@@ -12,48 +15,56 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-KIND = 2  # 0 and 1 are words and sums of what is in flight (`protocol/words.py`)
-LONGEST = 256  # octets
+KIND = 2  # 0 and 1 are load reports and aggregates (`protocol/words.py`)
+LONGEST = 256  # bytes
 _CHECK = struct.Struct("<I")
-# kind, what it is, who says it, its life and incarnation, a number to know the answer by, whom it is about
+# kind, What, sender, its life and incarnation, number to match answers by, subject member
 _HEAD = struct.Struct("<BBHIHHH")
-# about whom, state, life, incarnation, age in sixteenths of a second (255: so long or longer)
+# subject member, state, life, incarnation, age in sixteenths of a second (255: that or more)
 _NEWS = struct.Struct("<HBIHB")
-BUCKETS = 16  # of a digest: some members each at the usual sizes, and 32 octets
+BUCKETS = 16  # of a digest: a few members each in a usual fleet, 32 bytes in all
 _DIGEST = struct.Struct(f"<{BUCKETS}H")
-MOST = (LONGEST - _CHECK.size - _HEAD.size) // _NEWS.size  # pieces of news that fit
+MOST = (LONGEST - _CHECK.size - _HEAD.size) // _NEWS.size  # updates that fit into one message
 
 
 class What(IntEnum):
-    PING = 0  # answer me
-    AROUND = 1  # answer me, straight and by others, as I may not hear you
-    ANSWER = 2  # to `number`; where `about` is another, from it and passed on by the sender
-    ASK = 3  # ping `about` for me, and tell me if it does not answer you
-    PASS = 4  # give this to `about`: my answer to its `number`
-    SILENT = 5  # `about` does not answer me either
-    NEWS = 6
-    DIGEST = 7  # of all that I hold; answer with what differs
-    ITEMS = 8  # what differs; `about` 1: answer with yours
+    """Types of messages."""
+
+    PING = 0  # request for a direct answer
+    AROUND = 1  # request for an answer directly and through others, as the sender may not receive direct ones
+    ANSWER = 2  # to `number`; if `about` is not the sender, relayed by the sender
+    ASK = 3  # indirect probe: ping `about`, and report if it does not answer
+    PASS = 4  # relay to `about` the sender's answer to its `number`
+    SILENT = 5  # `about` has not answered the sender either
+    NEWS = 6  # updates only
+    DIGEST = 7  # of the sender's whole member list; to be answered with what differs
+    ITEMS = 8  # entries that differ; `about` 1: to be answered with the receiver's own
 
 
 class State(IntEnum):
-    UNKNOWN = 0  # never heard of
+    """States of a member."""
+
+    UNKNOWN = 0  # nothing received about it yet
     ALIVE = 1
     SUSPECT = 2
     GONE = 3
-    LEFT = 4  # as it said itself
-    APART = 5  # no state: `about` does not hear the member whose number stands as the life
+    LEFT = 4  # announced by itself
+    APART = 5  # not a state: `about` receives nothing from the member whose number is in `life`
 
 
 class News(NamedTuple):
+    """An update: the state of one member."""
+
     about: int
     state: State
     life: int
     incarnation: int
-    age: float  # seconds since it was so
+    age: float  # seconds since the state began
 
 
 class Word(NamedTuple):
+    """A membership message."""
+
     what: What
     sender: int
     life: int
@@ -65,6 +76,7 @@
 
 
 def packed(word: Word) -> bytes:
+    """Encodes a message."""
     head = _HEAD.pack(KIND, word.what, word.sender, word.life, word.incarnation, word.number, word.about)
     if word.what is What.DIGEST:
         rest = _DIGEST.pack(*word.digest)
@@ -78,9 +90,9 @@
     return head + rest + _CHECK.pack(zlib.crc32(head + rest))
 
 
-def unpacked(octets: bytes) -> Word | None:
-    """None for what is not well-formed."""
-    body, check = octets[: -_CHECK.size], octets[-_CHECK.size :]
+def unpacked(payload: bytes) -> Word | None:
+    """Decodes a message; None if it is malformed."""
+    body, check = payload[: -_CHECK.size], payload[-_CHECK.size :]
     if not _HEAD.size <= len(body) <= LONGEST - _CHECK.size or _CHECK.pack(zlib.crc32(body)) != check:
         return None
     kind, what, sender, life, incarnation, number, about = _HEAD.unpack_from(body)
@@ -101,10 +113,10 @@
 
 
 def newer(one: int, other: int) -> bool:
-    """Of two lives or incarnations that come round at 32 bits: whether the first is the later one."""
+    """Whether the first of two 32-bit lives, which wrap around, is the later one."""
     return 0 < (one - other) & 0xFFFFFFFF < 0x80000000
 
 
 def later(one: int, other: int) -> bool:
-    """The same of incarnations, which come round at 16 bits."""
+    """Whether the first of two 16-bit incarnations, which wrap around, is the later one."""
     return 0 < (one - other) & 0xFFFF < 0x8000
