--- a/opalwick/fleet/agent.py
+++ b/opalwick/fleet/agent.py
@@ -79,7 +79,7 @@
                 f"{row.get('reach', ''):12} {row['why']}"
             )
         lines += [
-            f"s{one} does not hear s{other}, though others do ({m.now - at:.1f} s ago)"
+            f"s{one} receives nothing from s{other}, though others do ({m.now - at:.1f} s ago)"
             for (one, other), at in m.apart.items()
             if m.now - at < 10.0
         ]
--- a/opalwick/fleet/members.py
+++ b/opalwick/fleet/members.py
@@ -1,11 +1,11 @@
-"""Who is there, who is gone, who came back as somebody new.
+"""Membership: which members are present, which have gone, left or returned as a new process.
 
-After SWIM (Das, Gupta, Motivala 2002): probes, straight and by others, suspicion, incarnations, news that
-ride on probes; and Lifeguard (Dadgar, Phillips, Currey 2017): local health, others' confirmations, the
-suspect told first. What was changed, and why, stands in docs/design/fleet.md, with the bounds derived.
+Based on SWIM (Das, Gupta, Motivala 2002): direct and indirect probes, suspicion, incarnations, updates
+piggybacked on probes; and on Lifeguard (Dadgar, Phillips, Currey 2017): local health, confirmation by others,
+notifying the suspect first. docs/design/fleet.md has the differences, their reasons and the derived bounds.
 
-Set the time with clock(), hand in what happened (heard, stood, leave), which only updates what is known, then
-pull decisions() until none is left. Times are seconds on the process's own clock.
+Usage: set the time with clock(), pass in events, which only update the state, then consume decisions() until
+none is left. Times are seconds on the process's own clock.
 """
 
 from __future__ import annotations
@@ -23,37 +23,45 @@
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    every: float = 0.4  # seconds between probes of one that is watched
-    answer: float = 0.25  # a straight answer is awaited so long, then it is asked by others as well
-    missed: float = 0.6  # from its start to where a probe counts as missed
-    suspect: float = 1.7  # from the first missed probe to gone, confirmed by others
-    helpers: int = 3  # that are asked
-    watched: int = 2  # next ones in the ring that each watches, of those that answer
-    digest: float = 3.0  # seconds between two comparisons of all with somebody
+    """Times and counts of the protocol."""
+
+    every: float = 0.4  # seconds between probes of a watched member
+    answer: float = 0.25  # seconds to wait for a direct answer before indirect probes start
+    missed: float = 0.6  # seconds from its start until a probe counts as missed
+    suspect: float = 1.7  # seconds from the first missed probe until the member is gone, if others confirm
+    helpers: int = 3  # members that are asked for an indirect probe
+    watched: int = 2  # successors in the ring that each member watches, of those that answer
+    digest: float = 3.0  # seconds between comparisons of the whole list with a random member
 
     @property
     def pause(self) -> float:
-        """The longest standstill that is never a death: one that moves again speaks at once to those that
-        watch it, a fifth of a second is kept for that."""
+        """The longest stall in seconds that never counts as a death. A resumed process contacts its watchers
+        at once; 0.2 s are reserved for that."""
         return self.missed + self.suspect - 0.2
 
     @property
     def detect(self) -> float:
-        """Until a crash is known to all that are connected, without loss: a round, the suspicion, and the
-        news, which a fan-out of four brings round within some trips."""
+        """Seconds until all connected members have detected a crash, without message loss: a probe interval,
+        the suspicion, and the dissemination, which takes a few round trips at a fan-out of four."""
         return 1.1 * self.every + self.missed + self.suspect + 0.2
 
 
 class Send(NamedTuple):
+    """A message to send."""
+
     to: int
-    octets: bytes
+    payload: bytes
 
 
 class Wake(NamedTuple):
+    """The time at which decisions() is due again."""
+
     at: float
 
 
 class Event(NamedTuple):
+    """A change of state of a member."""
+
     kind: str  # joined, suspected, cleared, gone, returned, left, majority, minority, displaced
     member: int
     life: int
@@ -65,28 +73,32 @@
 
 @dataclass(slots=True, eq=False)
 class Suspicion:
-    """This one's own, of a member that did not answer it."""
+    """This member's own suspicion of a peer that did not answer it."""
 
-    began: float  # of the first probe that was missed
+    began: float  # when the first missed probe started
     lasts: float
     misses: int = 1
-    silent: dict[int, float] = field(default_factory=dict)  # others that it does not answer either, and when
+    silent: dict[int, float] = field(
+        default_factory=dict
+    )  # members that report no answer from it either, and when
 
 
 @dataclass(slots=True, eq=False)
 class Peer:
+    """What this member holds about another one."""
+
     number: int
     state: State = State.UNKNOWN
     life: int = 0
     incarnation: int = 0
-    since: float = -math.inf  # when the state began, as far as told
-    why: str = "never heard of"
-    own: bool = False  # gone by this one's own judgement alone, which is told to nobody
-    heard_at: float = -math.inf  # a word of its own came
-    reached_at: float = -math.inf  # it answered, straight
-    others_at: float = -math.inf  # it answered, by others
-    round_about: int = 0  # answers in a row that came by others alone
-    saved: int = 0  # suspicions in a row that only its own word, by others, has ended
+    since: float = -math.inf  # when the state began, as far as reported
+    why: str = "no message received yet"
+    own: bool = False  # gone without confirmation by others, which is not disseminated
+    heard_at: float = -math.inf  # last message from it
+    reached_at: float = -math.inf  # last direct answer
+    others_at: float = -math.inf  # last indirect answer
+    round_about: int = 0  # consecutive answers that were indirect
+    saved: int = 0  # consecutive suspicions ended only by its refutation through others
     suspicion: Suspicion | None = None
 
     @property
@@ -100,23 +112,27 @@
 
 @dataclass(slots=True, eq=False)
 class Probe:
+    """A probe that is not yet answered."""
+
     number: int
     peer: Peer
     began: float
-    asked: bool = False  # others were asked too
-    heard_of: bool = False  # by a helper at least: the ways out and in are not this one's own trouble
-    relay: tuple[int, int] | None = None  # for another: who, and its number
+    asked: bool = False  # indirect probes were requested
+    heard_of: bool = False  # a helper at least has answered, so this member's own connection works
+    relay: tuple[int, int] | None = None  # on behalf of another member: its position and its probe's number
 
 
 class Members:
-    FRESH = 3.0  # seconds: news of a death that is older was missed, or comes from another side
-    BEGIN = 3.0  # seconds in which one that has just started may find its name used under a later life
-    PUSHES = 4  # each that learns of a death or a return tells so many at once
-    PUSH_IN = 0.05  # seconds that pushes wait for each other: many die at once
-    RIDE, MANY = 6, 30  # pieces of news that ride on one word; as many as fit while more than MANY wait
-    JOINS = 6  # how often a first joining is told on: all may start at once
-    HEALTH = 4  # at worst it takes five times the time before it accuses
-    APART_MOST = 64  # pairs that do not hear each other, kept and told
+    """The state of membership in one process."""
+
+    FRESH = 3.0  # seconds: an older report of a death was missed, or comes from another partition
+    BEGIN = 3.0  # seconds after the start in which a later life under its own name counts as a former one
+    PUSHES = 4  # members to which a death or a return is pushed at once
+    PUSH_IN = 0.05  # seconds over which pushes are batched, as many members may die at once
+    RIDE, MANY = 6, 30  # updates piggybacked on a message; as many as fit while more than MANY are pending
+    JOINS = 6  # transmissions of a first joining, few because all members may start at once
+    HEALTH = 4  # worst score of own health: time limits for probes are then five times as long
+    APART_MOST = 64  # stored pairs of members with a one-way connection
 
     def __init__(self, me: int, count: int, life: int, now: float, terms: Terms, seed: int) -> None:
         self.me, self.count, self.life, self.terms, self.now = me, count, life & 0xFFFFFFFF, terms, now
@@ -124,22 +140,24 @@
         self.incarnation, self.started = 0, now
         self.peers = {i: Peer(i) for i in range(count) if i != me}
         self.ring = [self.peers[(me + k) % count] for k in range(1, count)]
-        self.order: list[Peer] = []  # of the round robin
+        self.order: list[Peer] = []  # rest of the current round robin
         self.probes: dict[int, Probe] = {}  # by number
         self.number = 0
         self.due: list[tuple[float, int, str, object]] = []
         self.serial = 0
-        self.news: dict[int, int] = {}  # about whom: how often it is still told
+        self.news: dict[int, int] = {}  # member: transmissions left of its update
         self.tellings = 3 * max(1, math.ceil(math.log2(count + 1)))
         self.pushed, self.push_at = False, -math.inf
         self.owed: list[tuple[int, Word]] = []
         self.events: list[Event] = []
-        self.apart: dict[tuple[int, int], float] = {}  # who does not hear whom, told when
+        self.apart: dict[
+            tuple[int, int], float
+        ] = {}  # (receiver, sender) of a failed direction: when reported
         self.apart_news: dict[tuple[int, int], int] = {}
-        self.health = 0  # troubles of its own, by what it saw
-        self.doubts_until = -math.inf  # after a standstill it accuses nobody
-        self.quiet, self.gone_away = False, False  # another has its name; it left
-        self.most: bool | None = None  # whether it sees a majority
+        self.health = 0  # Lifeguard's local health score; 0: healthy
+        self.doubts_until = -math.inf  # end of the time after a stall in which no suspicion is started
+        self.quiet, self.gone_away = False, False  # another process has this name; this one has left
+        self.most: bool | None = None  # whether a majority is present; None: unknown
         self.digest_at = now
         self.counts = dict.fromkeys(
             (
@@ -164,7 +182,8 @@
         self.now = now
 
     def stood(self) -> None:
-        """It stood still: what it had not heard says nothing. It doubts itself, and asks what happened."""
+        """After a stall of this process: missing answers mean nothing, so suspicions are dropped, the own
+        health score is lowered, and the whole list is compared with another member."""
         self.probes.clear()
         for peer in self.peers.values():
             peer.suspicion = None
@@ -172,22 +191,22 @@
         self.health = min(self.HEALTH, self.health + 1)
         self.digest_at = self.now
         self._at(self.now, "tick", None)
-        for peer in self.ring[-2:]:  # those that watch it: it speaks before they give it up
+        for peer in self.ring[-2:]:  # its watchers: they get a message before they declare it gone
             if peer.there:
                 self._probe(peer)
 
     def leave(self) -> None:
-        """For good: the others are told, and need not find out."""
+        """Leaves for good, and announces it so that others don't have to detect it."""
         if not self.gone_away:
             self.gone_away = True
             self.incarnation = (self.incarnation + 1) & 0xFFFF
-            told = News(self.me, State.LEFT, self.life, self.incarnation, 0.0)
+            update = News(self.me, State.LEFT, self.life, self.incarnation, 0.0)
             for peer in {*self._some(2 * self.PUSHES), *self.ring[:2]}:
-                self.owed.append((peer.number, self._word(What.NEWS, news=[told])))
+                self.owed.append((peer.number, self._word(What.NEWS, news=[update])))
 
-    def heard(self, sender: int, octets: bytes) -> None:
-        """A word from the address of a member."""
-        word = unpacked(octets)
+    def heard(self, sender: int, payload: bytes) -> None:
+        """Processes a message from the address of a member."""
+        word = unpacked(payload)
         if word is None or word.sender != sender or sender not in self.peers:
             self.counts["odd"] += 1
             return
@@ -201,7 +220,7 @@
             return
         peer = self.peers[sender]
         if peer.state is not State.UNKNOWN and newer(peer.life, word.life):
-            self.counts["old"] += 1  # of the life before; it may still run, and is told
+            self.counts["old"] += 1  # from a former process, which may still run: it is notified
             self._owe(sender, What.NEWS, self._item(peer))
             return
         self._met(peer, word)
@@ -209,7 +228,7 @@
             self._learn(item)
         self._answer(peer, word)
 
-    # ---- what is pulled
+    # ---- outputs
 
     def decisions(self) -> Iterator[Decision]:
         while self.due and self.due[0][0] <= self.now:
@@ -229,16 +248,16 @@
             yield Wake(max(wake, self.now))
 
     def share(self) -> float:
-        """Of the configured members those that it takes to be there, itself among them."""
+        """Fraction of the configured members that are present, with this one."""
         return (1 + sum(peer.there for peer in self.peers.values())) / self.count
 
     def alone(self) -> bool:
-        """Nobody answered it or spoke to it in the last few rounds."""
+        """Whether no message was received in the last few probe intervals."""
         least = self.now - 5.0 * self.terms.every
         return all(max(p.heard_at, p.reached_at, p.others_at) < least for p in self.peers.values())
 
     def reach(self, peer: Peer) -> str:
-        """Of the pair: reached, reached by others, or not by anybody known."""
+        """How a peer is reached: directly, only through others, or not at all."""
         least = self.now - 10.0 * self.terms.every * max(1.0, self.count / 40.0)
         if max(peer.reached_at, peer.heard_at) >= least and not peer.round_about:
             return "reached"
@@ -247,14 +266,14 @@
         return "not reached"
 
     def view(self) -> list[dict[str, object]]:
-        """A row a member, for people."""
+        """One row for each member, for display."""
         rows: list[dict[str, object]] = [
             {
                 "member": self.me,
                 "state": "self",
                 "life": self.life,
                 "incarnation": self.incarnation,
-                "why": "this one",
+                "why": "this member",
             }
         ]
         for p in self.peers.values():
@@ -273,18 +292,18 @@
             )
         return sorted(rows, key=lambda row: row["member"])  # type: ignore[arg-type, return-value]
 
-    # ---- words that come
+    # ---- received messages
 
     def _met(self, peer: Peer, word: Word) -> None:
-        """It spoke itself, under this life and incarnation."""
+        """A message came from the peer itself, with its life and incarnation."""
         if peer.state is State.UNKNOWN or newer(word.life, peer.life):
-            self._alive(peer, word.life, word.incarnation, "it spoke")
+            self._alive(peer, word.life, word.incarnation, "message received from it")
         elif peer.there:
             if later(word.incarnation, peer.incarnation):
-                self._alive(peer, word.life, word.incarnation, "it spoke")
+                self._alive(peer, word.life, word.incarnation, "message received from it")
         elif peer.own or later(word.incarnation, peer.incarnation):
-            self._alive(peer, word.life, word.incarnation, "it spoke")
-        else:  # it is told what is held of it, and refutes that
+            self._alive(peer, word.life, word.incarnation, "message received from it")
+        else:  # it receives the state held of it, and refutes that
             self._owe(peer.number, What.NEWS)
         peer.heard_at = self.now
         if peer.suspicion is not None and peer.there:
@@ -308,28 +327,28 @@
             return
         match item.state:
             case State.ALIVE if fresh or later(item.incarnation, peer.incarnation):
-                self._alive(peer, item.life, item.incarnation, "told by others")
+                self._alive(peer, item.life, item.incarnation, "reported by others")
             case State.SUSPECT if (
                 fresh
                 or peer.state is State.ALIVE
                 or (peer.there and later(item.incarnation, peer.incarnation))
             ):
                 if fresh:
-                    self._alive(peer, item.life, item.incarnation, "told by others")
+                    self._alive(peer, item.life, item.incarnation, "reported by others")
                 peer.incarnation = item.incarnation
                 self._suspected(peer, self.now - item.age, "others suspect it")
-                if peer.heard_at > peer.since:  # it is told, and can say that it is there
+                if peer.heard_at > peer.since:  # it is notified, so that it can refute
                     self._owe(peer.number, What.NEWS)
             case State.GONE if fresh or peer.there:
-                # heard since, or a death of long ago that nobody told: from another side, or missed. It is
-                # asked before it is believed, and is told first
+                # a message came since, or the death is old and was not reported before: it comes from another
+                # partition, or was missed. The peer is notified and probed before the report is accepted
                 spoke = peer.heard_at > self.now - item.age - self.terms.pause
                 if not fresh and (spoke or item.age > self.FRESH):
                     self._owe(peer.number, What.NEWS, item)
                     self._doubt(peer, self.now, 0.5 * self.terms.suspect)
                 else:
                     peer.life, peer.incarnation = item.life, item.incarnation
-                    self._gone(peer, self.now - item.age, "told by others")
+                    self._gone(peer, self.now - item.age, "reported by others")
             case State.LEFT if fresh or peer.state is not State.LEFT:
                 peer.life, peer.incarnation = item.life, item.incarnation
                 self._left(peer)
@@ -337,12 +356,12 @@
     def _of_me(self, item: News) -> None:
         if newer(item.life, self.life):
             if self.now - self.started < self.BEGIN:
-                # of a life before, under a clock that was ahead: this one is the later all the same
-                self._renamed(item.life, "its name was known under a later life")
+                # a former process under a clock that was ahead: this process is the later one all the same
+                self._renamed(item.life, "other members hold a later life for this name")
             else:
                 self.quiet = True
                 self.probes.clear()
-                why = "another has started under this name"
+                why = "another process has started under this name"
                 self.events.append(Event("displaced", self.me, item.life, why))
         elif item.life == self.life and item.state in (State.SUSPECT, State.GONE, State.LEFT):
             if not later(self.incarnation, item.incarnation):
@@ -352,10 +371,10 @@
                 self._tell(self.me, push=True)
 
     def _back(self, item: News) -> None:
-        """Displaced: it is back, as somebody new, once the one that took its name is gone."""
+        """While displaced: rejoins under a new life once the process that took its name is gone."""
         if item.state in (State.GONE, State.LEFT) and not newer(self.life, item.life):
             self.quiet = False
-            self._renamed(item.life, "the other under this name is gone")
+            self._renamed(item.life, "the other process under this name is gone")
 
     def _renamed(self, after: int, why: str) -> None:
         self.life, self.incarnation = (after + 1) & 0xFFFFFFFF, 0
@@ -394,11 +413,11 @@
 
     def _due_tick(self, _: object) -> None:
         t = self.terms
-        # one tick at a time: a standstill asks for one more
+        # one pending tick at a time, as one more is scheduled after a stall
         self.due = [entry for entry in self.due if entry[2] != "tick"]
         heapq.heapify(self.due)
         self._at(self.now + t.every * (0.9 + 0.2 * self.chance.draw()), "tick", None)
-        if self.quiet:  # how the one that took its name is
+        if self.quiet:  # asks for the state of the process that took its name
             for peer in self._some(1):
                 self._owe(peer.number, What.NEWS)
             return
@@ -407,13 +426,13 @@
         absent = [
             p for p in self.ring if not p.there and (p.state is not State.LEFT or self.now - p.since > 30.0)
         ]
-        if absent:  # it may be back, or the split over
+        if absent:  # it may have returned, or the partition may be over
             asked[absent[int(self.chance.draw() * len(absent))]] = None
         busy = {probe.peer: probe for probe in self.probes.values() if probe.relay is None}
         for peer in asked:
             if peer not in busy:
                 self._probe(peer)
-            elif self.health:  # it waits longer, and speaks as often: a deaf one is heard
+            elif self.health:  # longer time limits, but no fewer messages, as others may still receive them
                 self._owe(peer.number, What.PING, number=busy[peer].number)
         if self.now >= self.digest_at:
             self.digest_at = self.now + t.digest * (0.8 + 0.4 * self.chance.draw())
@@ -421,8 +440,8 @@
                 self.owed.append((peer.number, self._word(What.DIGEST, digest=self._digest())))
 
     def _watch(self) -> Iterator[Peer]:
-        """The next ones in the ring: two that answer, and three for each that does not, so that a long row
-        of dead ones is walked in a few rounds; and all that are doubted."""
+        """The successors in the ring: two that answer, and three for each that doesn't, so that a long row of
+        dead members is passed in a few intervals; and all that are suspected."""
         left = self.terms.watched
         for peer in self.ring:
             if peer.there:
@@ -434,7 +453,7 @@
                 left -= 1
 
     def _robin(self) -> Iterator[Peer]:
-        """One of all, each once a round, in an order drawn anew."""
+        """One member, each once a round, in an order shuffled anew for each round."""
         while self.order:
             peer = self.order.pop()
             if peer.there:
@@ -460,8 +479,10 @@
     def _due_late(self, probe: Probe) -> None:
         if self.probes.get(probe.number) is not probe:
             return
-        if probe.relay is not None:  # the one that asked hears that it does not answer here either
-            # it spoke since the other's probe began, and may be deaf: it is there
+        if (
+            probe.relay is not None
+        ):  # the member that requested it is notified that there is no answer here either
+            # a message came since the other's probe began: it is present, and may only receive nothing
             if probe.peer.heard_at > probe.began - 0.8 * self.terms.answer:
                 return self._answered(probe, straight=False)
             del self.probes[probe.number]
@@ -471,17 +492,19 @@
             self._owe(probe.peer.number, What.AROUND, number=probe.number)
             for helper in self._helpers(probe.peer):
                 self._owe(helper.number, What.ASK, number=probe.number, about=probe.peer.number)
-        # as long again for the helpers' own probes, and a trip each way
+        # time for the helpers' own probes, and a trip each way
         self._at(probe.began + self.terms.missed * self._patience(), "missed", probe)
 
     def _due_missed(self, probe: Probe) -> None:
         if self.probes.pop(probe.number, None) is not probe or not probe.peer.there:
             return
-        if probe.peer.heard_at > probe.began:  # no answer, but a word of its own
+        if probe.peer.heard_at > probe.began:  # no answer, but another message from it
             return
         self.counts["missed"] += 1
         if not probe.heard_of and sum(p.there for p in self.ring) > 1:
-            self.health = min(self.HEALTH, self.health + 1)  # not even a helper: it may be this one
+            self.health = min(
+                self.HEALTH, self.health + 1
+            )  # not even a helper has answered: the fault may be here
         if probe.peer.suspicion is not None:
             probe.peer.suspicion.misses += 1
         elif self.now >= self.doubts_until:
@@ -504,7 +527,7 @@
             peer.reached_at, peer.round_about = self.now, 0
         else:
             peer.others_at, peer.round_about = self.now, peer.round_about + 1
-            if peer.round_about == 3:  # no straight answer three times in a row: a one-sided cut
+            if peer.round_about == 3:  # no direct answer three times in a row: one direction fails
                 self._apart(self.me, peer.number, self.now)
         if peer.suspicion is not None:
             self._cleared(peer)
@@ -516,8 +539,8 @@
             peer.suspicion = Suspicion(began, lasts, 0 if lasts < self.terms.suspect else 1)
             self.counts["suspicions"] += 1
             self._probe(peer)
-            # told half-way, so that it can refute. Where again and again only that has saved it, as in a ring
-            # of one-way cuts, the way back is the trouble, and each time it is given twice as long
+            # announced half-way, so that it can refute. If only that has ended former suspicions, as in a
+            # ring of one-way failures, its answers are what is lost, and each time it gets twice the time
             lasts *= 2 ** min(peer.saved, 3)
             peer.suspicion.lasts = lasts
             self._at(
@@ -530,10 +553,13 @@
     def _due_tell(self, whom: tuple[Peer, Suspicion]) -> None:
         peer, suspicion = whom
         if peer.suspicion is suspicion and peer.state is State.ALIVE:
-            self._suspected(peer, suspicion.began, f"no answer, nor to {len(suspicion.silent)} others")
+            self._suspected(
+                peer, suspicion.began, f"no answer to this member nor to {len(suspicion.silent)} others"
+            )
 
     def _due_judge(self, whom: tuple[Peer, Suspicion]) -> None:
-        """Gone, if others find the same; by its own judgement alone only after as long again, and untold."""
+        """Declares it gone if others confirm; without confirmation only after as long again, and without
+        dissemination."""
         peer, suspicion = whom
         if peer.suspicion is not suspicion or not peer.there:
             return
@@ -541,28 +567,28 @@
         recent = [at for at in suspicion.silent.values() if at > self.now - 3.0 * self.terms.every]
         others = sum(p.there and p.suspicion is None for p in self.ring if p is not peer)
         if self.now >= patient and suspicion.misses >= 2 and recent:
-            self._gone(peer, self.now, f"no answer, nor to {len(recent)} others")
+            self._gone(peer, self.now, f"no answer to this member nor to {len(recent)} others")
         elif (
             self.now >= patient + self.terms.missed + suspicion.lasts and suspicion.misses >= 2 and not others
         ):
             peer.own = True
-            self._gone(peer, self.now, "no answer, and nobody else answers")
+            self._gone(peer, self.now, "no answer, and no other member answers either")
         else:
             self._at(self.now + 0.1, "judge", whom)
 
     def _due_overdue(self, peer: Peer) -> None:
-        """Others suspected it, and told nothing more: this one asks."""
+        """Others suspected it and have reported nothing since: this member probes it."""
         if peer.state is State.SUSPECT and self.now - peer.since > self.terms.missed + self.terms.suspect:
             if peer.heard_at < self.now - self.terms.pause:
                 self._doubt(peer, self.now, 0.5 * self.terms.suspect)
             self._at(self.now + self.terms.pause, "overdue", peer)
 
     def _cleared(self, peer: Peer) -> None:
-        """It answers: this one's own suspicion is over, and counts as false."""
+        """It has answered: ends this member's own suspicion, which counts as false."""
         peer.suspicion, peer.saved = None, 0
         self.counts["false"] += 1
 
-    # ---- what is held of a member
+    # ---- state of a member
 
     def _alive(self, peer: Peer, life: int, incarnation: int, why: str) -> None:
         kind = (
@@ -598,7 +624,12 @@
             self._tell(peer.number, push=True)
 
     def _left(self, peer: Peer) -> None:
-        peer.state, peer.since, peer.why, peer.suspicion = State.LEFT, self.now, "it said so", None
+        peer.state, peer.since, peer.why, peer.suspicion = (
+            State.LEFT,
+            self.now,
+            "it announced that it leaves",
+            None,
+        )
         self.events.append(Event("left", peer.number, peer.life, peer.why))
         self._tell(peer.number, push=True)
 
@@ -611,27 +642,29 @@
                         "majority" if most else "minority",
                         self.me,
                         self.life,
-                        f"{self.share():.0%} of the members are seen",
+                        f"{self.share():.0%} of the members are present",
                     )
                 )
             self.most = most
 
     def _apart(self, one: int, other: int, at: float) -> None:
-        """`one` does not hear `other`, though others do."""
+        """`one` receives nothing from `other`, though others do."""
         if self.now - self.apart.get((one, other), -math.inf) > 5.0:
             if len(self.apart) >= self.APART_MOST:
                 del self.apart[min(self.apart, key=lambda pair: self.apart[pair])]
-            self.apart_news[one, other] = 4  # tellings: it is for whoever needs it soon
+            self.apart_news[one, other] = (
+                4  # transmissions: few, as the report is useful for a short time only
+            )
         self.apart[one, other] = max(at, self.apart.get((one, other), at))
 
-    # ---- words that go
+    # ---- sent messages
 
     def _at(self, when: float, what: str, whom: object) -> None:
         self.serial += 1
         heapq.heappush(self.due, (when, self.serial, what, whom))
 
     def _some(self, count: int, but: Peer | None = None) -> list[Peer]:
-        """So many that are there, drawn."""
+        """Up to `count` random members that are present and not suspected here."""
         there = [p for p in self.ring if p.there and p is not but and p.suspicion is None]
         for i in range(min(count, len(there))):
             j = i + int(self.chance.draw() * (len(there) - i))
@@ -639,7 +672,7 @@
         return there[:count]
 
     def _helpers(self, peer: Peer) -> list[Peer]:
-        """The next one in its ring, which it watches and speaks to, even if it is deaf; the others drawn."""
+        """The peer's successor in the ring, which it probes even if it receives nothing, then random ones."""
         order = [(peer.number + k) % self.count for k in range(1, self.count)]
         after = [p for n in order if n != self.me and (p := self.peers[n]).there and p.suspicion is None][:1]
         drawn = [p for p in self._some(self.terms.helpers, peer) if p not in after]
@@ -672,7 +705,7 @@
     def _word(
         self, what: What, news: list[News] | None = None, digest: list[int] | None = None, most: int = 0
     ) -> Word:
-        """`most`: so many pieces of news go along, beyond those given."""
+        """A message; `most`: number of pending updates to add to those given."""
         return Word(
             what,
             self.me,
@@ -685,7 +718,7 @@
         )
 
     def _riding(self, most: int) -> list[News]:
-        """News, those least often told first; each is told a bounded number of times."""
+        """Pending updates, the least often sent first; each is sent a bounded number of times."""
         found = []
         for about in sorted(self.news, key=lambda a: -self.news[a])[:most]:
             self.news[about] -= 1
@@ -704,9 +737,9 @@
     def _send(self, to: int, word: Word) -> Send:
         if word.what is not What.DIGEST and word.what is not What.ITEMS and not self.gone_away:
             news = list(word.news)
-            peer = self.peers[to]  # Lifeguard: whoever is suspected is told first
-            told = any(n.about == to for n in news)
-            if peer.state in (State.SUSPECT, State.GONE) and not peer.own and not told:
+            peer = self.peers[to]  # Lifeguard: the suspect itself is notified first
+            included = any(n.about == to for n in news)
+            if peer.state in (State.SUSPECT, State.GONE) and not peer.own and not included:
                 news.insert(0, self._item(peer))
             room = self.RIDE if len(self.news) <= self.MANY else MOST
             news += [
@@ -715,27 +748,27 @@
                 if all(n.about != known.about for known in news)
             ]
             word = word._replace(news=news[:MOST])
-        octets = packed(word)
+        payload = packed(word)
         self.counts["sent"] += 1
-        self.counts["octets"] += len(octets)
-        return Send(to, octets)
+        self.counts["octets"] += len(payload)
+        return Send(to, payload)
 
-    # ---- comparison of all
+    # ---- comparison of whole lists
 
     def _digest(self) -> list[int]:
-        """Sums of what is held, by bucket: equal where two hold the same."""
+        """Checksums of the list by bucket, equal where two members hold the same."""
         sums = [0] * BUCKETS
         for about in range(self.count):
             held = self._held(about)
             if held.state is State.UNKNOWN or about != self.me and self.peers[about].own:
                 continue
             state = State.ALIVE if held.state is State.SUSPECT else held.state
-            told = b"%d/%d/%d/%d" % (about, state, held.life, held.incarnation)
-            sums[about % BUCKETS] = (sums[about % BUCKETS] + zlib.crc32(told)) & 0xFFFF
+            entry = b"%d/%d/%d/%d" % (about, state, held.life, held.incarnation)
+            sums[about % BUCKETS] = (sums[about % BUCKETS] + zlib.crc32(entry)) & 0xFFFF
         return sums
 
     def _items(self, to: int, buckets: list[int], back: bool) -> None:
-        """All that is held in those buckets, in as few words as it fits; `back`: asks for the other's."""
+        """Sends the entries of those buckets in as few messages as possible; `back`: requests the other's."""
         items = [
             self._held(about)
             for about in range(self.count)
--- a/opalwick/program/core.py
+++ b/opalwick/program/core.py
@@ -147,7 +147,7 @@
         for decision in self.agent.decisions():
             match type(decision).__name__:
                 case "Send" if self.datagrams is not None and decision.to < len(self.configuration.peers):
-                    self.datagrams.send(self.configuration.peers[decision.to], decision.octets)
+                    self.datagrams.send(self.configuration.peers[decision.to], decision.payload)
                 case "Wake":
                     self.agent_at = decision.at
                     self.rearmed.set()
@@ -179,10 +179,10 @@
                 gevent.spawn(self.probe, worker, place)
             case Watch():
                 gevent.spawn(self.discovery.watch)
-            case Datagram(to, octets):
+            case Datagram(to, payload):
                 # a successor reports for both processes: messages of two would replace each other at peers
                 if self.datagrams is not None and not self.relieved and to < len(self.configuration.peers):
-                    self.datagrams.send(self.configuration.peers[to], octets)
+                    self.datagrams.send(self.configuration.peers[to], payload)
 
     def probe(self, worker: Any, place: Address) -> None:
         self.put("probed", worker, probe(place, self.pool, self.limits, self.names.figures))
@@ -221,7 +221,7 @@
                 logger.warning("discovery did not answer; the last list of workers stays in use")
         self.put("listed", form, found)
 
-    def heard(self, sender: Address, octets: bytes) -> None:
+    def heard(self, sender: Address, payload: bytes) -> None:
         now = time.monotonic()
         if self.pulse.late(now):
             self.stood(now)
@@ -229,12 +229,12 @@
             return  # the message may have been queued for the whole stall
         if (peer := self.peers.get(sender)) is None:
             return
-        if self.agent is not None and octets.startswith(AGENT):
+        if self.agent is not None and payload.startswith(AGENT):
             self.agent.clock(now)
-            self.agent.heard(peer, octets)
+            self.agent.heard(peer, payload)
             self.step()
         else:
-            self.put("heard", peer, octets)
+            self.put("heard", peer, payload)
 
     # ---- state of the process, operators' requests
 
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -274,7 +274,7 @@
 
     done = gevent.get_hub().threadpool.spawn(CliRunner().invoke, app, ["fleet", "members", place])
     found = done.get()
-    assert found.exit_code == 0 and "alone" in found.output and "never heard of" in found.output
+    assert found.exit_code == 0 and "alone" in found.output and "no message received yet" in found.output
     assert b"svc.fleet_probes:" in served.scheduler.figures()
     served.stop()
     assert CliRunner().invoke(app, ["fleet", "members", "nowhere"]).exit_code == 2
