--- a/opalwick/__main__.py
+++ b/opalwick/__main__.py
@@ -3,7 +3,7 @@
 import sys
 
 if sys.argv[1:] == ["serve"]:
-    # as deployed: without the parser of the command line a restart takes a third less, and ten megabytes
+    # as deployed: without the command line parser a restart takes a third less time, and 10 MB less memory
     from opalwick.program.service import serve
 
     sys.exit(serve())
--- a/opalwick/commands.py
+++ b/opalwick/commands.py
@@ -1,5 +1,5 @@
-"""The command line. What belongs to a package of its own is imported only when it is called, so that nothing
-below needs what lies above it: `serve` as deployed imports neither the lab nor the processor."""
+"""The command line. Subcommands of other packages are imported only when they are called, so that `serve` as
+deployed imports neither the lab nor the processor."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from opalwick import __version__
 from opalwick.program.configuration import BadConfiguration, read
 
-# command: the module and the app in it that has it
+# command: module whose `app` implements it
 ELSEWHERE = {
     "lab": "opalwick.lab.commands",
     "processor": "opalwick.processor.commands",
@@ -22,6 +22,8 @@
 
 
 class Lazy(TyperGroup):
+    """Command group that imports the commands in ELSEWHERE on first use."""
+
     def list_commands(self, ctx: Any) -> list[str]:
         return [*super().list_commands(ctx), *ELSEWHERE]
 
@@ -40,15 +42,17 @@
     pretty_exceptions_enable=False,
     help="A scheduler beside each submitter that pushes work items to workers.",
 )
-File = Annotated[Optional[str], typer.Argument(help="The configuration; else BALANCER_CONFIG names it.")]
+File = Annotated[
+    Optional[str], typer.Argument(help="Configuration file; by default the one that BALANCER_CONFIG names.")
+]
 
 
 @app.command()
 def serve(
     configuration: File = None,
-    log: Annotated[str, typer.Option(help="The least level that is logged.")] = "INFO",
+    log: Annotated[str, typer.Option(help="Minimum log level.")] = "INFO",
 ) -> None:
-    """Runs one scheduler until SIGTERM; SIGHUP has it read its configuration again."""
+    """Runs one scheduler until SIGTERM; SIGHUP reloads its configuration."""
     from opalwick.program.service import serve as run
 
     raise typer.Exit(run(configuration, log))
@@ -56,20 +60,20 @@
 
 @app.command()
 def check(configuration: File = None) -> None:
-    """Reads and checks a configuration, and prints what it comes to. A .toml file is a processor's."""
+    """Validates a configuration and prints a summary. A .toml file is a processor's."""
     if configuration is not None and configuration.endswith(".toml"):
         from opalwick.processor.commands import check as check_processor
 
         try:
             typer.echo(check_processor(configuration))
-        except ValueError as problem:
-            typer.echo(f"opalwick: {problem}", err=True)
+        except ValueError as exc:
+            typer.echo(f"opalwick: {exc}", err=True)
             raise typer.Exit(2) from None
         return
     try:
         found = read(os.environ, configuration)
-    except BadConfiguration as problem:
-        typer.echo(f"opalwick: {problem}", err=True)
+    except BadConfiguration as exc:
+        typer.echo(f"opalwick: {exc}", err=True)
         raise typer.Exit(2) from None
     typer.echo(
         f"{found.name}: listens on {found.listen[0]}:{found.listen[1]}, "
@@ -79,35 +83,37 @@
     if found.fleet is not None:
         terms = found.fleet["terms"]
         typer.echo(
-            f"fleet.members: a crash is known within {terms.detect:.2f} s without loss; "
-            f"a standstill of under {terms.pause:.2f} s is no death"
+            f"fleet.members: a crash is detected within {terms.detect:.2f} s without message loss; "
+            f"a stall of under {terms.pause:.2f} s does not count as a crash"
         )
 
 
 fleet = typer.Typer(
-    no_args_is_help=True, help="What a scheduler holds of the fleet, by its operators' address."
+    no_args_is_help=True, help="Shows a scheduler's view of the fleet, from its operators' address."
 )
 app.add_typer(fleet, name="fleet")
 
 
 @fleet.command()
-def members(address: Annotated[str, typer.Argument(metavar="HOST:PORT", help="Of its operators.")]) -> None:
-    """The members as one scheduler sees them."""
+def members(
+    address: Annotated[str, typer.Argument(metavar="HOST:PORT", help="Operators' address of the scheduler.")],
+) -> None:
+    """Prints the members as one scheduler sees them."""
     from http.client import HTTPConnection, HTTPException
 
-    from opalwick.protocol.discovery import address as place
+    from opalwick.protocol.discovery import address as parse_address
 
     try:
-        host, port = place(address)
-        call = HTTPConnection(host, port, timeout=2.0)
-        call.request("GET", "/fleet/members")
-        answer = call.getresponse()
-        said = answer.read().decode()
-    except (OSError, ValueError, HTTPException) as problem:
-        typer.echo(f"opalwick: {address}: {problem}", err=True)
+        host, port = parse_address(address)
+        connection = HTTPConnection(host, port, timeout=2.0)
+        connection.request("GET", "/fleet/members")
+        response = connection.getresponse()
+        body = response.read().decode()
+    except (OSError, ValueError, HTTPException) as exc:
+        typer.echo(f"opalwick: {address}: {exc}", err=True)
         raise typer.Exit(2) from None
-    typer.echo(said.rstrip(), err=answer.status != 200)
-    if answer.status != 200:
+    typer.echo(body.rstrip(), err=response.status != 200)
+    if response.status != 200:
         raise typer.Exit(1)
 
 
@@ -120,12 +126,12 @@
     },
 )
 def post(ctx: typer.Context) -> None:
-    """The post, the ingest and dispatch service: checks, plans, asks and replays; `post --help` has it."""
+    """Commands of the ingest and dispatch service; see `post --help`."""
     try:
-        from opalwick.post.commands import run  # a command line of its own, which reads the rest
-    except ModuleNotFoundError as problem:
+        from opalwick.post.commands import run  # has its own parser for the remaining arguments
+    except ModuleNotFoundError as exc:
         typer.echo(
-            f"opalwick: {problem.name} is missing: pip install 'opalwick[post]', or -r requirements-post.txt",
+            f"opalwick: {exc.name} is missing: pip install 'opalwick[post]', or -r requirements-post.txt",
             err=True,
         )
         raise typer.Exit(2) from None
--- a/opalwick/processor/__init__.py
+++ b/opalwick/processor/__init__.py
@@ -1,7 +1,6 @@
-"""An external processor: other proxies ask once a request, opalwick decides, the proxy carries.
+"""External processor for proxies: they open a call per request, the scheduler decides, they forward.
 
-In go a proxy's messages about its requests, out come decisions: a worker, or an answer. `exchange.py` is the
-core between calls and the reducer, free of I/O and clock; `grpc.py` speaks gRPC over HTTP/2, bytes in and
-out;
-`messages.py` knows the messages of `envoy.service.ext_proc.v3`; `front.py` puts them on sockets.
+Input are a proxy's messages about its requests; output are decisions: a worker, or an immediate answer.
+`exchange.py` connects calls to the reducer, without I/O or a clock; `grpc.py` implements gRPC over HTTP/2 on
+bytes; `messages.py` converts the messages of `envoy.service.ext_proc.v3`; `front.py` serves them on sockets.
 """
--- a/opalwick/processor/commands.py
+++ b/opalwick/processor/commands.py
@@ -1,4 +1,4 @@
-"""`python -m opalwick processor FILE`. Imports the processor itself only when it runs."""
+"""`python -m opalwick processor FILE`. The processor's dependencies are imported only when it runs."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 @app.command()
 def processor(
-    file: Annotated[str, typer.Argument(help="As deploy/processor.toml.")],
-    log: Annotated[str, typer.Option(help="The least level that is logged.")] = "INFO",
+    file: Annotated[str, typer.Argument(help="Settings file; see deploy/processor.toml.")],
+    log: Annotated[str, typer.Option(help="Minimum log level.")] = "INFO",
 ) -> None:
     """Runs an external processor for proxies (gRPC, envoy.service.ext_proc.v3) until SIGTERM."""
     try:
         from opalwick.processor.front import serve
-    except ModuleNotFoundError as problem:
+    except ModuleNotFoundError as exc:
         typer.echo(
-            f"opalwick: {problem.name} is missing: pip install 'opalwick[processor]', "
+            f"opalwick: {exc.name} is missing: pip install 'opalwick[processor]', "
             "or -r requirements-processor.txt",
             err=True,
         )
@@ -28,18 +28,18 @@
 
 
 def check(file: str) -> str:
-    """What a processor's file comes to. Raises ValueError with what is wrong."""
+    """Checks a processor's settings file; returns a summary. Raises ValueError with the fault."""
     try:
         from opalwick.checked import Faulty
         from opalwick.processor.configuration import read
-    except ModuleNotFoundError as problem:
-        raise ValueError(f"{problem.name} is missing: pip install 'opalwick[processor]'") from None
+    except ModuleNotFoundError as exc:
+        raise ValueError(f"{exc.name} is missing: pip install 'opalwick[processor]'") from None
     try:
-        found = read(file, 0)
-    except Faulty as problem:
-        raise ValueError(str(problem)) from None
+        settings = read(file, 0)
+    except Faulty as exc:
+        raise ValueError(str(exc)) from None
     return (
-        f"{found.scheduler.name}: processor on {found.listen[0]}:{found.listen[1]}, "
-        f"{len(found.scheduler.terms.categories)} categories, {len(found.rules)} rules, "
-        f"{found.limits.connections} connections of {found.limits.streams} streams"
+        f"{settings.scheduler.name}: processor on {settings.listen[0]}:{settings.listen[1]}, "
+        f"{len(settings.scheduler.terms.categories)} categories, {len(settings.rules)} rules, "
+        f"{settings.limits.connections} connections of {settings.limits.streams} streams"
     )
--- a/opalwick/processor/configuration.py
+++ b/opalwick/processor/configuration.py
@@ -1,4 +1,4 @@
-"""`processor.toml`: read and checked whole."""
+"""Reads and validates `processor.toml`."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Rule(Struct, forbid_unknown_fields=True):
-    """The first that matches names the category; its pattern is searched for in the field's text."""
+    """Assigns a category. The first rule whose pattern occurs in the header field applies."""
 
     header: str
     matches: str
@@ -26,20 +26,20 @@
 
 
 class Fields(Struct, forbid_unknown_fields=True):
-    """Names of header fields, in lower case. An empty name: not used."""
+    """Names of header fields, in lower case. An empty name disables the field."""
 
     id: str = "x-request-id"
-    category: str = "x-service-class"  # else the path's first part
-    expiry: str = "x-time-left-ms"  # milliseconds; else the category's
+    category: str = "x-service-class"  # by default the first segment of the path
+    expiry: str = "x-time-left-ms"  # milliseconds; by default the category's
     key: str = "idempotency-key"
     hint: str = "x-weight-hint"  # microseconds of work
     customer: str = "x-account"
     facts: str = "x-facts"
     # in responses
-    unprocessed: str = "x-unprocessed"  # "1": the worker turned it away
-    not_sent: str = "x-opalwick-not-sent"  # "1": the proxy's own answer, it never reached the worker
+    unprocessed: str = "x-unprocessed"  # "1": the worker rejected it
+    not_sent: str = "x-opalwick-not-sent"  # "1": answered by the proxy, the request never reached the worker
     load: str = "x-backend-load"
-    # told to the proxy
+    # set by this processor
     worker: str = "x-envoy-original-dst-host"
     name: str = "x-opalwick-worker"
     use_by: str = "x-opalwick-use-by-ms"
@@ -47,24 +47,30 @@
 
 
 class Proxies(Struct, forbid_unknown_fields=True):
-    retries: bool = True  # they call again for a request whose response says so
+    """How the proxies behave."""
+
+    retries: bool = True  # they open a further call for a request whose response requests it
     use_by: Seconds = Seconds(0.2)
     again_within: Seconds = Seconds(0.5)
     clear_route_cache: bool = False
 
 
 class Limit(Struct, forbid_unknown_fields=True):
+    """Limits on proxies' connections; sizes in bytes."""
+
     connections: int = 64
-    streams: int = 20000  # of one connection
-    message: int = 262144  # bytes
+    streams: int = 20000  # per connection
+    message: int = 262144
     head: int = 32768
     waiting: int = 1048576
-    preface: Seconds = Seconds(5)  # until a connection has asked for something
-    write: Seconds = Seconds(5)  # for a proxy that does not read
+    preface: Seconds = Seconds(5)  # until a connection has opened its first stream
+    write: Seconds = Seconds(5)  # until a connection that does not accept data is closed
 
 
 class File(Struct, forbid_unknown_fields=True):
-    scheduler: str  # the JSON of docs/operate/configuration.md, beside this file
+    """Content of `processor.toml`."""
+
+    scheduler: str  # path of the scheduler's JSON configuration, relative to this file
     listen: str
     fields: Fields = field(default_factory=Fields)
     rules: list[Rule] = []
@@ -73,6 +79,8 @@
 
 
 class Settings:
+    """The validated settings, with the scheduler's configuration."""
+
     def __init__(self, file: File, scheduler: Configuration, listen: Address) -> None:
         self.file, self.scheduler, self.listen = file, scheduler, listen
         self.fields, self.limits = file.fields, file.limits
@@ -86,43 +94,46 @@
 
 
 def read(path: str, least_port: int = 1) -> Settings:
-    """Faulty for what is wrong, with the file, line and key."""
+    """Reads a settings file. Raises Faulty with the file, line and key of a fault."""
     try:
         text = Path(path).read_text()
-    except (OSError, UnicodeDecodeError) as problem:
-        raise Faulty(f"{path}: cannot be read: {problem}") from None
+    except (OSError, UnicodeDecodeError) as exc:
+        raise Faulty(f"{path}: cannot be read: {exc}") from None
     file = decode(text, path, File)
     try:
         listen = address(file.listen, least_port)
-    except ValueError as problem:
-        raise problem_at(text, path, ["listen"], str(problem)) from None
-    beside = Path(path).parent / file.scheduler
+    except ValueError as exc:
+        raise problem_at(text, path, ["listen"], str(exc)) from None
+    scheduler_path = Path(path).parent / file.scheduler
     try:
-        scheduler = read_scheduler({**os.environ, "BALANCER_LISTEN": file.listen}, str(beside))
-    except BadConfiguration as problem:
-        raise problem_at(text, path, ["scheduler"], f"{beside}: {problem}") from None
+        scheduler = read_scheduler({**os.environ, "BALANCER_LISTEN": file.listen}, str(scheduler_path))
+    except BadConfiguration as exc:
+        raise problem_at(text, path, ["scheduler"], f"{scheduler_path}: {exc}") from None
     for key in Fields.__struct_fields__:
         name = getattr(file.fields, key)
         if name and not re.fullmatch(r":?[!#$%&'*+.^_`|~0-9a-z-]+", name):
             raise problem_at(text, path, ["fields", key], f"{name!r} is no field name in lower case")
     if not file.fields.id or not file.fields.worker:
-        raise problem_at(text, path, ["fields"], "id and worker are needed")
+        raise problem_at(text, path, ["fields"], "id and worker must not be empty")
     for i, rule in enumerate(file.rules):
         if rule.category not in scheduler.names.categories:
             known = ", ".join(scheduler.names.categories)
             raise problem_at(text, path, ["rules", i, "category"], f"{rule.category!r} is none of {known}")
         try:
             re.compile(rule.matches)
-        except re.error as problem:
-            raise problem_at(text, path, ["rules", i, "matches"], f"no pattern: {problem}") from None
-    # a decision counts as a send: it must have been carried out before the grace after it is over
+        except re.error as exc:
+            raise problem_at(text, path, ["rules", i, "matches"], f"invalid pattern: {exc}") from None
+    # a decision counts as a send: the proxy must carry it out before the grace period of a drain is over
     if not 0.01 <= file.proxies.use_by <= 0.24:
         raise problem_at(
-            text, path, ["proxies", "use_by"], "must lie from 10 ms to 240 ms, within the drains' grace"
+            text,
+            path,
+            ["proxies", "use_by"],
+            "must lie from 10 ms to 240 ms, within the grace period of drains",
         )
     if not 0 <= file.proxies.again_within <= 10:
         raise problem_at(text, path, ["proxies", "again_within"], "must lie from 0 s to 10 s")
-    for key, least in (
+    for key, minimum in (
         ("connections", 1),
         ("streams", 1),
         ("message", 1024),
@@ -131,6 +142,6 @@
         ("preface", 0.1),
         ("write", 0.1),
     ):
-        if not least <= getattr(file.limits, key) <= 1 << 30:
-            raise problem_at(text, path, ["limits", key], f"must lie from {least} to {1 << 30}")
+        if not minimum <= getattr(file.limits, key) <= 1 << 30:
+            raise problem_at(text, path, ["limits", key], f"must lie from {minimum} to {1 << 30}")
     return Settings(file, scheduler, listen)
--- a/opalwick/processor/exchange.py
+++ b/opalwick/processor/exchange.py
@@ -1,10 +1,10 @@
-"""Between proxies' calls and the reducer: which call carries which hand-off, and what it is told.
+"""Connects proxies' calls to the reducer: which call carries which attempt, and what it is answered.
 
 A call is one request at a proxy, from its head to its end. All calls with one id are one work item. A proxy
-carries one hand-off a call, so the module hands off only as often as calls came (`WorkItem.calls`), and a
-further call is what gives it the next hand-off, or the copy.
+makes one attempt per call, so the reducer starts only as many attempts as calls came (`WorkItem.calls`): a
+further call permits the next attempt, or the hedge.
 
-Free of I/O: times come in, `Call.reply` is called with what to tell, and `next_at` says when `wake` is due.
+Does no I/O: times are passed in, `Call.reply` is called with each answer, `next_at` is when `wake` is due.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class Asked(NamedTuple):
-    """What a call's head tells of the work item. Times are seconds on the scheduler's clock."""
+    """The work item as described by a call's head. Times are seconds on the scheduler's clock."""
 
     id: str
     category: Category
@@ -34,9 +34,9 @@
     key: str
 
 
-# what a call is told
+# answers to calls
 class Route(NamedTuple):
-    """Send it there, within so many seconds from now."""
+    """Send the request to this worker, within `use_by` seconds from now."""
 
     place: Any
     worker: Any
@@ -44,7 +44,7 @@
 
 
 class Immediate(NamedTuple):
-    """Answer so, and send nothing."""
+    """Answer with this status, send nothing. `come_back_in`: seconds for Retry-After, 0: none."""
 
     status: int
     come_back_in: float
@@ -52,60 +52,64 @@
 
 
 class Go(NamedTuple):
-    """Hand the response on. `again`: a further call for this request would get a worker at once."""
+    """Pass the response on. `again`: a further call for this request would get a worker at once."""
 
     again: bool
 
 
 class Reported(NamedTuple):
-    """A response's head, as far as it tells of the hand-off."""
+    """What a response's head reports on the attempt."""
 
     status: int
     figures: Sequence[float]
-    unprocessed: bool  # turned away: it has not run
-    not_sent: bool  # the proxy says that it never reached the worker
+    unprocessed: bool  # rejected: it has not run
+    not_sent: bool  # reported by the proxy: it never reached the worker
 
 
 class Call:
-    """`reply` is called when there is something to tell; it must not call back."""
+    """One call of a proxy. `reply` is called with each answer; it must not call the exchange."""
 
     __slots__ = ("reply", "item", "number", "state", "told", "figures")
 
     def __init__(self, reply: Callable[[Any], None]) -> None:
         self.reply = reply
         self.item: Item | None = None
-        self.number = -1  # of its hand-off
+        self.number = -1  # of its attempt
         self.state = "new"  # "held", "out", "answering", "over"
-        self.told = False  # its decision has left for the proxy
-        self.figures: Sequence[float] = ()  # a report that came before the end
+        self.told = False  # the decision has been written to the proxy's connection
+        self.figures: Sequence[float] = ()  # a load report that came before the end
 
 
 class Item:
+    """An open or recently answered work item."""
+
     __slots__ = ("id", "category", "expiry_at", "held", "out", "kept", "final", "come_back_in")
 
     def __init__(self, id: str, category: Category, expiry_at: float) -> None:
         self.id, self.category, self.expiry_at = id, category, expiry_at
-        self.held: Call | None = None  # waits for its decision
-        self.out: dict[int, Call] = {}  # by the hand-off's number
-        self.kept: tuple[int, Any, Any, float] | None = None  # decided for a call that is to come: until when
+        self.held: Call | None = None  # the call that waits for a decision
+        self.out: dict[int, Call] = {}  # by number of the attempt
+        self.kept: tuple[int, Any, Any, float] | None = (
+            None  # decided for a call still to come: number, worker, address, valid until
+        )
         self.final: Final | None = None
         self.come_back_in = 0.0
 
     def alone(self) -> bool:
-        """Unanswered, and no call for it is open or expected at once."""
+        """Whether it is unanswered and no call for it is open or expected at once."""
         return self.held is None and not self.out and self.kept is None and self.final is None
 
 
 class Proxy(NamedTuple):
-    """How the proxies in front behave; seconds."""
+    """How the proxies behave; times in seconds."""
 
-    retries: bool = True  # they call again for a request when told so
-    use_by: float = 0.2  # they send within this after a decision, or not at all
-    again_within: float = 0.5  # and call again within this
+    retries: bool = True  # they open a further call for a request when `Go.again` is set
+    use_by: float = 0.2  # they send within this time after a decision, or not at all
+    again_within: float = 0.5  # they open a further call within this time
 
 
 class Core(Protocol):
-    """What feeds the reducer."""
+    """Passes inputs to the reducer."""
 
     def put(self, kind: str, *fields: Any) -> None: ...
 
@@ -116,29 +120,36 @@
 
 
 class Exchange:
+    """The open calls and work items of all proxies."""
+
     def __init__(
         self, core: Core, proxy: Proxy, most: int, final: Callable[[Category, int], None] = lambda *_: None
     ) -> None:
-        """`most`: work items open at once, and as many that are remembered after their end. `final` is called
-        once for each work item that gets its final answer, with the status that it comes to."""
+        """`most`: limit on open work items, and on answered ones kept until their expiry. `final` is called
+        once for each work item with the status of its final answer."""
         self.final = final
         self.core, self.proxy, self.most = core, proxy, most
         self.items: dict[str, Item] = {}
-        self.ended: OrderedDict[str, Item] = OrderedDict()  # answered; known until their expiry
+        self.ended: OrderedDict[str, Item] = OrderedDict()  # answered; kept until their expiry
         self.due: list[tuple[float, int, Callable[..., None], tuple]] = []
         self.serial = itertools.count()
-        self.calls = 0  # that are open
-        self.refused = self.unused = self.strays = 0  # copies, decisions that no call came for, odd messages
+        self.calls = 0  # open calls
+        self.refused = self.unused = self.strays = (
+            0  # refused calls, decisions no call came for, unexpected messages
+        )
 
     # ---- due times
 
     def at(self, when: float, call: Callable[..., None], *fields: Any) -> None:
+        """Schedules a function for `wake`."""
         heapq.heappush(self.due, (when, next(self.serial), call, fields))
 
     def next_at(self) -> float | None:
+        """When `wake` is due next."""
         return self.due[0][0] if self.due else None
 
     def wake(self) -> None:
+        """Runs what is due."""
         while self.due and self.due[0][0] <= self.core.now():
             _, _, call, fields = heapq.heappop(self.due)
             call(*fields)
@@ -146,7 +157,7 @@
     # ---- a proxy's messages
 
     def begins(self, call: Call, asked: Asked) -> None:
-        """The head of a request is there."""
+        """The head of a request has been received."""
         self.calls += 1
         now = self.core.now()
         item = self.items.get(asked.id)
@@ -182,7 +193,7 @@
         if item.final is not None:
             return self._tell(call, self._immediate(item))
         if item.held is not None:
-            # the first is still undecided: a second decision would be one more hand-off for nothing
+            # the first call is still undecided: a second decision would be a needless attempt
             return self._refuse(call)
         if item.kept is not None:
             number, worker, place, until = item.kept
@@ -195,8 +206,9 @@
             self._refuse(call)
 
     def responds(self, call: Call, reported: Reported, last: bool) -> bool:
-        """The head of the response; `last`: nothing follows it. False where none can be, which is passed
-        over.
+        """The head of the response has been received; `last`: nothing follows it.
+
+        False if none is due in the state of the call; it is then ignored.
         """
         item = call.item
         if item is None or call.state != "out":
@@ -208,7 +220,7 @@
                 call.state = "answering"
                 self.core.put("began", item.id, call.number)
                 call.reply(Go(False))
-                # a report that came with the head is kept for the end
+                # a load report in the head is applied at the end
                 call.figures = reported.figures
                 return True
             self._end(call, Outcome.FINISHED, True, reported.figures)
@@ -222,9 +234,9 @@
         else:
             outcome = Outcome.TIMED_OUT if status == 504 else Outcome.ERROR
         self._end(call, outcome, blamed, reported.figures)
-        # blamed on the client it is final: the client hears so, and nobody else is asked
+        # an error of the client is final: it is passed on, and no other worker is tried
         if item.final is None and not item.out and item.held is None:
-            # the module says now whether it would go on: the proxy calls again for a decided worker only
+            # decided now, as the proxy opens a further call only if a worker has been chosen
             self.core.put("asked", item.id)
         if item.final is Final.DEFERRED and not item.out:
             call.reply(self._immediate(item))
@@ -233,12 +245,12 @@
         return True
 
     def body_ends(self, call: Call) -> None:
-        """The response is whole."""
+        """The response is complete."""
         if call.state == "answering":
             self._end(call, Outcome.FINISHED, True, call.figures)
 
     def ends(self, call: Call, how: str) -> None:
-        """The call is over at the proxy: "orderly", "reset", or "died" with its connection."""
+        """The call has ended at the proxy: "orderly", "reset", or "died" with its connection."""
         item, state = call.item, call.state
         if state == "new":
             return
@@ -250,10 +262,10 @@
             call.state = "over"
             if item.held is call:
                 item.held = None
-                # its decision must not fall later, when nobody could carry it
+                # withdrawn, as no call could carry a later decision
                 self.core.put("asked", item.id, 0)
         elif state == "answering":
-            # the client has had a part of it: a break after an answer has begun is the worker's own
+            # the client has received a part: a break after an answer has begun is the worker's fault
             self._end(call, Outcome.BROKEN, True, ())
         elif not call.told:
             self._end(call, Outcome.NOT_SENT, False, ())
@@ -265,14 +277,14 @@
         self._alone(item)
 
     def died(self, calls: Sequence[Call]) -> None:
-        """A proxy is gone, with all its calls."""
+        """A proxy's connection has ended, with all its calls."""
         for call in calls:
             self.ends(call, "died")
 
     # ---- the reducer's effects
 
     def perform(self, effect: Any) -> bool:
-        """Whether it was one of a work item's."""
+        """Performs an effect on a work item; False for other effects."""
         match effect:
             case Send(id, number, worker, place, _):
                 item = self.items[id]
@@ -293,7 +305,7 @@
                         self._tell(call, self._immediate(found))
                     self._forget(found)
             case Close():
-                pass  # nothing can be taken back from a proxy; it ends its other calls itself
+                pass  # a proxy can't be made to cancel; it ends its other calls by itself
             case _:
                 return False
         return True
@@ -317,8 +329,8 @@
 
     def _refuse(self, call: Call) -> None:
         self.refused += 1
-        # harmless to ask again: nothing was sent for this call
-        self._tell(call, Immediate(503, 0.0, "no second hand-off now"))
+        # the client may safely retry, as nothing was sent for this call
+        self._tell(call, Immediate(503, 0.0, "no second attempt now"))
 
     def _immediate(self, item: Item) -> Immediate:
         if item.final is Final.DEFERRED:
@@ -338,7 +350,7 @@
         self._forget(item)
 
     def _unused(self, item: Item, number: int) -> None:
-        """No call came for a decision: it was not sent, and nobody waits for the next one."""
+        """No call came for a decision: it counts as not sent."""
         if item.kept is not None and item.kept[0] == number:
             item.kept = None
             self.unused += 1
@@ -346,7 +358,7 @@
             self._alone(item)
 
     def _alone(self, item: Item) -> None:
-        """If no call is left, the proxy may still come again; after that its client is taken to be gone."""
+        """If no call is left, waits for a further call; without one the client counts as gone."""
         if item.alone():
             self.at(self.core.now() + self.proxy.again_within, self._left, item)
 
@@ -357,7 +369,7 @@
             self._forget(item)
 
     def _expired(self, item: Item) -> None:
-        """All is over for it at the module; a call that is still out ends when its proxy says so."""
+        """The reducer drops the work item; a call that is still out ends when its proxy ends it."""
         if item.final is None:
             item.final = Final.WRITTEN_OFF
             self.core.put("left", item.id)
@@ -368,7 +380,7 @@
             self._tell(call, self._immediate(item))
 
     def _forget(self, item: Item) -> None:
-        """Answered and nothing out: it no longer counts as open, but its id is known until its expiry."""
+        """Answered with nothing out: no longer counts as open, but its id is kept until its expiry."""
         if item.final is not None and not item.out and item.held is None and item.id in self.items:
             del self.items[item.id]
             self.ended[item.id] = item
--- a/opalwick/processor/front.py
+++ b/opalwick/processor/front.py
@@ -1,6 +1,4 @@
-"""The processor on sockets: proxies' connections in front of the scheduler that `serve` has, without its
-own carriers.
-"""
+"""The processor's server: a front end of the scheduler for proxies, which send the requests to workers."""
 
 from __future__ import annotations
 
@@ -25,20 +23,20 @@
 
 PROCESS = "/envoy.service.ext_proc.v3.ExternalProcessor/Process"
 CHECK, WATCH = "/grpc.health.v1.Health/Check", "/grpc.health.v1.Health/Watch"
-# grpc.health.v1.HealthCheckResponse: its one field is the status, 1 serving or 2 not
+# encoded grpc.health.v1.HealthCheckResponse, whose only field is the status: 1 serving, 2 not serving
 SERVING, NOT_SERVING = b"\x08\x01", b"\x08\x02"
-READ = 65536  # bytes at once
+READ = 65536  # bytes per read
 
 
 class Unary:
-    """A call of the health service."""
+    """A call of the gRPC health service."""
 
     def __init__(self, watch: bool) -> None:
         self.watch = watch
 
 
 class ProxyConnection:
-    """One connection from a proxy: its reader feeds the protocol, its writer sends what there is."""
+    """One connection from a proxy, with a greenlet that reads and one that writes."""
 
     def __init__(self, front: ProcessorFront, sock: Any) -> None:
         self.front, self.sock = front, sock
@@ -48,7 +46,7 @@
         self.changed = Event()
         self.over = False
         self.asked = False
-        self.came_at = time.monotonic()  # what is being read
+        self.came_at = time.monotonic()  # earliest arrival of the data being processed
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def run(self) -> None:
@@ -57,8 +55,8 @@
             self.read()
         except OSError:
             pass
-        except grpc.Broken as problem:
-            logger.info("a proxy's connection ends: {}", problem)
+        except grpc.Broken as exc:
+            logger.info("closing a proxy's connection after a protocol error: {}", exc)
             self.flush()
         finally:
             self.close()
@@ -66,11 +64,11 @@
 
     def read(self) -> None:
         limits = self.front.settings.limits
-        self.changed.set()  # our settings go first
+        self.changed.set()  # sends the HTTP/2 settings first
         until = time.monotonic() + limits.preface
         while not self.over:
             if not self.asked:
-                # one that connects and says nothing sensible must not hold its place
+                # a connection that opens no stream must not occupy a slot
                 left = until - time.monotonic()
                 if left <= 0:
                     return
@@ -80,8 +78,8 @@
             data = self.sock.recv(READ)
             if not data:
                 return
-            # many requests share a connection, so of what lay there while this process stood still each may
-            # have come at its beginning
+            # many requests share a connection, so each that was read after a stall may have arrived at its
+            # beginning
             now, pulse = time.monotonic(), self.front.pulse
             self.came_at = pulse.at_worst(pulse.since(now), now)
             for event in self.server.receive(data):
@@ -92,17 +90,17 @@
         match event:
             case grpc.Opened(id, path, timeout):
                 self.opened(id, path, timeout)
-            case grpc.Message(id, octets):
+            case grpc.Message(id, payload):
                 stream = self.streams.get(id)
                 if isinstance(stream, Unary):
                     self.health(id, stream)
                 elif stream is not None:
                     try:
-                        stream.receive(octets)
-                    except Malformed as problem:
+                        stream.receive(payload)
+                    except Malformed as exc:
                         self.front.faulty += 1
                         self.ended(id, "reset")
-                        self.server.finish(id, grpc.INVALID_ARGUMENT, str(problem)[:200], cut=True)
+                        self.server.finish(id, grpc.INVALID_ARGUMENT, str(exc)[:200], cut=True)
             case grpc.Ended(id):
                 if isinstance(self.streams.get(id), Conversation):
                     self.ended(id, "orderly")
@@ -114,8 +112,8 @@
         self.asked = True
         if path == PROCESS:
 
-            def say(octets: bytes, token: Any) -> None:
-                self.server.send(id, octets, token)
+            def say(payload: bytes, token: Any) -> None:
+                self.server.send(id, payload, token)
                 self.changed.set()
 
             front = self.front
@@ -153,7 +151,7 @@
         self.changed.set()
 
     def told(self) -> None:
-        """Those that watch hear of the process's new state."""
+        """Sends the new serving status to health watches."""
         for id, stream in self.streams.items():
             if isinstance(stream, Unary) and stream.watch:
                 self.health(id, stream)
@@ -170,18 +168,18 @@
                 self.changed.wait()
                 self.changed.clear()
                 self.flush()
-        except OSError:  # gone, or it does not read
+        except OSError:  # disconnected, or it does not read
             self.close()
 
     def flush(self) -> None:
         data, sent = self.server.take()
         if data:
             self.sock.settimeout(float(self.front.settings.limits.write))
-            # told as soon as a byte of it may have left: what fails half-way counts as told
-            for told in sent:
-                if isinstance(told.token, Call):
-                    told.token.told = True
-                    self.front.counts.relayed += 1  # the proxy carries it
+            # marked before the write: a message that fails half-way may have been received
+            for message in sent:
+                if isinstance(message.token, Call):
+                    message.token.told = True
+                    self.front.counts.relayed += 1  # the proxy makes the attempt
             self.sock.sendall(data)
 
     def close(self) -> None:
@@ -194,12 +192,13 @@
 
 
 class ProcessorFront(Core):
+    """Front end whose attempts are made by proxies."""
+
     def __init__(
         self, settings: Settings, stop: Event, again: Event, read: Callable[[], Configuration]
     ) -> None:
         c = settings.scheduler
-        # a proxy can be told to send, and nothing after that: it takes nothing back, and calls once a
-        # hand-off
+        # after a decision a proxy can't be controlled: it cancels nothing, and makes one attempt per call
         c.terms.may_cancel = False
         if not settings.proxy.retries:
             c.terms.max_attempts = 1
@@ -207,7 +206,7 @@
         self.settings, self.place = settings, settings.listen
         self.exchange = Exchange(self, settings.proxy, c.limits.work_items, self.counts.final)
         self.connections: dict[ProxyConnection, None] = {}
-        self.faulty = 0  # streams ended for what came on them
+        self.faulty = 0  # streams ended because of malformed messages
         self.rearmed_calls = Event()
 
     def now(self) -> float:
@@ -222,7 +221,7 @@
         self.rearmed_calls.set()
 
     def keep_calls(self) -> None:
-        """The exchange's own due times."""
+        """Runs the exchange's timers."""
         while True:
             self.rearmed_calls.clear()
             when = self.exchange.next_at()
@@ -242,8 +241,8 @@
         while True:
             sock, _ = self.listener.accept()
             if len(self.connections) >= self.settings.limits.connections:
-                # the proxy tries again elsewhere or later
-                logger.warning("a proxy's connection is turned away: {} are open", len(self.connections))
+                # the proxy retries elsewhere or later
+                logger.warning("rejected a proxy's connection: {} are open", len(self.connections))
                 sock.close()
                 gevent.sleep(0.1)
                 continue
@@ -261,7 +260,7 @@
         return len(self.exchange.items)
 
     def close(self) -> None:
-        """GOAWAY; streams finish, new ones go elsewhere."""
+        """Sends GOAWAY, so that new streams go elsewhere, and lets open streams finish."""
         for connection in list(self.connections):
             connection.leave()
         until = self.reducer.exit_at + self.limits.linger
@@ -269,25 +268,25 @@
             gevent.sleep(0.01)
         self.accepting.kill()
         self.listener.close()
-        gevent.sleep(0.02)  # last answers leave
+        gevent.sleep(0.02)  # for the writers to send the last answers
         for connection in list(self.connections):
             connection.close()
 
 
 def serve(path: str, level: str) -> int:
-    """Until SIGTERM; SIGHUP has it read the scheduler's configuration again, as `serve` does."""
+    """Runs the processor until SIGTERM and returns the exit code; SIGHUP reloads the configuration."""
     if (events := prepared(level)) is None:
         return 2
 
     def reread() -> Configuration:
         try:
             return read(path, 0).scheduler
-        except Faulty as problem:
-            raise BadConfiguration(str(problem)) from None
+        except Faulty as exc:
+            raise BadConfiguration(str(exc)) from None
 
     try:
         front = ProcessorFront(read(path, 0), *events, reread)
-    except Faulty as problem:
-        print(f"opalwick: {problem}", file=sys.stderr)
+    except Faulty as exc:
+        print(f"opalwick: {exc}", file=sys.stderr)
         return 2
     return run(front)
--- a/opalwick/processor/grpc.py
+++ b/opalwick/processor/grpc.py
@@ -1,8 +1,7 @@
-"""gRPC over HTTP/2 without TLS, the server's side: bytes in, events out; messages in, bytes out; no socket
-or clock.
+"""gRPC server over HTTP/2 without TLS: bytes in, events out; messages in, bytes out; no sockets, no clock.
 
-From the published protocol (grpc/doc/PROTOCOL-HTTP2.md) and RFC 9113, on h2. Unary calls are streams of one
-message.
+Follows the published protocol (grpc/doc/PROTOCOL-HTTP2.md) and RFC 9113, using h2. Unary calls are streams of
+one message.
 """
 
 from __future__ import annotations
@@ -27,70 +26,80 @@
 
 
 class Bounds(NamedTuple):
-    """Of one connection; bytes but for the first."""
+    """Limits of one connection; all but the first in bytes."""
 
     streams: int = 20000
     message: int = 262144  # one message, in or out
     head: int = 32768  # one block of header fields
-    waiting: int = 1048576  # answers that the other side does not take, of all streams
-    window: int = 262144  # what a stream may send before it is read
+    waiting: int = 1048576  # queued answers of all streams that the client has not accepted
+    window: int = 262144  # initial flow-control window of a stream
 
 
 # events
 class Opened(NamedTuple):
+    """A call has started."""
+
     stream: int
     path: str
     timeout: float | None  # seconds
 
 
 class Message(NamedTuple):
+    """A complete message was received."""
+
     stream: int
-    octets: bytes
+    payload: bytes
 
 
 class Ended(NamedTuple):
-    """The other side sends no more on it."""
+    """The client has ended its side of the stream."""
 
     stream: int
 
 
 class Aborted(NamedTuple):
-    """The other side has reset it, or broke the rules on it."""
+    """The client has reset the stream, or violated the protocol on it."""
 
     stream: int
 
 
 class Sent(NamedTuple):
-    """The bytes that `take` gave last hold the end of the message with this token."""
+    """The bytes last returned by `take` contain the end of the message with this token."""
 
     token: Any
 
 
 class Broken(Exception):
-    """What came is not HTTP/2, or breaks its rules: the connection ends once `take` is written."""
+    """The input violates HTTP/2; the connection must be closed after the bytes of `take` are written."""
 
 
 class Stream:
+    """State of one call."""
+
     __slots__ = ("buffer", "out", "queued", "headed", "finished", "ended")
 
     def __init__(self) -> None:
-        self.buffer = bytearray()  # of a message that is not whole
-        self.out: deque[tuple[bytes, Any]] = deque()  # messages with their tokens, the first perhaps in part
+        self.buffer = bytearray()  # of an incomplete message
+        self.out: deque[tuple[bytes, Any]] = (
+            deque()
+        )  # messages with their tokens; the first may be partly sent
         self.queued = 0
         self.headed = self.ended = False
-        self.finished: tuple[int, str] | None = None  # status to end with, once all is out
+        self.finished: tuple[int, str] | None = (
+            None  # status and text to end with, once all messages are sent
+        )
 
 
 class Connection(h2.connection.H2Connection):
-    """h2 counts all its streams at each new one: with thousands open, opening them took a square of the
-    time.
+    """Counts open streams rarely: h2 counts all of them for each new one, so that opening thousands takes
+    quadratic time.
     """
 
     counted = since = 0
 
     @property
     def open_inbound_streams(self) -> int:
-        """At most so many are open; counted anew each 1,024 streams, or where that would bind."""
+        """Upper bound of open streams; exact after every 1,024 new streams, and when it reaches the limit."""
         self.since += 1
         if self.since >= 1024 or self.counted + self.since >= self.local_settings.max_concurrent_streams:
             self.counted, self.since = super().open_inbound_streams, 0
@@ -98,6 +107,8 @@
 
 
 class GrpcServer:
+    """Server side of one connection."""
+
     def __init__(self, bounds: Bounds) -> None:
         self.bounds = bounds
         self.h2 = Connection(h2.config.H2Configuration(client_side=False, header_encoding="utf-8"))
@@ -109,28 +120,27 @@
                 h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: bounds.window,
             },
         )
-        # as the block is decoded: past it h2 ends the connection
+        # enforced while a header block is decoded: h2 ends the connection if it is exceeded
         self.h2.decoder.max_header_list_size = bounds.head
         self.h2.initiate_connection()
-        # one connection carries many streams; their sum is bounded by what is read at once, not by this
-        # window
+        # a connection carries many streams; their total is bounded by the size of a read, not by this window
         self.h2.increment_flow_control_window(bounds.window * 16)
         self.streams: dict[int, Stream] = {}
-        self.blocked: dict[int, None] = {}  # streams with something out that their window holds back
-        self.waiting = 0  # bytes of all answers not yet taken
+        self.blocked: dict[int, None] = {}  # streams with queued output that their window may hold back
+        self.waiting = 0  # bytes of all queued answers
         self.leaving = False
-        self.apart = b""  # what goes out beside h2
+        self.apart = b""  # bytes to send that h2 has not produced
         self.refused = 0
 
     # ---- in
 
     def receive(self, data: bytes) -> list[Any]:
-        """Events of these bytes. Broken where the connection is at its end."""
+        """Returns the events of these bytes. Raises Broken if the connection must be closed."""
         found: list[Any] = []
         try:
             events = self.h2.receive_data(data)
-        except (h2.exceptions.ProtocolError, UnicodeDecodeError, ValueError, KeyError, IndexError) as problem:
-            raise Broken(str(problem) or type(problem).__name__) from None
+        except (h2.exceptions.ProtocolError, UnicodeDecodeError, ValueError, KeyError, IndexError) as exc:
+            raise Broken(str(exc) or type(exc).__name__) from None
         for event in events:
             match event:
                 case h2.events.RequestReceived():
@@ -140,7 +150,7 @@
                 case h2.events.StreamEnded():
                     if (stream := self.streams.get(event.stream_id)) is not None:
                         if stream.buffer:
-                            self._refuse(event.stream_id, INTERNAL, "a message that is cut off", found)
+                            self._refuse(event.stream_id, INTERNAL, "the last message is incomplete", found)
                         else:
                             stream.ended = True
                             found.append(Ended(event.stream_id))
@@ -161,19 +171,19 @@
             self.h2.send_headers(id, [(":status", "415")], end_stream=True)
             return
         if self.leaving:
-            return self._refuse(id, UNAVAILABLE, "leaving", found, told=False)
+            return self._refuse(id, UNAVAILABLE, "the server is shutting down", found, report=False)
         if given.get("grpc-encoding", "identity") != "identity":
-            return self._refuse(id, UNIMPLEMENTED, "no compression is spoken here", found, told=False)
+            return self._refuse(id, UNIMPLEMENTED, "compression is not supported", found, report=False)
         timeout = None
         if (text := given.get("grpc-timeout")) is not None:
             if (read := _TIMEOUT.fullmatch(text)) is None:
-                return self._refuse(id, INVALID_ARGUMENT, "grpc-timeout is malformed", found, told=False)
+                return self._refuse(id, INVALID_ARGUMENT, "grpc-timeout is malformed", found, report=False)
             timeout = int(read[1]) * _UNITS[read[2]]
         stream.headed = False
         found.append(Opened(id, given.get(":path", ""), timeout))
 
     def _data(self, event: Any, found: list[Any]) -> None:
-        # what has come is dealt with at once, so it frees the window at once
+        # data is processed at once, so the window is released at once
         if event.flow_controlled_length:
             self.h2.acknowledge_received_data(event.flow_controlled_length, event.stream_id)
         stream = self.streams.get(event.stream_id)
@@ -183,39 +193,39 @@
         while len(stream.buffer) >= 5:
             size = int.from_bytes(stream.buffer[1:5], "big")
             if stream.buffer[0]:
-                return self._refuse(event.stream_id, UNIMPLEMENTED, "no compression is spoken here", found)
+                return self._refuse(event.stream_id, UNIMPLEMENTED, "compression is not supported", found)
             if size > self.bounds.message:
-                return self._refuse(event.stream_id, RESOURCE_EXHAUSTED, "a message too large", found)
+                return self._refuse(event.stream_id, RESOURCE_EXHAUSTED, "message too large", found)
             if len(stream.buffer) < 5 + size:
                 return
-            octets = bytes(stream.buffer[5 : 5 + size])
+            payload = bytes(stream.buffer[5 : 5 + size])
             del stream.buffer[: 5 + size]
-            found.append(Message(event.stream_id, octets))
+            found.append(Message(event.stream_id, payload))
 
-    def _refuse(self, id: int, status: int, text: str, found: list[Any], told: bool = True) -> None:
+    def _refuse(self, id: int, status: int, text: str, found: list[Any], report: bool = True) -> None:
         self.refused += 1
-        if told:
+        if report:
             found.append(Aborted(id))
         self.finish(id, status, text)
 
     # ---- out
 
-    def send(self, id: int, octets: bytes, token: Any = None) -> bool:
-        """Whether it will go out, as far as the windows let it."""
+    def send(self, id: int, payload: bytes, token: Any = None) -> bool:
+        """Queues a message, subject to flow control; False if the stream has ended or a limit is exceeded."""
         stream = self.streams.get(id)
         if stream is None or stream.finished is not None:
             return False
-        if self.waiting + len(octets) > self.bounds.waiting or len(octets) > self.bounds.message:
-            self.finish(id, RESOURCE_EXHAUSTED, "the answers are not taken", cut=True)
+        if self.waiting + len(payload) > self.bounds.waiting or len(payload) > self.bounds.message:
+            self.finish(id, RESOURCE_EXHAUSTED, "too many queued answers", cut=True)
             return False
-        stream.out.append((len(octets).to_bytes(5, "big") + octets, token))
-        stream.queued += len(octets) + 5
-        self.waiting += len(octets) + 5
+        stream.out.append((len(payload).to_bytes(5, "big") + payload, token))
+        stream.queued += len(payload) + 5
+        self.waiting += len(payload) + 5
         self.blocked[id] = None
         return True
 
     def finish(self, id: int, status: int, text: str = "", cut: bool = False) -> None:
-        """Ends the stream with a status, after what is queued; with `cut` that is dropped."""
+        """Ends the stream with a status after queued messages; `cut` drops these."""
         stream = self.streams.get(id)
         if stream is None or stream.finished is not None:
             return
@@ -227,7 +237,7 @@
         self.blocked[id] = None
 
     def take(self) -> tuple[bytes, list[Sent]]:
-        """The bytes to write now, and which messages are whole in them."""
+        """The bytes to write now, and the messages that are complete with them."""
         sent = self._pump()
         data, self.apart = self.h2.data_to_send() + self.apart, b""
         return data, sent
@@ -241,7 +251,7 @@
                 continue
             try:
                 self._flush(id, stream, sent)
-            except h2.exceptions.ProtocolError:  # the stream or the connection is gone meanwhile
+            except h2.exceptions.ProtocolError:  # the stream or the connection has ended meanwhile
                 self._drop(id)
         return sent
 
@@ -250,16 +260,16 @@
             self.h2.send_headers(id, [(":status", "200"), ("content-type", "application/grpc")])
             stream.headed = True
         while stream.out:
-            octets, token = stream.out[0]
+            payload, token = stream.out[0]
             room = min(self.h2.local_flow_control_window(id), self.h2.max_outbound_frame_size)
             if room <= 0:
-                return  # the window holds it back; an update calls again
-            part = octets[:room]
+                return  # blocked by the window until an update
+            part = payload[:room]
             self.h2.send_data(id, part)
             stream.queued -= len(part)
             self.waiting -= len(part)
-            if len(part) < len(octets):
-                stream.out[0] = octets[room:], token
+            if len(part) < len(payload):
+                stream.out[0] = payload[room:], token
                 continue
             stream.out.popleft()
             if token is not None:
@@ -274,7 +284,7 @@
                 trailers = [(":status", "200"), ("content-type", "application/grpc"), *trailers]
             self.h2.send_headers(id, trailers, end_stream=True)
             if not stream.ended:
-                # it may go on sending: an end without an error tells it to stop
+                # a reset with NO_ERROR requests that the client stops sending
                 self.h2.reset_stream(id, h2.errors.ErrorCodes.NO_ERROR)
             self._drop(id)
 
@@ -286,9 +296,9 @@
         return stream is not None
 
     def leave(self) -> None:
-        """GOAWAY: what is open goes on, nothing new comes."""
+        """Sends GOAWAY: open streams finish, new ones are refused."""
         if not self.leaving:
             self.leaving = True
-            # by hand: h2 takes a connection on which it has said so for ended, but its streams are to finish
+            # serialized here: h2 treats a connection as closed after its GOAWAY, but streams must finish
             frame = GoAwayFrame(0, last_stream_id=max(self.streams, default=0), error_code=0)
             self.apart += frame.serialize()
--- a/opalwick/processor/messages.py
+++ b/opalwick/processor/messages.py
@@ -1,4 +1,7 @@
-"""The messages of `envoy.service.ext_proc.v3`: one stream a request at a proxy. Names end here."""
+"""The messages of `envoy.service.ext_proc.v3`: one stream for each request at a proxy.
+
+No other module uses the protocol's names.
+"""
 
 from __future__ import annotations
 
@@ -19,11 +22,11 @@
 
 
 class Malformed(Exception):
-    """What came is no message of the protocol, or none that is due now."""
+    """A received message is not one of the protocol's, or not valid in the state of the stream."""
 
 
 class Refused(Exception):
-    """A request that cannot be a work item: the status that its client is owed, and why."""
+    """A request can't become a work item; has the status and the reason for its client."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -31,7 +34,7 @@
 
 
 def fields_of(headers: Any) -> dict[str, str]:
-    """By lower-case name; a field that stands twice is joined as HTTP has it."""
+    """Header fields by lower-case name; repeated fields are joined as HTTP defines it."""
     found: dict[str, str] = {}
     for header in headers.headers:
         value = header.raw_value.decode("latin-1") if header.raw_value else header.value
@@ -54,7 +57,7 @@
 
 
 def asked(given: Mapping[str, str], settings: Settings, now: float) -> Asked:
-    """The work item that a request's fields tell of."""
+    """The work item that a request's header fields describe. Raises Refused."""
     f, names = settings.fields, settings.scheduler.names
     parts = given.get(":path", "").split("?", 1)[0].split("/")
     category = None
@@ -88,7 +91,7 @@
 
 
 class Conversation:
-    """One stream. `say(octets, token)` sends a message, `done(status, text)` ends the stream from here."""
+    """One stream. `say(payload, token)` sends a message, `done(status, text)` ends the stream from here."""
 
     __slots__ = ("exchange", "settings", "now", "say", "call", "owed", "phase", "watched", "over")
 
@@ -101,19 +104,19 @@
     ) -> None:
         self.exchange, self.settings, self.now, self.say = exchange, settings, now, say
         self.call = Call(self.reply)
-        # answers go out in the order of what they answer: what follows a head that is still undecided waits
+        # answers keep the order of the messages: those after a head that is still undecided wait
         self.owed: deque[Any] = deque()
-        self.phase = ""  # whose head is to be answered: "request", "response"
-        self.watched = False  # the proxy only lets us watch: nothing may be answered
+        self.phase = ""  # the head to be answered next: "request", "response"
+        self.watched = False  # observability mode: messages must not be answered
         self.over = False
 
-    def receive(self, octets: bytes) -> None:
-        """Malformed where the stream must end."""
+    def receive(self, payload: bytes) -> None:
+        """Processes a message. Raises Malformed if the stream must end."""
         message = ext_proc.ProcessingRequest()
         try:
-            message.ParseFromString(octets)
-        except Exception as problem:  # noqa: BLE001 - protobuf's own error types differ by its implementation
-            raise Malformed(f"not a ProcessingRequest: {problem}") from None
+            message.ParseFromString(payload)
+        except Exception as exc:  # noqa: BLE001 - protobuf's error types differ between its implementations
+            raise Malformed(f"not a ProcessingRequest: {exc}") from None
         if self.over:
             return
         if message.observability_mode:
@@ -135,7 +138,7 @@
                 self.exchange.body_ends(self.call)
                 self.pass_on(kind)
             case _:
-                pass  # a kind of later versions: skipped, as protobuf demands
+                pass  # a kind of a later version: skipped, as protobuf requires
 
     def request(self, headers: Any) -> None:
         if self.call.state != "new":
@@ -144,9 +147,9 @@
         now = self.now()
         try:
             found = asked(fields_of(headers.headers), self.settings, now)
-        except Refused as problem:
+        except Refused as exc:
             self.call.state = "over"
-            return self.reply(Immediate(problem.status, 0.0, str(problem)))
+            return self.reply(Immediate(exc.status, 0.0, str(exc)))
         self.exchange.begins(self.call, found)
 
     def response(self, headers: Any) -> None:
@@ -164,11 +167,11 @@
         )
         self.phase = "response"
         if not self.exchange.responds(self.call, reported, headers.end_of_stream):
-            # of a request that was never asked about, or answered from here: it goes on as it is
+            # of a request that had no request_headers, or was answered here: passed on unchanged
             self.reply(Go(False))
 
     def pass_on(self, kind: str) -> None:
-        """Bodies and trailers are not looked at."""
+        """Answers a body or trailers, which are not inspected, with an empty response."""
         answer = ext_proc.ProcessingResponse()
         getattr(answer, kind).SetInParent()
         if self.phase == "request" and self.call.state == "held":
@@ -179,7 +182,7 @@
             self.say(answer.SerializeToString(), None)
 
     def reply(self, what: Any) -> None:
-        """Called by the exchange, once a head."""
+        """Sends the answer to a head; called by the exchange once for each head."""
         if self.over:
             return
         answer, f, token = ext_proc.ProcessingResponse(), self.settings.fields, None
