--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -1,11 +1,11 @@
-"""Tests that are known to fail for a fault which is not mended yet, as KNOWN-RED.txt lists them.
+"""Tests known to fail because of a fault that is not yet fixed, as listed in KNOWN-RED.txt.
 
-    known_red.py check       faulty lines are named, exit code 2
-    known_red.py deselect    pytest's options that leave the listed tests out of the main run
-    known_red.py run         runs just these and prints how each ended; exit code 1 where one cannot be run
+    known_red.py check       reports invalid lines; exit code 2 if there are any
+    known_red.py deselect    prints pytest's options that exclude the listed tests from the main run
+    known_red.py run         runs only these and prints each result; exit code 1 if one can't be run
 
-A line is `TEST | CAUSE | ISSUE`: a test's id as pytest has it, why it fails, the issue's number. Blank lines
-and those that begin with # are passed over. Three lines at most: a fourth fault is mended first.
+A line is `TEST | CAUSE | ISSUE`: pytest's id of the test, why it fails, the number of the issue. Blank lines
+and lines that begin with # are ignored. At most three lines are allowed: a fourth fault must be fixed first.
 """
 
 from __future__ import annotations
@@ -23,17 +23,19 @@
 
 
 class Red(NamedTuple):
+    """An entry of the list."""
+
     test: str
     cause: str
     issue: str
 
 
 class Wrong(Exception):
-    """What is wrong with the list, a line a fault."""
+    """The list is invalid; the message has one fault per line."""
 
 
 def read(path: Path) -> list[Red]:
-    """None where there is no file."""
+    """Reads the list; empty if there is no file. Raises Wrong."""
     if not path.exists():
         return []
     found, faults = list[Red](), list[str]()
@@ -57,6 +59,7 @@
 
 
 def run(listed: list[Red], root: Path) -> int:
+    """Runs the listed tests, prints each result and returns the exit code."""
     code = 0
     for red in listed:
         done = subprocess.run(
@@ -67,12 +70,12 @@
             check=False,
         )
         if done.returncode == PASSES:
-            said = "passes by now: take its line out"
+            result = "passes by now: take its line out"
         elif done.returncode == FAILS:
-            said = "still fails"
-        else:  # no such test, or it cannot be collected
-            said, code = f"cannot be run: {done.stdout.strip()[-300:]}", FAILED
-        print(f"known red: {red.test}: {said} ({red.cause}; issue {red.issue})")
+            result = "still fails"
+        else:  # the test doesn't exist or can't be collected
+            result, code = f"cannot be run: {done.stdout.strip()[-300:]}", FAILED
+        print(f"known red: {red.test}: {result} ({red.cause}; issue {red.issue})")
     return code
 
 
@@ -82,8 +85,8 @@
         return FAULTY
     try:
         listed = read(root / LIST)
-    except Wrong as problem:
-        print(problem, file=sys.stderr)
+    except Wrong as error:
+        print(error, file=sys.stderr)
         return FAULTY
     if arguments[0] == "deselect":
         print(" ".join(f"--deselect={red.test}" for red in listed))
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What must never be so fails the test in which it is."""
+"""Fails every test in which an invariant is violated."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 @pytest.fixture(autouse=True)
 def no_violation(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
-    """No process of this test says an event of a violation, but where the test brings one about on purpose
-    and has the mark `violates`.
+    """Asserts that no process of the test reports a violation event, or that one does if the test causes it
+    on purpose and has the mark `violates`.
     """
     found: list[tuple[int, dict[str, Any]]] = []
     say = events.say
 
-    def heard(number: int, **fields: Any) -> None:
+    def recorded(number: int, **fields: Any) -> None:
         if number in events.VIOLATIONS:
             found.append((number, fields))
         say(number, **fields)
 
-    monkeypatch.setattr(events, "say", heard)
+    monkeypatch.setattr(events, "say", recorded)
     yield
     assert bool(found) == bool(request.node.get_closest_marker("violates")), found[:3]
--- a/tests/fleet_members.py
+++ b/tests/fleet_members.py
@@ -1,8 +1,8 @@
-"""Stand-in members of a fleet for the judge's tests: one that does all right in the small, and others with
-one planted fault each. Run as `fleet_members.py NAME CONFIGURATION` one is a process of its own.
+"""Stand-in members of a fleet for tests of the judge: a correct one, and others with one planted fault each.
+`fleet_members.py NAME CONFIGURATION` runs one as a process.
 
-All beat to all. A duty is leased from a majority of the members, a limit is shared out by the duty's owner in
-equal parts that lapse, a verdict is told on with its age.
+Every member sends heartbeats to all others. An exclusive task is leased from a majority of the members, its
+owner shares a limit out in equal parts that expire, and outcomes are passed on with their age.
 """
 
 from __future__ import annotations
@@ -12,33 +12,41 @@
 
 from opalwick.lab.fleet.agents import Agent, main
 
-BEAT, GONE, STILL = 0.2, 2.5, 0.5  # seconds: between beats; unheard so long is gone; a gap is standing still
-LEASE, MARGIN = 1.5, 1.05  # seconds, and how much longer voters hold to it than owners
+BEAT, GONE, STILL = (
+    0.2,
+    2.5,
+    0.5,
+)  # seconds: heartbeat interval; silence until gone; a gap that counts as a stall
+LEASE, MARGIN = 1.5, 1.05  # seconds, and the factor by which voters wait longer than owners
 RATE, BURST = 60.0, 15.0  # of the limit "calls"
 
 
 class Sound(Agent):
+    """The correct member."""
+
     def begins(self) -> None:
         n, now = self.members, self.now
-        self.heard_at = {i: now for i in range(n) if i != self.me}  # by itself or by one that it hears
-        self.direct = dict(self.heard_at)  # by itself
+        self.heard_at = {
+            i: now for i in range(n) if i != self.me
+        }  # by heartbeat, or by report of a member in contact
+        self.direct = dict(self.heard_at)  # by heartbeat
         self.lives = dict.fromkeys(self.heard_at, 0)
         self.gone: dict[int, bool] = {}
         self.last_beat, self.beats, self.stood_at = now, 0, -1.0
-        # as a voter: to whom it is promised, until when, and the newest number it knows; one that has just
-        # started may have promised and forgotten
+        # as a voter: to whom the lease is promised, until when, and the highest number seen; a restarted
+        # member may have lost a promise
         self.promised: tuple[int, int] | None = None
         self.promised_until, self.number = (now + LEASE * MARGIN if self.life > 1 else now), 0
         self.votes: set[int] = set()
         self.asked_at, self.owned_until, self.own = now, -1.0, 0
         self.part, self.part_until = 0.0, -1.0
-        self.verdicts: dict[int, float] = {}  # stamp: when it was made, by its own clock
-        self.used: set[int] = set()  # stamps: each once
+        self.verdicts: dict[int, float] = {}  # stamp: creation time by the local clock
+        self.used: set[int] = set()  # stamps, each used once
         if self.me == 0:
             self.row("limit", "calls", RATE, BURST)
         self.wake_at = now
 
-    # ---- every beat
+    # ---- every heartbeat
 
     def wakes(self) -> None:
         if self.now - self.last_beat > STILL:
@@ -61,7 +69,7 @@
         self.verdicts = {stamp: made for stamp, made in self.verdicts.items() if self.now - made < 2.0}
 
     def stood(self) -> None:
-        """What it has not heard meanwhile says nothing, and it owns nothing until it has renewed."""
+        """After a stall: silence meanwhile means nothing, and leases are void until renewed."""
         self.stood_at = self.now
         self.heard_at = dict.fromkeys(self.heard_at, self.now)
         self.owned_until = self.part_until = -1.0
@@ -79,10 +87,10 @@
             self.stood()
             self.last_beat = self.now
         if self.now - self.stood_at < BEAT and "v" in told:
-            return  # it may have lain there for as long as it stood still
+            return  # it may have been queued for the whole stall
         if "b" in told:
             self.there(sender, int(told["b"]))
-            for i in told["near"]:  # heard by one that is heard, which bears one-sided cuts
+            for i in told["near"]:  # reported by a member in contact, which tolerates one-way failures
                 if i in self.heard_at and not self.gone.get(i):
                     self.heard_at[i] = self.now
         elif "ask" in told:
@@ -99,20 +107,20 @@
 
     def there(self, i: int, life: int) -> None:
         if life < self.lives[i]:
-            return  # of a life before
+            return  # from a former process
         self.heard_at[i] = self.direct[i] = self.now
         if self.gone.get(i, True) or life > self.lives[i]:
             self.gone[i], self.lives[i] = False, life
             self.row("believes", i, "alive", life)
 
-    # ---- one owner: leased from a majority
+    # ---- the exclusive lease, granted by a majority
 
     def seek(self) -> None:
         owns = self.now < self.owned_until
         first = all(i > self.me for i, at in self.heard_at.items() if not self.gone.get(i, True))
         if not first:
-            return  # an owner too: its lease lapses, and the first takes over, however late it started
-        # asked by number: one more than the newest known for a new ownership, the same to renew
+            return  # an owner too: its lease expires, and the first member takes over
+        # a new ownership has the highest known number plus one, a renewal the same number
         if not owns:
             self.own = max(self.number, self.own) + 1
         self.asked_at, self.votes = self.now, set()
@@ -173,7 +181,7 @@
 
 
 class EverybodyDead(Sound):
-    """Declares all dead when it misses one word."""
+    """Declares all others dead at once."""
 
     def wakes(self) -> None:
         super().wakes()
@@ -183,11 +191,13 @@
 
 
 class NeverDetects(Sound):
+    """Reports no member as gone."""
+
     def found_gone(self, i: int) -> None: ...
 
 
 class AccusesAfterAPause(Sound):
-    """Takes what it did not hear while it stood still for silence."""
+    """Counts a stall of its own as silence of the others."""
 
     def stood(self) -> None:
         super().stood()
@@ -196,7 +206,7 @@
 
 
 class TwoOwners(Sound):
-    """Goes on owning after a pause, whatever its lease."""
+    """Keeps its ownership after a pause, whatever its lease."""
 
     def stood(self) -> None:
         owned = self.owned_until > 0
@@ -207,6 +217,8 @@
 
 
 class ActsAfterItsLease(Sound):
+    """Acts as owner after its lease has expired."""
+
     def stood(self) -> None:
         until = self.owned_until
         super().stood()
@@ -219,7 +231,7 @@
 
 
 class OldNumbers(Sound):
-    """Acts past its number at a receiver that does not check."""
+    """Acts with an outdated number at a receiver that doesn't check."""
 
     def wakes(self) -> None:
         super().wakes()
@@ -228,11 +240,15 @@
 
 
 class GrantsTooMuch(Sound):
+    """Shares out more than the limit."""
+
     def shares(self) -> float:
         return 1.5 * RATE / self.members
 
 
 class SpendsWhatLapsed(Sound):
+    """Uses its part of the limit after it has expired."""
+
     def spend(self) -> None:
         self.row("wanted", "calls", 2.0 * RATE * BEAT / self.members)
         if self.part_until > 0:
@@ -240,6 +256,8 @@
 
 
 class OldVerdictAsNew(Sound):
+    """Uses outcomes without regard to their age."""
+
     def hears(self, sender: int, told: dict[str, Any]) -> None:
         if "v" in told:
             told = {**told, "age": 0.0}
@@ -248,13 +266,15 @@
 
 
 class LongWords(Sound):
+    """Sends a message over the limit of 256 bytes."""
+
     def beat(self) -> None:
         super().beat()
-        self.send((self.me + 1) % self.members, pad="x" * 247)  # with the rest of it 257 octets
+        self.send((self.me + 1) % self.members, pad="x" * 247)  # 257 bytes in all
 
 
 class NeverHeals(Sound):
-    """Once held gone is gone for ever."""
+    """Never accepts a member again once it was gone."""
 
     def there(self, i: int, life: int) -> None:
         if not self.gone.get(i, False) or i not in self.gone or life > self.lives[i]:
@@ -262,14 +282,14 @@
 
 
 class SameLife(Sound):
-    """Takes one that came back for the one before."""
+    """Mistakes a restarted process for the former one."""
 
     def there(self, i: int, life: int) -> None:
         super().there(i, min(life, self.lives[i] or life))
 
 
 class Vacates(Sound):
-    """Nobody takes a duty over from the first owner."""
+    """Only the first owner ever takes the lease."""
 
     def seek(self) -> None:
         if self.me == 0:
@@ -278,7 +298,7 @@
 
 SOUND = Sound
 PLANTED: dict[type[Sound], tuple[str, str]] = {
-    # with the property that it breaks, and the day on which that shows
+    # with the property that it violates, and the scenario that shows it
     EverybodyDead: ("false", "calm"),
     NeverDetects: ("detect", "lost"),
     AccusesAfterAPause: ("false", "stopped"),
@@ -296,4 +316,4 @@
 
 if __name__ == "__main__":
     name = sys.argv.pop(1)
-    main({made.__name__: made for made in (SOUND, *PLANTED)}[name])
+    main({member.__name__: member for member in (SOUND, *PLANTED)}[name])
--- a/tests/test_install.py
+++ b/tests/test_install.py
@@ -1,4 +1,4 @@
-"""What an installation brings: every package, its data, and programs that start from there."""
+"""An installation contains every package and its data, and its programs start."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent
-# setuptools' own steps, as pip has them taken; a wheel on the way would need one package more
+# setuptools' steps without a wheel, which would need one more package
 INSTALL = "import sys; from setuptools import setup; sys.argv[0] = 'setup.py'; setup()"
-PROGRAMS = [  # arguments, and what it says
+PROGRAMS = [  # arguments, expected output
     (["-m", "opalwick", "--help"], "serve"),
     (["-m", "opalwick.post.commands", "--help"], "opalwick post"),
     (["-m", "opalwick", "lab", "post", "--help"], "hunt"),
@@ -25,7 +25,7 @@
 
 @pytest.fixture(scope="module")
 def place(tmp_path_factory: pytest.TempPathFactory) -> Path:
-    """The repository's files alone, installed into a folder of its own."""
+    """Folder with an installation of the repository's files."""
     tree, to = tmp_path_factory.mktemp("tree"), tmp_path_factory.mktemp("place")
     for name in ("opalwick", "pyproject.toml", "README.md", "LICENSE"):
         os.symlink(ROOT / name, tree / name)
@@ -72,12 +72,12 @@
     assert (place / "bin" / "opalwick").exists()
 
 
-def test_each_program_starts_from_there(place: Path) -> None:
+def test_each_installed_program_starts(place: Path) -> None:
     env = {key: value for key, value in os.environ.items() if key != "OPALWICK_CONFIG"}
     env |= {"PYTHONPATH": str(place / "lib"), "TERM": "dumb"}
     started = [
         (
-            words,
+            expected,
             subprocess.Popen(
                 [sys.executable, *arguments],
                 cwd=place,
@@ -87,18 +87,18 @@
                 stderr=subprocess.STDOUT,
             ),
         )
-        for arguments, words in PROGRAMS
+        for arguments, expected in PROGRAMS
     ]
-    for words, process in started:
-        said, _ = process.communicate(timeout=60)
-        assert words in said
+    for expected, process in started:
+        output, _ = process.communicate(timeout=60)
+        assert expected in output
 
 
-def test_no_source_names_what_operators_machines_reject() -> None:
-    """Programs that preload, trace others or share memory past the network are not started there (DEPLOY)."""
-    words = re.compile("/dev/" + "shm|LD_" + "PRELOAD|ptr" + "ace|shm_" + "open")
+def test_no_source_uses_what_operators_machines_reject() -> None:
+    """The operators' machines don't start programs that preload, trace others or share memory (DEPLOY)."""
+    pattern = re.compile("/dev/" + "shm|LD_" + "PRELOAD|ptr" + "ace|shm_" + "open")
     assert not [
         path
         for path in ROOT.rglob("*.py")
-        if path.parts[len(ROOT.parts)] in ("opalwick", "bench") and words.search(path.read_text())
+        if path.parts[len(ROOT.parts)] in ("opalwick", "bench") and pattern.search(path.read_text())
     ]
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail: what may stand there, and how they are run."""
+"""The list of tests known to fail: its format, and how they are run."""
 
 from __future__ import annotations
 
@@ -22,18 +22,20 @@
     return root
 
 
-def test_the_projects_own_list_is_sound_and_its_tests_are_there() -> None:
+def test_the_projects_list_is_valid_and_its_tests_exist() -> None:
     for red in known_red.read(known_red.ROOT / known_red.LIST):
         assert (known_red.ROOT / red.test.split("::")[0]).exists()
 
 
-def test_listed_tests_are_left_out_and_run_apart(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_listed_tests_are_deselected_and_run_separately(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     root = listed(
         tmp_path, "test_some.py::test_fails | a fault | 7", "test_some.py::test_passes | mended | #8"
     )
     assert known_red.main(["check"], root) == 0 == known_red.main(["deselect"], root)
-    told = capsys.readouterr().out
-    assert told == "--deselect=test_some.py::test_fails --deselect=test_some.py::test_passes\n"
+    output = capsys.readouterr().out
+    assert output == "--deselect=test_some.py::test_fails --deselect=test_some.py::test_passes\n"
     assert known_red.main(["run"], root) == 0
     fails, passes = capsys.readouterr().out.splitlines()
     assert "test_fails: still fails (a fault; issue 7)" in fails
@@ -55,7 +57,7 @@
         ([f"t.py::{n} | x | 7" for n in "abcd"], "4 tests are listed, 3 may be"),
     ],
 )
-def test_faulty_lists_are_refused(
+def test_invalid_lists_are_rejected(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], lines: list[str], why: str
 ) -> None:
     for call in ("check", "deselect", "run"):
@@ -63,5 +65,5 @@
         assert why in capsys.readouterr().err
 
 
-def test_no_list_is_an_empty_one(tmp_path: Path) -> None:
+def test_a_missing_list_is_empty(tmp_path: Path) -> None:
     assert known_red.read(tmp_path / known_red.LIST) == [] and known_red.main(["check", "run"], tmp_path) == 2
