--- a/bench/members.py
+++ b/bench/members.py
@@ -44,9 +44,9 @@
         if peer.suspicion is None and peer.present:
             peer.suspicion = Suspicion(began, lasts)
             self._mark_suspect(peer, began, "no answer")
-            self._schedule(began + self.terms.missed + self.terms.suspect, "judge", (peer, peer.suspicion))
+            self._schedule(began + self.terms.missed + self.terms.suspect, "expire", (peer, peer.suspicion))
 
-    def _due_judge(self, whom: tuple[Peer, Suspicion]) -> None:
+    def _due_expire(self, whom: tuple[Peer, Suspicion]) -> None:
         if whom[0].suspicion is whom[1] and whom[0].present:
             self._mark_gone(whom[0], self.now, "no answer")
 
--- a/opalwick/fleet/members.py
+++ b/opalwick/fleet/members.py
@@ -40,7 +40,7 @@
     answer: float = 0.25  # seconds to wait for a direct answer before indirect probes start
     missed: float = 0.6  # seconds from its start until a probe counts as missed
     suspect: float = 1.7  # seconds from the first missed probe until the member is gone, if others confirm
-    helpers: int = 3  # members that are asked for an indirect probe
+    helpers: int = 3  # members that receive a request for an indirect probe
     watched: int = 2  # successors in the ring that each member watches, of those that answer
     digest: float = 3.0  # seconds between comparisons of the whole list with a random member
 
@@ -251,8 +251,8 @@
                 getattr(self, f"_due_{what}")(whom)
         if self.push_scheduled and self.now >= self.push_at:
             self._push()
-        owed, self.outbox = self.outbox, []
-        for to, message in owed:
+        outbox, self.outbox = self.outbox, []
+        for to, message in outbox:
             yield self._send(to, message)
         self._check_majority()
         events, self.events = self.events, []
@@ -325,7 +325,7 @@
                 self._mark_alive(peer, message.life, message.incarnation, "message received from it")
         elif peer.unconfirmed or is_newer_incarnation(message.incarnation, peer.incarnation):
             self._mark_alive(peer, message.life, message.incarnation, "message received from it")
-        else:  # it receives the state held of it, and refutes that
+        else:  # it is sent its state as held here, and can refute it
             self._queue(peer.number, MessageType.UPDATES)
         peer.received_at = self.now
         if peer.suspicion is not None and peer.present:
@@ -449,19 +449,19 @@
         self.timers = [entry for entry in self.timers if entry[2] != "tick"]
         heapq.heapify(self.timers)
         self._schedule(self.now + t.every * (0.9 + 0.2 * self.random.draw()), "tick", None)
-        if self.displaced:  # asks for the state of the process that took its name
+        if self.displaced:  # requests the state of the process that took its name
             for peer in self._random_peers(1):
                 self._queue(peer.number, MessageType.UPDATES)
             return
-        asked = dict.fromkeys(self._ring_targets())
-        asked |= dict.fromkeys(self._round_robin_target())
+        targets = dict.fromkeys(self._ring_targets())
+        targets |= dict.fromkeys(self._round_robin_target())
         absent = [
             p for p in self.ring if not p.present and (p.state is not State.LEFT or self.now - p.since > 30.0)
         ]
         if absent:  # it may have returned, or the partition may be over
-            asked[absent[int(self.random.draw() * len(absent))]] = None
+            targets[absent[int(self.random.draw() * len(absent))]] = None
         busy = {probe.peer: probe for probe in self.probes.values() if probe.relay is None}
-        for peer in asked:
+        for peer in targets:
             if peer not in busy:
                 self._probe(peer)
             elif self.health:  # longer time limits, but no fewer messages, as others may still receive them
@@ -579,12 +579,12 @@
             peer.suspicion.duration = lasts
             self._schedule(
                 began + self.terms.missed + 0.4 * min(lasts, self.terms.suspect),
-                "tell",
+                "announce",
                 (peer, peer.suspicion),
             )
-            self._schedule(began + self.terms.missed + lasts, "judge", (peer, peer.suspicion))
+            self._schedule(began + self.terms.missed + lasts, "expire", (peer, peer.suspicion))
 
-    def _due_tell(self, whom: tuple[Peer, Suspicion]) -> None:
+    def _due_announce(self, whom: tuple[Peer, Suspicion]) -> None:
         peer, suspicion = whom
         if peer.suspicion is suspicion and peer.state is State.ALIVE:
             self._mark_suspect(
@@ -593,7 +593,7 @@
                 f"no answer to this member nor to {len(suspicion.confirmations)} others",
             )
 
-    def _due_judge(self, whom: tuple[Peer, Suspicion]) -> None:
+    def _due_expire(self, whom: tuple[Peer, Suspicion]) -> None:
         """Declares it gone if others confirm; without confirmation only after as long again, and without
         dissemination."""
         peer, suspicion = whom
@@ -612,7 +612,7 @@
             peer.unconfirmed = True
             self._mark_gone(peer, self.now, "no answer, and no other member answers either")
         else:
-            self._schedule(self.now + 0.1, "judge", whom)
+            self._schedule(self.now + 0.1, "expire", whom)
 
     def _due_overdue(self, peer: Peer) -> None:
         """Others suspected it and have reported nothing since: this member probes it."""
@@ -800,11 +800,11 @@
         """Checksums of the list by bucket, equal where two members hold the same."""
         sums = [0] * BUCKETS
         for about in range(self.count):
-            held = self._update_about(about)
-            if held.state is State.UNKNOWN or about != self.me and self.peers[about].unconfirmed:
+            update = self._update_about(about)
+            if update.state is State.UNKNOWN or about != self.me and self.peers[about].unconfirmed:
                 continue
-            state = State.ALIVE if held.state is State.SUSPECT else held.state
-            entry = b"%d/%d/%d/%d" % (about, state, held.life, held.incarnation)
+            state = State.ALIVE if update.state is State.SUSPECT else update.state
+            entry = b"%d/%d/%d/%d" % (about, state, update.life, update.incarnation)
             sums[about % BUCKETS] = (sums[about % BUCKETS] + zlib.crc32(entry)) & 0xFFFF
         return sums
 
--- a/opalwick/lab/proxy.py
+++ b/opalwick/lab/proxy.py
@@ -123,7 +123,7 @@
 
     def late(self, request: Request, call: Call) -> None:
         """Fail closed: nothing was sent, so asking again is harmless."""
-        if request.call is call and call.state in ("new", "held"):
+        if request.call is call and call.state in ("new", "waiting"):
             self.hang_up(request, "reset")
             self.finish(request, "deferred")
 
--- a/opalwick/processor/exchange.py
+++ b/opalwick/processor/exchange.py
@@ -38,7 +38,7 @@
 class Route(NamedTuple):
     """Send the request to this worker, within `use_by` seconds from now."""
 
-    place: Any
+    address: Any
     worker: Any
     use_by: float
 
@@ -52,7 +52,7 @@
 
 
 class Continue(NamedTuple):
-    """Pass the response on. `again`: a further call for this request would get a worker at once."""
+    """Pass the response on. `retry`: a further call for this request would get a worker at once."""
 
     retry: bool
 
@@ -75,7 +75,7 @@
         self.reply = reply
         self.item: Item | None = None
         self.number = -1  # of its attempt
-        self.state = "new"  # "held", "out", "answering", "over"
+        self.state = "new"  # "waiting", "out", "answering", "over"
         self.sent = False  # the decision has been written to the proxy's connection
         self.figures: Sequence[float] = ()  # a load report that came before the end
 
@@ -102,7 +102,7 @@
 class Proxy(NamedTuple):
     """How the proxies behave; times in seconds."""
 
-    retries: bool = True  # they open a further call for a request when `Go.again` is set
+    retries: bool = True  # they open a further call for a request when `Continue.retry` is set
     use_by: float = 0.2  # they send within this time after a decision, or not at all
     again_within: float = 0.5  # they open a further call within this time
 
@@ -154,56 +154,56 @@
 
     # ---- a proxy's messages
 
-    def request_started(self, call: Call, asked: ItemRequest) -> None:
+    def request_started(self, call: Call, request: ItemRequest) -> None:
         """The head of a request has been received."""
         self.calls += 1
         now = self.core.now()
-        item = self.items.get(asked.id)
+        item = self.items.get(request.id)
         if item is None:
-            item = self.ended.get(asked.id)
-        call.item, call.state = item, "held"
+            item = self.ended.get(request.id)
+        call.item, call.state = item, "waiting"
         if item is None:
-            if asked.expiry_at <= now:
-                self.on_final(asked.category, 504)
-                return self._tell(call, Immediate(504, 0.0, "no time left"))
+            if request.expiry_at <= now:
+                self.on_final(request.category, 504)
+                return self._reply(call, Immediate(504, 0.0, "no time left"))
             if len(self.items) >= self.max_items:
-                self.on_final(asked.category, 503)
-                return self._tell(call, Immediate(503, 1.0, "full"))
-            item = call.item = self.items[asked.id] = Item(asked.id, asked.category, asked.expiry_at)
+                self.on_final(request.category, 503)
+                return self._reply(call, Immediate(503, 1.0, "full"))
+            item = call.item = self.items[request.id] = Item(request.id, request.category, request.expiry_at)
             item.waiting = call
-            self.schedule(asked.expiry_at + 0.05, self._expired, item)
+            self.schedule(request.expiry_at + 0.05, self._expired, item)
             self.core.put(
                 "taken",
                 item.id,
-                asked.category,
-                asked.customer,
+                request.category,
+                request.customer,
                 now,
-                asked.expiry_at,
-                asked.work,
-                asked.slots,
-                asked.subject,
-                asked.repeat,
+                request.expiry_at,
+                request.work,
+                request.slots,
+                request.subject,
+                request.repeat,
                 1,
             )
             return
-        if asked.category is not item.category:
-            return self._tell(call, Immediate(409, 0.0, "this id is another request's"))
+        if request.category is not item.category:
+            return self._reply(call, Immediate(409, 0.0, "this id is another request's"))
         if item.final is not None:
-            return self._tell(call, self._immediate(item))
+            return self._reply(call, self._immediate(item))
         if item.waiting is not None:
             # the first call is still undecided: a second decision would be a needless attempt
             return self._refuse(call)
         if item.prepared is not None:
-            number, worker, place, until = item.prepared
+            number, worker, address, until = item.prepared
             item.prepared = None
-            return self._route(call, number, worker, place, until - now)
+            return self._route(call, number, worker, address, until - now)
         item.waiting = call
         self.core.put("asked", item.id)
         if item.waiting is call and (item.out or item.final is not None):
             item.waiting = None
             self._refuse(call)
 
-    def response_started(self, call: Call, reported: ResponseHead, last: bool) -> bool:
+    def response_started(self, call: Call, head: ResponseHead, last: bool) -> bool:
         """The head of the response has been received; `last`: nothing follows it.
 
         False if none is due in the state of the call; it is then ignored.
@@ -212,26 +212,26 @@
         if item is None or call.state != "out":
             self.unexpected += 1
             return False
-        status = reported.status
+        status = head.status
         if 200 <= status < 400:
             if not last:
                 call.state = "answering"
                 self.core.put("began", item.id, call.number)
                 call.reply(Continue(False))
                 # a load report in the head is applied at the end
-                call.figures = reported.figures
+                call.figures = head.figures
                 return True
-            self._end(call, Outcome.FINISHED, True, reported.figures)
+            self._end(call, Outcome.FINISHED, True, head.figures)
             call.reply(Continue(False))
             return True
         blamed = blames(status)
-        if reported.not_sent:
+        if head.not_sent:
             outcome = Outcome.NO_CONNECTION
-        elif reported.unprocessed and status in (503, 504):
+        elif head.unprocessed and status in (503, 504):
             outcome = Outcome.FULL
         else:
             outcome = Outcome.TIMED_OUT if status == 504 else Outcome.ERROR
-        self._end(call, outcome, blamed, reported.figures)
+        self._end(call, outcome, blamed, head.figures)
         # an error of the client is final: it is passed on, and no other worker is tried
         if item.final is None and not item.out and item.waiting is None:
             # decided now, as the proxy opens a further call only if a worker has been chosen
@@ -256,7 +256,7 @@
         if item is None or state == "over":
             call.state = "over"
             return
-        if state == "held":
+        if state == "waiting":
             call.state = "over"
             if item.waiting is call:
                 item.waiting = None
@@ -272,7 +272,7 @@
         else:
             late = self.core.now() >= item.expiry_at
             self._end(call, Outcome.TIMED_OUT if late else Outcome.BROKEN, False, ())
-        self._alone(item)
+        self._await_retry(item)
 
     def connection_lost(self, calls: Sequence[Call]) -> None:
         """A proxy's connection has ended, with all its calls."""
@@ -284,14 +284,14 @@
     def perform(self, effect: Any) -> bool:
         """Performs an effect on a work item; False for other effects."""
         match effect:
-            case Send(id, number, worker, place, _):
+            case Send(id, number, worker, address, _):
                 item = self.items[id]
                 call, item.waiting = item.waiting, None
                 until = min(self.core.now() + self.proxy.use_by, item.expiry_at)
                 if call is not None:
-                    self._route(call, number, worker, place, until - self.core.now())
+                    self._route(call, number, worker, address, until - self.core.now())
                 else:
-                    item.prepared = number, worker, place, until
+                    item.prepared = number, worker, address, until
                     self.schedule(until, self._unused, item, number)
             case Answer(id, final, _, come_back_in):
                 found = self.items.get(id)
@@ -300,7 +300,7 @@
                     found.come_back_in = come_back_in
                     call, found.waiting = found.waiting, None
                     if call is not None:
-                        self._tell(call, self._immediate(found))
+                        self._reply(call, self._immediate(found))
                     self._forget(found)
             case Close():
                 pass  # a proxy can't be made to cancel; it ends its other calls by itself
@@ -308,27 +308,27 @@
                 return False
         return True
 
-    # ---- inside
+    # ---- internal
 
     def _decide(self, item: Item, final: Final, status: int) -> None:
         if item.final is None:
             item.final = final
             self.on_final(item.category, status)
 
-    def _route(self, call: Call, number: int, worker: Any, place: Any, use_by: float) -> None:
+    def _route(self, call: Call, number: int, worker: Any, address: Any, use_by: float) -> None:
         assert call.item is not None
         call.number, call.state = number, "out"
         call.item.out[number] = call
-        call.reply(Route(place, worker, max(0.0, use_by)))
+        call.reply(Route(address, worker, max(0.0, use_by)))
 
-    def _tell(self, call: Call, what: Immediate) -> None:
+    def _reply(self, call: Call, what: Immediate) -> None:
         call.state = "over"
         call.reply(what)
 
     def _refuse(self, call: Call) -> None:
         self.refused += 1
         # the client may safely retry, as nothing was sent for this call
-        self._tell(call, Immediate(503, 0.0, "no second attempt now"))
+        self._reply(call, Immediate(503, 0.0, "no second attempt now"))
 
     def _immediate(self, item: Item) -> Immediate:
         if item.final is Final.DEFERRED:
@@ -353,14 +353,14 @@
             item.prepared = None
             self.unused += 1
             self.core.put("ended", item.id, number, Outcome.NOT_SENT)
-            self._alone(item)
+            self._await_retry(item)
 
-    def _alone(self, item: Item) -> None:
+    def _await_retry(self, item: Item) -> None:
         """If no call is left, waits for a further call; without one the client counts as gone."""
         if item.abandoned():
-            self.schedule(self.core.now() + self.proxy.again_within, self._left, item)
+            self.schedule(self.core.now() + self.proxy.again_within, self._abandon, item)
 
-    def _left(self, item: Item) -> None:
+    def _abandon(self, item: Item) -> None:
         if item.abandoned():
             item.final = Final.WRITTEN_OFF
             self.core.put("left", item.id)
@@ -375,7 +375,7 @@
         self.ended.pop(item.id, None)
         if item.waiting is not None:
             call, item.waiting = item.waiting, None
-            self._tell(call, self._immediate(item))
+            self._reply(call, self._immediate(item))
 
     def _forget(self, item: Item) -> None:
         """Answered with nothing out: no longer counts as open, but its id is kept until its expiry."""
--- a/opalwick/processor/front.py
+++ b/opalwick/processor/front.py
@@ -112,12 +112,12 @@
         self.stream_opened = True
         if path == PROCESS:
 
-            def say(payload: bytes, token: Any) -> None:
+            def send(payload: bytes, token: Any) -> None:
                 self.server.send(id, payload, token)
                 self.changed.set()
 
             front = self.front
-            self.streams[id] = Conversation(front.exchange, front.settings, lambda: self.arrived_at, say)
+            self.streams[id] = Conversation(front.exchange, front.settings, lambda: self.arrived_at, send)
         elif path in (CHECK, WATCH):
             self.streams[id] = Unary(path == WATCH)
         else:
@@ -195,14 +195,14 @@
     """Front end whose attempts are made by proxies."""
 
     def __init__(
-        self, settings: Settings, stop: Event, again: Event, read: Callable[[], Configuration]
+        self, settings: Settings, stop: Event, reload: Event, read: Callable[[], Configuration]
     ) -> None:
         c = settings.scheduler
         # after a decision a proxy can't be controlled: it cancels nothing, and makes one attempt per call
         c.scheduler_config.may_cancel = False
         if not settings.proxy.retries:
             c.scheduler_config.max_attempts = 1
-        super().__init__(c, stop, again, read)
+        super().__init__(c, stop, reload, read)
         self.settings, self.address = settings, settings.listen
         self.exchange = Exchange(self, settings.proxy, c.limits.work_items, self.counts.final)
         self.connections: dict[ProxyConnection, None] = {}
--- a/opalwick/processor/messages.py
+++ b/opalwick/processor/messages.py
@@ -43,8 +43,8 @@
     return found
 
 
-def _number(given: Mapping[str, str], name: str, default: float) -> float:
-    text = given.get(name) if name else None
+def _number(fields: Mapping[str, str], name: str, default: float) -> float:
+    text = fields.get(name) if name else None
     if text is None:
         return default
     try:
@@ -56,42 +56,42 @@
     return value
 
 
-def work_item(given: Mapping[str, str], settings: Settings, now: float) -> ItemRequest:
+def work_item(fields: Mapping[str, str], settings: Settings, now: float) -> ItemRequest:
     """The work item that a request's header fields describe. Raises Refused."""
     f, names = settings.fields, settings.scheduler.names
-    parts = given.get(":path", "").split("?", 1)[0].split("/")
+    parts = fields.get(":path", "").split("?", 1)[0].split("/")
     category = None
     for header, pattern, found in settings.rules:
-        if pattern.search(given.get(header, "")):
+        if pattern.search(fields.get(header, "")):
             category = found
             break
     else:
-        category = names.categories.get(given.get(f.category) or (parts[1] if len(parts) > 1 else ""))
+        category = names.categories.get(fields.get(f.category) or (parts[1] if len(parts) > 1 else ""))
     if category is None:
         raise Refused(404, "no such class")
-    id = given.get(f.id, "")
+    id = fields.get(f.id, "")
     if not 0 < len(id) <= 128:
         raise Refused(400, f"{f.id} is missing or too long")
-    key = given.get(f.key, "") if f.key else ""
+    key = fields.get(f.key, "") if f.key else ""
     if category.effect.value == "ticketed" and not key:
         raise Refused(400, f"{f.key} is missing")
-    left = _number(given, f.expiry, category.expiry * 1e3) / 1e3
-    slots = facts(given.get(f.facts, "").encode("latin-1", "replace")).get(b"slots", 1.0)
+    left = _number(fields, f.expiry, category.expiry * 1e3) / 1e3
+    slots = facts(fields.get(f.facts, "").encode("latin-1", "replace")).get(b"slots", 1.0)
     return ItemRequest(
         id,
         category,
-        names.customers.get(given.get(f.customer, "")),
+        names.customers.get(fields.get(f.customer, "")),
         now + min(left, 3600.0),
-        _number(given, f.hint, 0.0) * 1e-6,
+        _number(fields, f.hint, 0.0) * 1e-6,
         slots if 0 < slots < 1e4 else 1.0,
         subject(parts[-1].encode("latin-1", "replace") if len(parts) > 2 else b""),
-        given.get("x-repeat") == "1",
+        fields.get("x-repeat") == "1",
         key,
     )
 
 
 class Conversation:
-    """One stream. `say(payload, token)` sends a message, `done(status, text)` ends the stream from here."""
+    """One stream. `send(payload, token)` sends a message."""
 
     __slots__ = ("exchange", "settings", "now", "send", "call", "queued", "phase", "observe_only", "closed")
 
@@ -100,9 +100,9 @@
         exchange: Exchange,
         settings: Settings,
         now: Callable[[], float],
-        say: Callable[[bytes, Any], None],
+        send: Callable[[bytes, Any], None],
     ) -> None:
-        self.exchange, self.settings, self.now, self.send = exchange, settings, now, say
+        self.exchange, self.settings, self.now, self.send = exchange, settings, now, send
         self.call = Call(self.reply)
         # answers keep the order of the messages: those after a head that is still undecided wait
         self.queued: deque[Any] = deque()
@@ -153,17 +153,17 @@
         self.exchange.request_started(self.call, found)
 
     def response(self, headers: Any) -> None:
-        given, f = fields_of(headers.headers), self.settings.fields
+        fields, f = fields_of(headers.headers), self.settings.fields
         try:
-            status = int(given.get(":status", "0"))
+            status = int(fields.get(":status", "0"))
         except ValueError:
-            raise Malformed(":status is no number") from None
-        load = given.get(f.load) if f.load else None
+            raise Malformed(":status is not a number") from None
+        load = fields.get(f.load) if f.load else None
         reported = ResponseHead(
             status,
             figures(load.encode("latin-1", "replace"), self.settings.scheduler.names.figures) if load else (),
-            bool(f.unprocessed) and given.get(f.unprocessed) == "1",
-            bool(f.not_sent) and given.get(f.not_sent) == "1",
+            bool(f.unprocessed) and fields.get(f.unprocessed) == "1",
+            bool(f.not_sent) and fields.get(f.not_sent) == "1",
         )
         self.phase = "response"
         if not self.exchange.response_started(self.call, reported, headers.end_of_stream):
@@ -174,9 +174,9 @@
         """Answers a body or trailers, which are not inspected, with an empty response."""
         answer = ext_proc.ProcessingResponse()
         getattr(answer, kind).SetInParent()
-        if self.phase == "request" and self.call.state == "held":
+        if self.phase == "request" and self.call.state == "waiting":
             if len(self.queued) >= 64:  # far more than a proxy sends before the head is answered
-                raise Malformed("too much before the request's head is answered")
+                raise Malformed("too many messages before the request's head is answered")
             self.queued.append(answer)
         else:
             self.send(answer.SerializeToString(), None)
@@ -187,9 +187,9 @@
             return
         answer, f, token = ext_proc.ProcessingResponse(), self.settings.fields, None
         match what:
-            case Route(place, worker, use_by):
+            case Route(address, worker, use_by):
                 common = answer.request_headers.response
-                where = place if isinstance(place, str) else "%s:%d" % place
+                where = address if isinstance(address, str) else "%s:%d" % address
                 for name, value in (
                     (f.worker, where),
                     (f.name, str(worker)),
@@ -206,10 +206,10 @@
                 immediate.details = f"opalwick: {why}"
                 if come_back_in > 0:
                     _set(immediate.headers.set_headers, "retry-after", f"{come_back_in:g}")
-            case Continue(again):
+            case Continue(retry):
                 common = answer.response_headers.response
                 common.SetInParent()
-                if again and f.again:
+                if retry and f.again:
                     _set(common.header_mutation.set_headers, f.again, "1")
         self.send(answer.SerializeToString(), token)
         while self.queued:
--- a/opalwick/program/core.py
+++ b/opalwick/program/core.py
@@ -15,7 +15,7 @@
 
 from opalwick.interface import ListForm
 from opalwick.program.configuration import BadConfiguration, Configuration
-from opalwick.program.handover import Handover, socket_path as meeting
+from opalwick.program.handover import Handover, socket_path
 from opalwick.program.operators import Operators
 from opalwick.protocol import figures
 from opalwick.protocol.discovery import Discovery, listing, rows
@@ -48,10 +48,10 @@
     supports_handover = False  # whether the front end can hand its listener over to a successor process
 
     def __init__(
-        self, configuration: Configuration, stop: Event, again: Event, read: Callable[[], Configuration]
+        self, configuration: Configuration, stop: Event, reload: Event, read: Callable[[], Configuration]
     ) -> None:
-        """Shuts down when `stop` is set; reloads the configuration, with `read`, whenever `again` is set."""
-        self.stop, self.reload_requested, self.read = stop, again, read
+        """Shuts down when `stop` is set; reloads the configuration, with `read`, whenever `reload` is set."""
+        self.stop, self.reload_requested, self.read = stop, reload, read
         c = self.configuration = configuration
         self.limits, self.names = c.limits, c.names
         now = time.monotonic()
@@ -78,7 +78,11 @@
         self.put_at, self.stall = now, 0.0  # time of the last input; length of the last stall
         self.peers = {place: i for i, place in enumerate(c.peers)}
         self.datagrams: Datagrams | None = None
-        path = meeting(c.directory, f"{c.name} {c.listen}") if c.directory and c.inherited is not None else ""
+        path = (
+            socket_path(c.directory, f"{c.name} {c.listen}")
+            if c.directory and c.inherited is not None
+            else ""
+        )
         self.handover = Handover(path if self.supports_handover else "", self, self.run_forever)
         self.superseded = False  # a successor process serves in place of this one
         self.other_ids: set[Any] = set()  # work items open in the other process
@@ -176,8 +180,8 @@
                 if at < self.wake_at or self.wake_at <= time.monotonic():
                     self.wake_at = at
                     self.timer_changed.set()
-            case Probe(worker, place):
-                gevent.spawn(self.probe, worker, place)
+            case Probe(worker, address):
+                gevent.spawn(self.probe, worker, address)
             case Watch():
                 gevent.spawn(self.discovery.watch)
             case Datagram(to, payload):
@@ -185,8 +189,8 @@
                 if self.datagrams is not None and not self.superseded and to < len(self.configuration.peers):
                     self.datagrams.send(self.configuration.peers[to], payload)
 
-    def probe(self, worker: Any, place: Address) -> None:
-        self.put("probed", worker, probe(place, self.pool, self.limits, self.names.figures))
+    def probe(self, worker: Any, address: Address) -> None:
+        self.put("probed", worker, probe(address, self.pool, self.limits, self.names.figures))
 
     def close_idle_connections(self) -> None:
         while True:
@@ -198,25 +202,25 @@
         while True:
             self.timer_changed.clear()
             due = min(self.wake_at, self.agent_at)
-            rearmed = self.timer_changed.wait(min(self.pulse.EVERY, max(0.0, due - time.monotonic())))
+            changed = self.timer_changed.wait(min(self.pulse.EVERY, max(0.0, due - time.monotonic())))
             self.check_stall(time.monotonic())
             if time.monotonic() >= self.agent_at and not self.resuming:
                 self.agent_at = math.inf
                 self.run_agent()
             # the event loop's clock may run slightly ahead: the reducer would ignore a wake that is early,
             # and would not request another
-            if rearmed or time.monotonic() < self.wake_at:
+            if changed or time.monotonic() < self.wake_at:
                 continue
             self.wake_at = float("inf")
             self.put("woken")
 
     def list_updated(self, form: ListForm, found: list[tuple]) -> None:
-        watched = form is not ListForm.FAILED
-        if watched:
+        succeeded = form is not ListForm.FAILED
+        if succeeded:
             self.list_received.set()
-        if watched != self.discovery_ok:
-            self.discovery_ok = watched
-            if watched:
+        if succeeded != self.discovery_ok:
+            self.discovery_ok = succeeded
+            if succeeded:
                 logger.info("receiving the list of workers from discovery")
             else:
                 logger.warning("discovery did not answer; the last list of workers stays in use")
@@ -430,13 +434,13 @@
             self.listener = listening(self.address, self.limits.backlog)
         self.address = self.listener.getsockname()
 
-    def receive_peer_messages(self, place: Address) -> None:
+    def receive_peer_messages(self, address: Address) -> None:
         """Runs in its own greenlet. The address may still be in use by a process that is about to end."""
         while self.datagrams is None:
             try:
-                self.datagrams = Datagrams(place, self.handover.received_descriptor)
+                self.datagrams = Datagrams(address, self.handover.received_descriptor)
             except OSError as exc:
-                logger.warning("cannot receive peer messages on {}:{}: {}", *place, exc)
+                logger.warning("cannot receive peer messages on {}:{}: {}", *address, exc)
                 gevent.sleep(1.0)
         self.datagrams.receive(self.peer_message)
 
--- a/opalwick/program/handover.py
+++ b/opalwick/program/handover.py
@@ -106,9 +106,9 @@
 class Handover:
     """Finds a process that serves already and takes over from it, then waits for a successor."""
 
-    def __init__(self, path: str, process: Process, forever: Callable[..., None]) -> None:
+    def __init__(self, path: str, process: Process, run_forever: Callable[..., None]) -> None:
         """`path`: of the handover socket; empty disables handover."""
-        self.path, self.process, self.run_forever = path, process, forever
+        self.path, self.process, self.run_forever = path, process, run_forever
         self.link: Link | None = None
         self.received_descriptor: int | None = None  # descriptor received from the old process
         self.is_successor = False  # this process is the successor of the other
--- a/opalwick/program/scheduler.py
+++ b/opalwick/program/scheduler.py
@@ -24,9 +24,9 @@
     supports_handover = True
 
     def __init__(
-        self, configuration: Configuration, stop: Event, again: Event, read: Callable[[], Configuration]
+        self, configuration: Configuration, stop: Event, reload: Event, read: Callable[[], Configuration]
     ) -> None:
-        super().__init__(configuration, stop, again, read)
+        super().__init__(configuration, stop, reload, read)
         c = configuration
         self.calls: dict[bytes, Call] = {}  # accepted and not yet answered, by the client's id
         self.attempts: dict[tuple[bytes, int], HandingOff] = {}
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -174,7 +174,7 @@
 class Hasty(Members):
     """Fault: declares a death without confirmation, and disseminates it."""
 
-    def _due_judge(self, whom) -> None:
+    def _due_expire(self, whom) -> None:
         peer, suspicion = whom
         if peer.suspicion is suspicion and peer.present:
             self._mark_gone(peer, self.now, "so there")
