--- a/opalwick/fleet/members.py
+++ b/opalwick/fleet/members.py
@@ -364,8 +364,8 @@
             case State.GONE if fresh or peer.present:
                 # a message came since, or the death is old and was not reported before: it comes from another
                 # partition, or was missed. The peer is notified and probed before the report is accepted
-                spoke = peer.received_at > self.now - item.age - self.terms.pause
-                if not fresh and (spoke or item.age > self.RECENT_DEATH):
+                received_since = peer.received_at > self.now - item.age - self.terms.pause
+                if not fresh and (received_since or item.age > self.RECENT_DEATH):
                     self._queue(peer.number, MessageType.UPDATES, item)
                     self._suspect(peer, self.now, 0.5 * self.terms.suspect)
                 else:
--- a/tests/fleet_members.py
+++ b/tests/fleet_members.py
@@ -12,7 +12,7 @@
 
 from opalwick.lab.fleet.agents import Agent, main
 
-BEAT, GONE, STILL = (
+HEARTBEAT, GONE, STALL = (
     0.2,
     2.5,
     0.5,
@@ -32,7 +32,7 @@
         self.direct = dict(self.heard_at)  # by heartbeat
         self.lives = dict.fromkeys(self.heard_at, 0)
         self.gone: dict[int, bool] = {}
-        self.last_beat, self.beats, self.stood_at = now, 0, -1.0
+        self.last_heartbeat, self.heartbeats, self.stalled_at = now, 0, -1.0
         # as a voter: to whom the lease is promised, until when, and the highest number seen; a restarted
         # member may have lost a promise
         self.promised: tuple[int, int] | None = None
@@ -40,7 +40,7 @@
         self.votes: set[int] = set()
         self.asked_at, self.owned_until, self.own = now, -1.0, 0
         self.part, self.part_until = 0.0, -1.0
-        self.verdicts: dict[int, float] = {}  # stamp: creation time by the local clock
+        self.outcomes: dict[int, float] = {}  # stamp: creation time by the local clock
         self.used: set[int] = set()  # stamps, each used once
         if self.me == 0:
             self.row("limit", "calls", RATE, BURST)
@@ -49,61 +49,61 @@
     # ---- every heartbeat
 
     def wakes(self) -> None:
-        if self.now - self.last_beat > STILL:
-            self.stood()
-        self.last_beat, self.wake_at = self.now, self.now + BEAT
-        self.beats += 1
-        self.beat()
+        if self.now - self.last_heartbeat > STALL:
+            self.after_stall()
+        self.last_heartbeat, self.wake_at = self.now, self.now + HEARTBEAT
+        self.heartbeats += 1
+        self.send_heartbeat()
         for i, at in self.heard_at.items():
             if self.now - at > GONE and not self.gone.get(i):
-                self.found_gone(i)
-        self.seek()
+                self.mark_gone(i)
+        self.seek_lease()
         self.spend()
-        if self.me == 1 % self.members and self.beats % 10 == 0:
-            stamp = self.life * 100_000 + self.beats
+        if self.me == 1 % self.members and self.heartbeats % 10 == 0:
+            stamp = self.life * 100_000 + self.heartbeats
             self.row("made", "worker w1 is bad", stamp)
-            self.verdicts[stamp] = self.now
+            self.outcomes[stamp] = self.now
             self.used.add(stamp)
-        for stamp, made in self.verdicts.items():
+        for stamp, made in self.outcomes.items():
             self.tell_all(v=stamp, age=round(self.now - made, 3))
-        self.verdicts = {stamp: made for stamp, made in self.verdicts.items() if self.now - made < 2.0}
+        self.outcomes = {stamp: made for stamp, made in self.outcomes.items() if self.now - made < 2.0}
 
-    def stood(self) -> None:
+    def after_stall(self) -> None:
         """After a stall: silence meanwhile means nothing, and leases are void until renewed."""
-        self.stood_at = self.now
+        self.stalled_at = self.now
         self.heard_at = dict.fromkeys(self.heard_at, self.now)
         self.owned_until = self.part_until = -1.0
 
-    def beat(self) -> None:
-        there = [i for i, at in self.direct.items() if self.now - at < 2.0 * BEAT]
+    def send_heartbeat(self) -> None:
+        there = [i for i, at in self.direct.items() if self.now - at < 2.0 * HEARTBEAT]
         self.tell_all(b=self.life, near=there)
 
-    def found_gone(self, i: int) -> None:
+    def mark_gone(self, i: int) -> None:
         self.gone[i] = True
         self.row("believes", i, "gone", self.lives[i])
 
-    def hears(self, sender: int, told: dict[str, Any]) -> None:
-        if self.now - self.last_beat > STILL:
-            self.stood()
-            self.last_beat = self.now
-        if self.now - self.stood_at < BEAT and "v" in told:
+    def hears(self, sender: int, fields: dict[str, Any]) -> None:
+        if self.now - self.last_heartbeat > STALL:
+            self.after_stall()
+            self.last_heartbeat = self.now
+        if self.now - self.stalled_at < HEARTBEAT and "v" in fields:
             return  # it may have been queued for the whole stall
-        if "b" in told:
-            self.there(sender, int(told["b"]))
-            for i in told["near"]:  # reported by a member in contact, which tolerates one-way failures
+        if "b" in fields:
+            self.there(sender, int(fields["b"]))
+            for i in fields["near"]:  # reported by a member in contact, which tolerates one-way failures
                 if i in self.heard_at and not self.gone.get(i):
                     self.heard_at[i] = self.now
-        elif "ask" in told:
-            self.vote(sender, int(told["life"]), int(told["ask"]))
-        elif "vote" in told:
-            self.voted(sender, told)
-        elif "part" in told:
-            self.part, self.part_until = float(told["part"]), self.now + float(told["for"])
-        elif "v" in told and told["v"] not in self.used and float(told["age"]) < 2.0:
-            made = self.now - float(told["age"])
-            self.used.add(told["v"])
-            self.verdicts[told["v"]] = made
-            self.row("used", "worker w1 is bad", told["v"], round(self.now - made, 3))
+        elif "ask" in fields:
+            self.vote(sender, int(fields["life"]), int(fields["ask"]))
+        elif "vote" in fields:
+            self.voted(sender, fields)
+        elif "part" in fields:
+            self.part, self.part_until = float(fields["part"]), self.now + float(fields["for"])
+        elif "v" in fields and fields["v"] not in self.used and float(fields["age"]) < 2.0:
+            made = self.now - float(fields["age"])
+            self.used.add(fields["v"])
+            self.outcomes[fields["v"]] = made
+            self.row("used", "worker w1 is bad", fields["v"], round(self.now - made, 3))
 
     def there(self, i: int, life: int) -> None:
         if life < self.lives[i]:
@@ -115,7 +115,7 @@
 
     # ---- the exclusive lease, granted by a majority
 
-    def seek(self) -> None:
+    def seek_lease(self) -> None:
         owns = self.now < self.owned_until
         first = all(i > self.me for i, at in self.heard_at.items() if not self.gone.get(i, True))
         if not first:
@@ -142,10 +142,10 @@
         else:
             self.send(sender, vote=True, n=number)
 
-    def voted(self, sender: int, told: dict[str, Any]) -> None:
-        if not told["vote"]:
-            self.number = max(self.number, int(told["n"]))
-        elif told["n"] == self.own:
+    def voted(self, sender: int, fields: dict[str, Any]) -> None:
+        if not fields["vote"]:
+            self.number = max(self.number, int(fields["n"]))
+        elif fields["n"] == self.own:
             self.votes.add(sender)
             if len(self.votes) > self.members // 2:
                 self.owned_until = self.asked_at + LEASE / MARGIN
@@ -172,9 +172,9 @@
         return RATE / self.members
 
     def spend(self) -> None:
-        self.row("wanted", "calls", 2.0 * RATE * BEAT / self.members)
+        self.row("wanted", "calls", 2.0 * RATE * HEARTBEAT / self.members)
         if self.now + 1e-9 < self.part_until:
-            self.row("spent", "calls", self.part * BEAT)
+            self.row("spent", "calls", self.part * HEARTBEAT)
 
 
 # ---- one fault each
@@ -185,32 +185,32 @@
 
     def wakes(self) -> None:
         super().wakes()
-        if self.beats == 30 and self.me == 0:
+        if self.heartbeats == 30 and self.me == 0:
             for i in self.heard_at:
-                self.found_gone(i)
+                self.mark_gone(i)
 
 
 class NeverDetects(Sound):
     """Reports no member as gone."""
 
-    def found_gone(self, i: int) -> None: ...
+    def mark_gone(self, i: int) -> None: ...
 
 
 class AccusesAfterAPause(Sound):
     """Counts a stall of its own as silence of the others."""
 
-    def stood(self) -> None:
-        super().stood()
+    def after_stall(self) -> None:
+        super().after_stall()
         for i in self.heard_at:
-            self.found_gone(i)
+            self.mark_gone(i)
 
 
 class TwoOwners(Sound):
     """Keeps its ownership after a pause, whatever its lease."""
 
-    def stood(self) -> None:
+    def after_stall(self) -> None:
         owned = self.owned_until > 0
-        super().stood()
+        super().after_stall()
         if owned and self.own:
             self.owned_until = self.now + LEASE
             self.row("claims", "pace", self.own, self.when(self.owned_until))
@@ -219,9 +219,9 @@
 class ActsAfterItsLease(Sound):
     """Acts as owner after its lease has expired."""
 
-    def stood(self) -> None:
+    def after_stall(self) -> None:
         until = self.owned_until
-        super().stood()
+        super().after_stall()
         self.owned_until = until
 
     def act(self) -> None:
@@ -235,7 +235,7 @@
 
     def wakes(self) -> None:
         super().wakes()
-        if self.own and self.beats % 5 == 0:
+        if self.own and self.heartbeats % 5 == 0:
             self.send(self.members, act="pace", n=max(0, self.own - 1), life=self.life, checked=False)
 
 
@@ -250,26 +250,26 @@
     """Uses its part of the limit after it has expired."""
 
     def spend(self) -> None:
-        self.row("wanted", "calls", 2.0 * RATE * BEAT / self.members)
+        self.row("wanted", "calls", 2.0 * RATE * HEARTBEAT / self.members)
         if self.part_until > 0:
-            self.row("spent", "calls", 0.2 * self.part * BEAT)
+            self.row("spent", "calls", 0.2 * self.part * HEARTBEAT)
 
 
 class OldVerdictAsNew(Sound):
     """Uses outcomes without regard to their age."""
 
-    def hears(self, sender: int, told: dict[str, Any]) -> None:
-        if "v" in told:
-            told = {**told, "age": 0.0}
-            self.used.discard(told["v"])
-        super().hears(sender, told)
+    def hears(self, sender: int, fields: dict[str, Any]) -> None:
+        if "v" in fields:
+            fields = {**fields, "age": 0.0}
+            self.used.discard(fields["v"])
+        super().hears(sender, fields)
 
 
 class LongWords(Sound):
     """Sends a message over the limit of 256 bytes."""
 
-    def beat(self) -> None:
-        super().beat()
+    def send_heartbeat(self) -> None:
+        super().send_heartbeat()
         self.send((self.me + 1) % self.members, pad="x" * 247)  # 257 bytes in all
 
 
@@ -291,9 +291,9 @@
 class Vacates(Sound):
     """Only the first owner ever takes the lease."""
 
-    def seek(self) -> None:
+    def seek_lease(self) -> None:
         if self.me == 0:
-            super().seek()
+            super().seek_lease()
 
 
 SOUND = Sound
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -87,7 +87,7 @@
 
 def test_a_scheduler_without_membership_ignores_the_messages() -> None:
     desk = Desk()
-    desk.put("heard", 1, encode(Message(MessageType.PING, 1, 1, 0)), note="a word of membership")
+    desk.put("heard", 1, encode(Message(MessageType.PING, 1, 1, 0)), note="a membership message")
     assert desk.lines[-1].endswith("nothing")
 
 
@@ -215,10 +215,10 @@
 }
 
 
-@pytest.mark.parametrize("made", MUTANTS, ids=lambda made: made.__name__)
-def test_a_planted_fault_violates_its_property(made: type, monkeypatch) -> None:
-    monkeypatch.setattr("opalwick.fleet.agent.Members", made)
-    name, broken = MUTANTS[made]
+@pytest.mark.parametrize("mutant", MUTANTS, ids=lambda mutant: mutant.__name__)
+def test_a_planted_fault_violates_its_property(mutant: type, monkeypatch) -> None:
+    monkeypatch.setattr("opalwick.fleet.agent.Members", mutant)
+    name, broken = MUTANTS[mutant]
     assert broken in {one["property"] for one in seen(fleet(FAULTS[name]))["broken"]}
 
 
@@ -254,12 +254,12 @@
 }
 
 
-@pytest.mark.parametrize("said", WRONG)
-def test_an_invalid_configuration_is_reported_by_its_key(said: str, tmp_path) -> None:
+@pytest.mark.parametrize("settings", WRONG)
+def test_an_invalid_configuration_is_reported_by_its_key(settings: str, tmp_path) -> None:
     from test_scheduler import configuration
 
-    with pytest.raises(BadConfiguration, match=WRONG[said]):
-        configuration(tmp_path, fleet=json.loads(said))
+    with pytest.raises(BadConfiguration, match=WRONG[settings]):
+        configuration(tmp_path, fleet=json.loads(settings))
     for changes, why in (
         ({"peers": []}, "needs peers"),
         ({"peer_listen": None}, "needs peer_listen"),
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -349,15 +349,15 @@
 
 def test_messages_are_reassembled_from_any_fragments() -> None:
     data, reader, found = packed("now", ids=["a"]) + packed("serving"), Reader(), []
-    for octet in data:
-        found += reader.feed(bytes([octet]))
+    for byte in data:
+        found += reader.feed(bytes([byte]))
     assert [(kind, told.get("ids")) for kind, told in found] == [("now", ["a"]), ("serving", None)]
     with pytest.raises(Odd):
         Reader().feed(struct.pack("!I", 2) + b"[]")
 
 
 @pytest.mark.parametrize(
-    "text, said",
+    "text, error_text",
     [
         ("x", "BALANCER_FD is malformed: 'x' is not a descriptor's number"),
         ("-1", "BALANCER_FD is malformed: '-1' is not a descriptor's number"),
@@ -368,14 +368,14 @@
         ("{tcp}", "BALANCER_FD is malformed: {tcp} does not listen"),
     ],
 )
-def test_an_invalid_descriptor_is_named(tmp_path, text, said) -> None:
+def test_an_invalid_descriptor_is_named(tmp_path, text, error_text) -> None:
     configuration(tmp_path)
     file = os.open(tmp_path / "configuration.json", os.O_RDONLY)
     udp, tcp = gevent.socket.socket(type=gevent.socket.SOCK_DGRAM), gevent.socket.socket()
     known = {"file": file, "udp": udp.fileno(), "tcp": tcp.fileno()}
     with pytest.raises(BadConfiguration) as error:
         read({"BALANCER_CONFIG": str(tmp_path / "configuration.json"), "BALANCER_FD": text.format(**known)})
-    assert str(error.value).startswith(said.format(**known))
+    assert str(error.value).startswith(error_text.format(**known))
     os.close(file)
 
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -249,7 +249,7 @@
 
 
 @pytest.mark.parametrize(
-    "faulty, said",
+    "faulty, error_text",
     [
         ({"operator": 7}, "operator is malformed: not an address: 7"),
         ({"operator": "here"}, "operator is malformed: not an address: 'here'"),
@@ -259,10 +259,10 @@
         ),
     ],
 )
-def test_an_invalid_operators_address_is_named(tmp_path, faulty, said) -> None:
+def test_an_invalid_operators_address_is_named(tmp_path, faulty, error_text) -> None:
     with pytest.raises(BadConfiguration) as error:
         configuration(tmp_path, **faulty)
-    assert str(error.value) == said
+    assert str(error.value) == error_text
 
 
 def test_the_operators_address_comes_from_the_environment_too(tmp_path) -> None:
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -30,13 +30,13 @@
 from opalwick.transport.pulse import Pulse
 
 
-def stand_still(seconds: float) -> None:
+def stall(seconds: float) -> None:
     """Blocks this whole process, stand-ins included; data already written still passes through the kernel."""
     gevent.sleep(0.06)  # at least one check of the pulse
     time.sleep(seconds)
 
 
-def elsewhere(after: float, do) -> threading.Timer:
+def run_later(after: float, do) -> threading.Timer:
     """Runs `do` in a thread, on plain sockets, as another process would during the stall."""
     timer = threading.Timer(after, do)
     timer.start()
@@ -74,13 +74,13 @@
     served = Served(tmp_path, DONE)
     sock = plain.create_connection(served.scheduler.address)
     gevent.sleep(0.1)
-    elsewhere(0.6, lambda: sock.sendall(post(X_Time_Left_Ms="480")))
+    run_later(0.6, lambda: sock.sendall(post(X_Time_Left_Ms="480")))
     time.sleep(0.7)
     gevent.sleep(0.2)
     sock.settimeout(1.0)
-    said = sock.recv(4096).split(b"\r\n")[0]
+    status = sock.recv(4096).split(b"\r\n")[0]
     # without the kernel's report the stall is the bound, and what may have expired must not be sent
-    assert said == (b"HTTP/1.1 200 OK" if age_source == "kernel" else b"HTTP/1.1 503 Service Unavailable")
+    assert status == (b"HTTP/1.1 200 OK" if age_source == "kernel" else b"HTTP/1.1 503 Service Unavailable")
     sock.close()
     served.stop()
 
@@ -110,8 +110,8 @@
     sock = served.ask(post(X_Time_Left_Ms="5000"))
     worker = hold.accept()[0]
     worker.recv(4096)
-    elsewhere(0.2, lambda: worker.sendall(DONE))
-    stand_still(1.5)
+    run_later(0.2, lambda: worker.sendall(DONE))
+    stall(1.5)
     assert first(sock) == "HTTP/1.1 200 OK | 7"
     [w] = served.scheduler.reducer.balancer.all_workers
     assert (w.ejections, w.limit >= 4.0 * w.slots) == (0, True)
