--- a/opalwick/processor/front.py
+++ b/opalwick/processor/front.py
@@ -1,6 +1,4 @@
-"""The processor on sockets: proxies' connections in front of the scheduler that `serve` has, without its
-own carriers.
-"""
+"""The processor's server: a front end of the scheduler for proxies, which send the requests to workers."""
 
 from __future__ import annotations
 
@@ -14,31 +12,31 @@
 from gevent.event import Event
 from loguru import logger
 
-from opalwick.checked import Faulty
+from opalwick.checked import InvalidFile
 from opalwick.processor import grpc
 from opalwick.processor.configuration import Settings, read
 from opalwick.processor.exchange import Call, Exchange
 from opalwick.processor.messages import Conversation, Malformed
 from opalwick.program.configuration import BadConfiguration, Configuration
 from opalwick.program.core import Core
-from opalwick.program.service import prepared, run
+from opalwick.program.service import prepare, run
 
 PROCESS = "/envoy.service.ext_proc.v3.ExternalProcessor/Process"
 CHECK, WATCH = "/grpc.health.v1.Health/Check", "/grpc.health.v1.Health/Watch"
-# grpc.health.v1.HealthCheckResponse: its one field is the status, 1 serving or 2 not
+# encoded grpc.health.v1.HealthCheckResponse, whose only field is the status: 1 serving, 2 not serving
 SERVING, NOT_SERVING = b"\x08\x01", b"\x08\x02"
-READ = 65536  # bytes at once
+READ = 65536  # bytes per read
 
 
 class Unary:
-    """A call of the health service."""
+    """A call of the gRPC health service."""
 
     def __init__(self, watch: bool) -> None:
         self.watch = watch
 
 
 class ProxyConnection:
-    """One connection from a proxy: its reader feeds the protocol, its writer sends what there is."""
+    """One connection from a proxy, with a greenlet that reads and one that writes."""
 
     def __init__(self, front: ProcessorFront, sock: Any) -> None:
         self.front, self.sock = front, sock
@@ -46,9 +44,9 @@
         self.streams: dict[int, Conversation | Unary] = {}
         self.deadlines: dict[int, Any] = {}
         self.changed = Event()
-        self.over = False
-        self.asked = False
-        self.came_at = time.monotonic()  # what is being read
+        self.closed = False
+        self.stream_opened = False
+        self.arrived_at = time.monotonic()  # earliest arrival of the data being processed
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def run(self) -> None:
@@ -57,8 +55,8 @@
             self.read()
         except OSError:
             pass
-        except grpc.Broken as problem:
-            logger.info("a proxy's connection ends: {}", problem)
+        except grpc.ConnectionBroken as exc:
+            logger.info("closing a proxy's connection after a protocol error: {}", exc)
             self.flush()
         finally:
             self.close()
@@ -66,11 +64,11 @@
 
     def read(self) -> None:
         limits = self.front.settings.limits
-        self.changed.set()  # our settings go first
+        self.changed.set()  # sends the HTTP/2 settings first
         until = time.monotonic() + limits.preface
-        while not self.over:
-            if not self.asked:
-                # one that connects and says nothing sensible must not hold its place
+        while not self.closed:
+            if not self.stream_opened:
+                # a connection that opens no stream must not occupy a slot
                 left = until - time.monotonic()
                 if left <= 0:
                     return
@@ -80,10 +78,10 @@
             data = self.sock.recv(READ)
             if not data:
                 return
-            # many requests share a connection, so of what lay there while this process stood still each may
-            # have come at its beginning
+            # many requests share a connection, so each that was read after a stall may have arrived at its
+            # beginning
             now, pulse = time.monotonic(), self.front.pulse
-            self.came_at = pulse.at_worst(pulse.since(now), now)
+            self.arrived_at = pulse.at_worst(pulse.since(now), now)
             for event in self.server.receive(data):
                 self.event(event)
             self.changed.set()
@@ -92,17 +90,17 @@
         match event:
             case grpc.Opened(id, path, timeout):
                 self.opened(id, path, timeout)
-            case grpc.Message(id, octets):
+            case grpc.Message(id, payload):
                 stream = self.streams.get(id)
                 if isinstance(stream, Unary):
                     self.health(id, stream)
                 elif stream is not None:
                     try:
-                        stream.receive(octets)
-                    except Malformed as problem:
+                        stream.receive(payload)
+                    except Malformed as exc:
                         self.front.faulty += 1
                         self.ended(id, "reset")
-                        self.server.finish(id, grpc.INVALID_ARGUMENT, str(problem)[:200], cut=True)
+                        self.server.finish(id, grpc.INVALID_ARGUMENT, str(exc)[:200], cut=True)
             case grpc.Ended(id):
                 if isinstance(self.streams.get(id), Conversation):
                     self.ended(id, "orderly")
@@ -111,15 +109,15 @@
                 self.ended(id, "reset")
 
     def opened(self, id: int, path: str, timeout: float | None) -> None:
-        self.asked = True
+        self.stream_opened = True
         if path == PROCESS:
 
-            def say(octets: bytes, token: Any) -> None:
-                self.server.send(id, octets, token)
+            def send(payload: bytes, token: Any) -> None:
+                self.server.send(id, payload, token)
                 self.changed.set()
 
             front = self.front
-            self.streams[id] = Conversation(front.exchange, front.settings, lambda: self.came_at, say)
+            self.streams[id] = Conversation(front.exchange, front.settings, lambda: self.arrived_at, send)
         elif path in (CHECK, WATCH):
             self.streams[id] = Unary(path == WATCH)
         else:
@@ -146,47 +144,47 @@
             timer.kill(block=False)
         stream = self.streams.pop(id, None)
         if isinstance(stream, Conversation):
-            stream.ends(how)
+            stream.stream_ended(how)
 
-    def leave(self) -> None:
-        self.server.leave()
+    def send_goaway(self) -> None:
+        self.server.send_goaway()
         self.changed.set()
 
-    def told(self) -> None:
-        """Those that watch hear of the process's new state."""
+    def notify_watches(self) -> None:
+        """Sends the new serving status to health watches."""
         for id, stream in self.streams.items():
             if isinstance(stream, Unary) and stream.watch:
                 self.health(id, stream)
         self.changed.set()
 
-    def working(self) -> bool:
+    def has_open_requests(self) -> bool:
         return any(isinstance(stream, Conversation) for stream in self.streams.values())
 
     # ---- writing
 
     def write(self) -> None:
         try:
-            while not self.over:
+            while not self.closed:
                 self.changed.wait()
                 self.changed.clear()
                 self.flush()
-        except OSError:  # gone, or it does not read
+        except OSError:  # disconnected, or it does not read
             self.close()
 
     def flush(self) -> None:
         data, sent = self.server.take()
         if data:
             self.sock.settimeout(float(self.front.settings.limits.write))
-            # told as soon as a byte of it may have left: what fails half-way counts as told
-            for told in sent:
-                if isinstance(told.token, Call):
-                    told.token.told = True
-                    self.front.counts.relayed += 1  # the proxy carries it
+            # marked before the write: a message that fails half-way may have been received
+            for message in sent:
+                if isinstance(message.token, Call):
+                    message.token.sent = True
+                    self.front.counts.relayed += 1  # the proxy makes the attempt
             self.sock.sendall(data)
 
     def close(self) -> None:
-        if not self.over:
-            self.over = True
+        if not self.closed:
+            self.closed = True
             self.changed.set()
             self.sock.close()
             for id in list(self.streams):
@@ -194,21 +192,22 @@
 
 
 class ProcessorFront(Core):
+    """Front end whose attempts are made by proxies."""
+
     def __init__(
-        self, settings: Settings, stop: Event, again: Event, read: Callable[[], Configuration]
+        self, settings: Settings, stop: Event, reload: Event, read: Callable[[], Configuration]
     ) -> None:
         c = settings.scheduler
-        # a proxy can be told to send, and nothing after that: it takes nothing back, and calls once a
-        # hand-off
-        c.terms.may_cancel = False
+        # after a decision a proxy can't be controlled: it cancels nothing, and makes one attempt per call
+        c.scheduler_config.may_cancel = False
         if not settings.proxy.retries:
-            c.terms.max_attempts = 1
-        super().__init__(c, stop, again, read)
-        self.settings, self.place = settings, settings.listen
+            c.scheduler_config.max_attempts = 1
+        super().__init__(c, stop, reload, read)
+        self.settings, self.address = settings, settings.listen
         self.exchange = Exchange(self, settings.proxy, c.limits.work_items, self.counts.final)
         self.connections: dict[ProxyConnection, None] = {}
-        self.faulty = 0  # streams ended for what came on them
-        self.rearmed_calls = Event()
+        self.faulty = 0  # streams ended because of malformed messages
+        self.exchange_changed = Event()
 
     def now(self) -> float:
         return time.monotonic()
@@ -219,31 +218,31 @@
 
     def put(self, kind: str, *fields: Any) -> None:
         super().put(kind, *fields)
-        self.rearmed_calls.set()
+        self.exchange_changed.set()
 
-    def keep_calls(self) -> None:
-        """The exchange's own due times."""
+    def run_exchange_timers(self) -> None:
+        """Runs the exchange's timers."""
         while True:
-            self.rearmed_calls.clear()
+            self.exchange_changed.clear()
             when = self.exchange.next_at()
             if when is None or when > time.monotonic():
-                self.rearmed_calls.wait(60.0 if when is None else min(60.0, when - time.monotonic()))
+                self.exchange_changed.wait(60.0 if when is None else min(60.0, when - time.monotonic()))
             self.exchange.wake()
 
-    def moved(self) -> None:
+    def state_changed(self) -> None:
         for connection in self.connections:
-            connection.told()
+            connection.notify_watches()
 
     def start(self) -> None:
-        gevent.spawn(self.forever, self.keep_calls)
-        self.accepting = gevent.spawn(self.forever, self.accept)
+        gevent.spawn(self.run_forever, self.run_exchange_timers)
+        self.accepting = gevent.spawn(self.run_forever, self.accept)
 
     def accept(self) -> None:
         while True:
             sock, _ = self.listener.accept()
             if len(self.connections) >= self.settings.limits.connections:
-                # the proxy tries again elsewhere or later
-                logger.warning("a proxy's connection is turned away: {} are open", len(self.connections))
+                # the proxy retries elsewhere or later
+                logger.warning("rejected a proxy's connection: {} are open", len(self.connections))
                 sock.close()
                 gevent.sleep(0.1)
                 continue
@@ -261,33 +260,33 @@
         return len(self.exchange.items)
 
     def close(self) -> None:
-        """GOAWAY; streams finish, new ones go elsewhere."""
+        """Sends GOAWAY, so that new streams go elsewhere, and lets open streams finish."""
         for connection in list(self.connections):
-            connection.leave()
+            connection.send_goaway()
         until = self.reducer.exit_at + self.limits.linger
-        while time.monotonic() < until and any(c.working() for c in self.connections):
+        while time.monotonic() < until and any(c.has_open_requests() for c in self.connections):
             gevent.sleep(0.01)
         self.accepting.kill()
         self.listener.close()
-        gevent.sleep(0.02)  # last answers leave
+        gevent.sleep(0.02)  # for the writers to send the last answers
         for connection in list(self.connections):
             connection.close()
 
 
 def serve(path: str, level: str) -> int:
-    """Until SIGTERM; SIGHUP has it read the scheduler's configuration again, as `serve` does."""
-    if (events := prepared(level)) is None:
+    """Runs the processor until SIGTERM and returns the exit code; SIGHUP reloads the configuration."""
+    if (events := prepare(level)) is None:
         return 2
 
     def reread() -> Configuration:
         try:
             return read(path, 0).scheduler
-        except Faulty as problem:
-            raise BadConfiguration(str(problem)) from None
+        except InvalidFile as exc:
+            raise BadConfiguration(str(exc)) from None
 
     try:
         front = ProcessorFront(read(path, 0), *events, reread)
-    except Faulty as problem:
-        print(f"opalwick: {problem}", file=sys.stderr)
+    except InvalidFile as exc:
+        print(f"opalwick: {exc}", file=sys.stderr)
         return 2
     return run(front)
--- a/opalwick/processor/messages.py
+++ b/opalwick/processor/messages.py
@@ -1,4 +1,7 @@
-"""The messages of `envoy.service.ext_proc.v3`: one stream a request at a proxy. Names end here."""
+"""The messages of `envoy.service.ext_proc.v3`: one stream for each request at a proxy.
+
+No other module uses the protocol's names.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,7 @@
 from envoy.type.v3 import http_status_pb2
 
 from opalwick.processor.configuration import Settings
-from opalwick.processor.exchange import Asked, Call, Exchange, Go, Immediate, Reported, Route
+from opalwick.processor.exchange import Call, Continue, Exchange, Immediate, ItemRequest, ResponseHead, Route
 from opalwick.protocol.clients import facts, subject
 from opalwick.protocol.workers import figures
 
@@ -19,11 +22,11 @@
 
 
 class Malformed(Exception):
-    """What came is no message of the protocol, or none that is due now."""
+    """A received message is not one of the protocol's, or not valid in the state of the stream."""
 
 
 class Refused(Exception):
-    """A request that cannot be a work item: the status that its client is owed, and why."""
+    """A request can't become a work item; has the status and the reason for its client."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -31,7 +34,7 @@
 
 
 def fields_of(headers: Any) -> dict[str, str]:
-    """By lower-case name; a field that stands twice is joined as HTTP has it."""
+    """Header fields by lower-case name; repeated fields are joined as HTTP defines it."""
     found: dict[str, str] = {}
     for header in headers.headers:
         value = header.raw_value.decode("latin-1") if header.raw_value else header.value
@@ -40,8 +43,8 @@
     return found
 
 
-def _number(given: Mapping[str, str], name: str, default: float) -> float:
-    text = given.get(name) if name else None
+def _number(fields: Mapping[str, str], name: str, default: float) -> float:
+    text = fields.get(name) if name else None
     if text is None:
         return default
     try:
@@ -53,71 +56,71 @@
     return value
 
 
-def asked(given: Mapping[str, str], settings: Settings, now: float) -> Asked:
-    """The work item that a request's fields tell of."""
+def work_item(fields: Mapping[str, str], settings: Settings, now: float) -> ItemRequest:
+    """The work item that a request's header fields describe. Raises Refused."""
     f, names = settings.fields, settings.scheduler.names
-    parts = given.get(":path", "").split("?", 1)[0].split("/")
+    parts = fields.get(":path", "").split("?", 1)[0].split("/")
     category = None
     for header, pattern, found in settings.rules:
-        if pattern.search(given.get(header, "")):
+        if pattern.search(fields.get(header, "")):
             category = found
             break
     else:
-        category = names.categories.get(given.get(f.category) or (parts[1] if len(parts) > 1 else ""))
+        category = names.categories.get(fields.get(f.category) or (parts[1] if len(parts) > 1 else ""))
     if category is None:
         raise Refused(404, "no such class")
-    id = given.get(f.id, "")
+    id = fields.get(f.id, "")
     if not 0 < len(id) <= 128:
         raise Refused(400, f"{f.id} is missing or too long")
-    key = given.get(f.key, "") if f.key else ""
+    key = fields.get(f.key, "") if f.key else ""
     if category.effect.value == "ticketed" and not key:
         raise Refused(400, f"{f.key} is missing")
-    left = _number(given, f.expiry, category.expiry * 1e3) / 1e3
-    slots = facts(given.get(f.facts, "").encode("latin-1", "replace")).get(b"slots", 1.0)
-    return Asked(
+    left = _number(fields, f.expiry, category.expiry * 1e3) / 1e3
+    slots = facts(fields.get(f.facts, "").encode("latin-1", "replace")).get(b"slots", 1.0)
+    return ItemRequest(
         id,
         category,
-        names.customers.get(given.get(f.customer, "")),
+        names.customers.get(fields.get(f.customer, "")),
         now + min(left, 3600.0),
-        _number(given, f.hint, 0.0) * 1e-6,
+        _number(fields, f.hint, 0.0) * 1e-6,
         slots if 0 < slots < 1e4 else 1.0,
         subject(parts[-1].encode("latin-1", "replace") if len(parts) > 2 else b""),
-        given.get("x-repeat") == "1",
+        fields.get("x-repeat") == "1",
         key,
     )
 
 
 class Conversation:
-    """One stream. `say(octets, token)` sends a message, `done(status, text)` ends the stream from here."""
+    """One stream. `send(payload, token)` sends a message."""
 
-    __slots__ = ("exchange", "settings", "now", "say", "call", "owed", "phase", "watched", "over")
+    __slots__ = ("exchange", "settings", "now", "send", "call", "queued", "phase", "observe_only", "closed")
 
     def __init__(
         self,
         exchange: Exchange,
         settings: Settings,
         now: Callable[[], float],
-        say: Callable[[bytes, Any], None],
+        send: Callable[[bytes, Any], None],
     ) -> None:
-        self.exchange, self.settings, self.now, self.say = exchange, settings, now, say
+        self.exchange, self.settings, self.now, self.send = exchange, settings, now, send
         self.call = Call(self.reply)
-        # answers go out in the order of what they answer: what follows a head that is still undecided waits
-        self.owed: deque[Any] = deque()
-        self.phase = ""  # whose head is to be answered: "request", "response"
-        self.watched = False  # the proxy only lets us watch: nothing may be answered
-        self.over = False
-
-    def receive(self, octets: bytes) -> None:
-        """Malformed where the stream must end."""
+        # answers keep the order of the messages: those after a head that is still undecided wait
+        self.queued: deque[Any] = deque()
+        self.phase = ""  # the head to be answered next: "request", "response"
+        self.observe_only = False  # observability mode: messages must not be answered
+        self.closed = False
+
+    def receive(self, payload: bytes) -> None:
+        """Processes a message. Raises Malformed if the stream must end."""
         message = ext_proc.ProcessingRequest()
         try:
-            message.ParseFromString(octets)
-        except Exception as problem:  # noqa: BLE001 - protobuf's own error types differ by its implementation
-            raise Malformed(f"not a ProcessingRequest: {problem}") from None
-        if self.over:
+            message.ParseFromString(payload)
+        except Exception as exc:  # noqa: BLE001 - protobuf's error types differ between its implementations
+            raise Malformed(f"not a ProcessingRequest: {exc}") from None
+        if self.closed:
             return
         if message.observability_mode:
-            self.watched = True
+            self.observe_only = True
             return
         kind = message.WhichOneof("request")
         match kind:
@@ -129,13 +132,13 @@
                 self.pass_on(kind)
             case "response_body":
                 if message.response_body.end_of_stream:
-                    self.exchange.body_ends(self.call)
+                    self.exchange.response_finished(self.call)
                 self.pass_on(kind)
             case "response_trailers":
-                self.exchange.body_ends(self.call)
+                self.exchange.response_finished(self.call)
                 self.pass_on(kind)
             case _:
-                pass  # a kind of later versions: skipped, as protobuf demands
+                pass  # a kind of a later version: skipped, as protobuf requires
 
     def request(self, headers: Any) -> None:
         if self.call.state != "new":
@@ -143,50 +146,50 @@
         self.phase = "request"
         now = self.now()
         try:
-            found = asked(fields_of(headers.headers), self.settings, now)
-        except Refused as problem:
+            found = work_item(fields_of(headers.headers), self.settings, now)
+        except Refused as exc:
             self.call.state = "over"
-            return self.reply(Immediate(problem.status, 0.0, str(problem)))
-        self.exchange.begins(self.call, found)
+            return self.reply(Immediate(exc.status, 0.0, str(exc)))
+        self.exchange.request_started(self.call, found)
 
     def response(self, headers: Any) -> None:
-        given, f = fields_of(headers.headers), self.settings.fields
+        fields, f = fields_of(headers.headers), self.settings.fields
         try:
-            status = int(given.get(":status", "0"))
+            status = int(fields.get(":status", "0"))
         except ValueError:
-            raise Malformed(":status is no number") from None
-        load = given.get(f.load) if f.load else None
-        reported = Reported(
+            raise Malformed(":status is not a number") from None
+        load = fields.get(f.load) if f.load else None
+        reported = ResponseHead(
             status,
             figures(load.encode("latin-1", "replace"), self.settings.scheduler.names.figures) if load else (),
-            bool(f.unprocessed) and given.get(f.unprocessed) == "1",
-            bool(f.not_sent) and given.get(f.not_sent) == "1",
+            bool(f.unprocessed) and fields.get(f.unprocessed) == "1",
+            bool(f.not_sent) and fields.get(f.not_sent) == "1",
         )
         self.phase = "response"
-        if not self.exchange.responds(self.call, reported, headers.end_of_stream):
-            # of a request that was never asked about, or answered from here: it goes on as it is
-            self.reply(Go(False))
+        if not self.exchange.response_started(self.call, reported, headers.end_of_stream):
+            # of a request that had no request_headers, or was answered here: passed on unchanged
+            self.reply(Continue(False))
 
     def pass_on(self, kind: str) -> None:
-        """Bodies and trailers are not looked at."""
+        """Answers a body or trailers, which are not inspected, with an empty response."""
         answer = ext_proc.ProcessingResponse()
         getattr(answer, kind).SetInParent()
-        if self.phase == "request" and self.call.state == "held":
-            if len(self.owed) >= 64:  # far more than a proxy sends before the head is answered
-                raise Malformed("too much before the request's head is answered")
-            self.owed.append(answer)
+        if self.phase == "request" and self.call.state == "waiting":
+            if len(self.queued) >= 64:  # far more than a proxy sends before the head is answered
+                raise Malformed("too many messages before the request's head is answered")
+            self.queued.append(answer)
         else:
-            self.say(answer.SerializeToString(), None)
+            self.send(answer.SerializeToString(), None)
 
     def reply(self, what: Any) -> None:
-        """Called by the exchange, once a head."""
-        if self.over:
+        """Sends the answer to a head; called by the exchange once for each head."""
+        if self.closed:
             return
         answer, f, token = ext_proc.ProcessingResponse(), self.settings.fields, None
         match what:
-            case Route(place, worker, use_by):
+            case Route(address, worker, use_by):
                 common = answer.request_headers.response
-                where = place if isinstance(place, str) else "%s:%d" % place
+                where = address if isinstance(address, str) else "%s:%d" % address
                 for name, value in (
                     (f.worker, where),
                     (f.name, str(worker)),
@@ -197,25 +200,25 @@
                 common.clear_route_cache = self.settings.file.proxies.clear_route_cache
                 token = self.call
             case Immediate(status, come_back_in, why):
-                self.over = True
+                self.closed = True
                 immediate = answer.immediate_response
                 immediate.status.CopyFrom(http_status_pb2.HttpStatus(code=status))  # type: ignore[arg-type]
                 immediate.details = f"opalwick: {why}"
                 if come_back_in > 0:
                     _set(immediate.headers.set_headers, "retry-after", f"{come_back_in:g}")
-            case Go(again):
+            case Continue(retry):
                 common = answer.response_headers.response
                 common.SetInParent()
-                if again and f.again:
+                if retry and f.again:
                     _set(common.header_mutation.set_headers, f.again, "1")
-        self.say(answer.SerializeToString(), token)
-        while self.owed:
-            self.say(self.owed.popleft().SerializeToString(), None)
+        self.send(answer.SerializeToString(), token)
+        while self.queued:
+            self.send(self.queued.popleft().SerializeToString(), None)
 
-    def ends(self, how: str) -> None:
+    def stream_ended(self, how: str) -> None:
         if self.call.state != "new":
-            self.exchange.ends(self.call, how)
-        self.over = True
+            self.exchange.call_ended(self.call, how)
+        self.closed = True
 
 
 def _set(headers: Any, name: str, value: str) -> None:
--- a/opalwick/program/scheduler.py
+++ b/opalwick/program/scheduler.py
@@ -1,4 +1,4 @@
-"""The HTTP front: clients' connections on one side, hand-offs to workers on the other."""
+"""The HTTP front end: clients' connections on one side, attempts at workers on the other."""
 
 from __future__ import annotations
 
@@ -19,61 +19,63 @@
 
 
 class Scheduler(Core):
-    hands_over = True
+    """Accepts work items over HTTP and sends them to workers."""
+
+    supports_handover = True
 
     def __init__(
-        self, configuration: Configuration, stop: Event, again: Event, read: Callable[[], Configuration]
+        self, configuration: Configuration, stop: Event, reload: Event, read: Callable[[], Configuration]
     ) -> None:
-        super().__init__(configuration, stop, again, read)
+        super().__init__(configuration, stop, reload, read)
         c = configuration
-        self.calls: dict[bytes, Call] = {}  # taken and not yet answered, by the client's id
-        self.out: dict[tuple[bytes, int], HandingOff] = {}
-        self.bodies = self.open_count = 0  # bytes, work items: unanswered
+        self.calls: dict[bytes, Call] = {}  # accepted and not yet answered, by the client's id
+        self.attempts: dict[tuple[bytes, int], HandingOff] = {}
+        self.body_bytes = self.open_count = 0  # bytes and number of unanswered work items
         self.accepting: Any = None
-        # when the door itself defers: a second, in which a crowd passes, or as long as clients honour
-        self.advice = come_back(min(1.0, c.terms.max_retry_after))
+        # Retry-After of requests deferred on arrival: 1 s for a burst to pass, or the most clients honour
+        self.advice = come_back(min(1.0, c.scheduler_config.max_retry_after))
 
     # ---- effects
 
     def perform(self, effect: Any) -> None:
         match effect:
             case Send(id, number, _, place, give_up_after):
-                # from the moment of the decision: this process may have stood still since
+                # counted from the decision, as this process may have been stalled since
                 call, decided, until = self.calls[id], self.put_at, self.put_at + give_up_after
                 dropped = False
 
-                def wanted() -> bool:
-                    # what was decided before this process stood still is decided anew, once: the worker may
-                    # have drained meanwhile, and a connection that takes a trip comes up only after it
+                def still_wanted() -> bool:
+                    # an attempt decided before a stall is dropped and decided again, once: the worker may
+                    # have drained meanwhile, and a new connection is established only after the stall
                     nonlocal dropped
                     if not (dropped or call.again) and self.pulse.stood(decided, time.monotonic()):
                         dropped = call.again = True
                     return call.taken and call.reply is None and not dropped
 
-                def tell(kind: str, *fields: Any) -> None:
+                def report(kind: str, *fields: Any) -> None:
                     if kind == "ended":
-                        del self.out[id, number]
-                        if handing.fault:  # the client's own: it is told so, and nobody else is asked
-                            call.answer(handing.fault, b"turned away by a worker")
+                        del self.attempts[id, number]
+                        if attempt.fault:  # the client's error: final, no other worker is tried
+                            call.answer(attempt.fault, b"turned away by a worker")
                     self.put(kind, id, number, *fields)
 
-                handing = self.out[id, number] = HandingOff(
+                attempt = self.attempts[id, number] = HandingOff(
                     place,
                     call.message,
                     until,
-                    wanted,
+                    still_wanted,
                     self.pool,
                     self.limits,
                     self.names.figures,
                     self.counts,
-                    tell,
+                    report,
                 )
-                gevent.spawn(handing.run)
+                gevent.spawn(attempt.run)
             case Close(id, number):
-                if (id, number) in self.out:
-                    self.out[id, number].give_up()
+                if (id, number) in self.attempts:
+                    self.attempts[id, number].give_up()
             case Answer(id) if id not in self.calls:
-                pass  # its client left while this process took in what lay there
+                pass  # the client disconnected while input queued during a stall was read
             case Answer(id, Final.FINISHED, result):
                 self.calls[id].answer(200, result, "Content-Type: application/octet-stream")
             case Answer(id, Final.DEFERRED, _, come_back_in):
@@ -83,23 +85,24 @@
             case _:
                 super().perform(effect)
 
-    # ---- what the clients' side asks for
+    # ---- called by clients' connections
 
     @property
     def closing(self) -> bool:
         return self.door.closing
 
     def room_for(self, body: int) -> bool:
-        return self.open_count < self.limits.work_items and self.bodies + body <= self.limits.bodies
+        """Whether a work item with a body of so many bytes can be accepted."""
+        return self.open_count < self.limits.work_items and self.body_bytes + body <= self.limits.bodies
 
     def holds(self, id: bytes) -> bool:
-        """Whether a work item with this id is open, at a worker if nowhere else: a second one must not get
-        what the first is owed, nor be taken for it there."""
+        """Whether a work item with this id is open, if only at a worker: a second one must not get the
+        first one's answer, nor be taken for it by the worker."""
         return id in self.reducer.items or id in self.other_ids
 
     def take(self, call: Call, *fields: Any) -> None:
         self.open_count += 1
-        self.bodies += len(call.message.body)
+        self.body_bytes += len(call.message.body)
         self.calls[call.id] = call
         self.put("taken", call.id, *fields)
 
@@ -111,8 +114,8 @@
             call.taken = False
             del self.calls[call.id]
             self.open_count -= 1
-            self.bodies -= len(call.message.body)
-            call.message.body = b""  # the item is remembered until its expiry
+            self.body_bytes -= len(call.message.body)
+            call.message.body = b""  # the reducer keeps the item until its expiry
             self.door.thin()
 
     # ---- running
@@ -124,13 +127,13 @@
             self.limits,
             self.pulse,
             lambda connection, full: Conversation(connection, self.limits, self.names, self, full),
-            self.most,
+            self.max_connections,
             self.pool,
         )
 
-    def moved(self) -> None:
-        """The door: from `close_at` on each answer ends its connection, so that nothing crosses a close; from
-        `end_at` on those that ask nothing more are ended.
+    def state_changed(self) -> None:
+        """From `close_at` on each answer closes its connection, so that no request crosses a close; from
+        `end_at` on idle connections are closed.
         """
         door, now, limits = self.door, time.monotonic(), self.limits
         match self.state:
@@ -139,19 +142,19 @@
             case State.DRAINING:
                 door.close_at = now + limits.drained
                 door.end_at = door.close_at + limits.ask
-            case State.LEAVING if self.relieved:
+            case State.LEAVING if self.superseded:
                 door.close_at, door.end_at = now, now + limits.ask
             case State.LEAVING:
                 door.close_at = door.end_at = min(door.close_at, now + limits.closing)
-        if self.relieved:
+        if self.superseded:
             self.accepting.kill(block=False)
         elif self.accepting.dead:
-            self.accepting = gevent.spawn(self.forever, door.accept)
+            self.accepting = gevent.spawn(self.run_forever, door.accept)
         door.turned.set()
 
     def start(self) -> None:
-        gevent.spawn(self.forever, self.door.usher)
-        self.accepting = gevent.spawn(self.forever, self.door.accept)
+        gevent.spawn(self.run_forever, self.door.usher)
+        self.accepting = gevent.spawn(self.run_forever, self.door.accept)
 
     def open_items(self) -> int:
         return self.open_count
@@ -159,9 +162,9 @@
     def open_ids(self) -> list[str]:
         return [id.decode("latin-1") for id in self.reducer.items if isinstance(id, bytes)]
 
-    def most(self) -> int:
-        """Connections from clients, at this moment."""
-        return self.share(self.limits.clients)
+    def max_connections(self) -> int:
+        """The most connections from clients at this time."""
+        return self.limit_share(self.limits.clients)
 
     def descriptors(self) -> int:
         return len(self.door.conversations) + self.pool.open
@@ -173,8 +176,8 @@
         gevent.sleep(max(0.0, self.door.close_at - time.monotonic()))
         self.accepting.kill()
         if self.configuration.inherited is None:
-            self.door.empty()  # what waits there otherwise is left to the next process
+            self.door.empty()  # an inherited listener's backlog is left to the next process
         self.listener.close()
-        # a request that has not come whole is not taken, so one that drips on may be left
+        # a request is accepted only once complete, so slow ones may be abandoned here
         while self.door.conversations and time.monotonic() < self.reducer.exit_at + self.limits.linger:
             gevent.sleep(0.01)
--- a/tests/fleet_members.py
+++ b/tests/fleet_members.py
@@ -1,8 +1,8 @@
-"""Stand-in members of a fleet for the judge's tests: one that does all right in the small, and others with
-one planted fault each. Run as `fleet_members.py NAME CONFIGURATION` one is a process of its own.
+"""Stand-in members of a fleet for tests of the judge: a correct one, and others with one planted fault each.
+`fleet_members.py NAME CONFIGURATION` runs one as a process.
 
-All beat to all. A duty is leased from a majority of the members, a limit is shared out by the duty's owner in
-equal parts that lapse, a verdict is told on with its age.
+Every member sends heartbeats to all others. An exclusive task is leased from a majority of the members, its
+owner shares a limit out in equal parts that expire, and outcomes are passed on with their age.
 """
 
 from __future__ import annotations
@@ -12,107 +12,115 @@
 
 from opalwick.lab.fleet.agents import Agent, main
 
-BEAT, GONE, STILL = 0.2, 2.5, 0.5  # seconds: between beats; unheard so long is gone; a gap is standing still
-LEASE, MARGIN = 1.5, 1.05  # seconds, and how much longer voters hold to it than owners
+HEARTBEAT, GONE, STALL = (
+    0.2,
+    2.5,
+    0.5,
+)  # seconds: heartbeat interval; silence until gone; a gap that counts as a stall
+LEASE, MARGIN = 1.5, 1.05  # seconds, and the factor by which voters wait longer than owners
 RATE, BURST = 60.0, 15.0  # of the limit "calls"
 
 
 class Sound(Agent):
+    """The correct member."""
+
     def begins(self) -> None:
         n, now = self.members, self.now
-        self.heard_at = {i: now for i in range(n) if i != self.me}  # by itself or by one that it hears
-        self.direct = dict(self.heard_at)  # by itself
+        self.heard_at = {
+            i: now for i in range(n) if i != self.me
+        }  # by heartbeat, or by report of a member in contact
+        self.direct = dict(self.heard_at)  # by heartbeat
         self.lives = dict.fromkeys(self.heard_at, 0)
         self.gone: dict[int, bool] = {}
-        self.last_beat, self.beats, self.stood_at = now, 0, -1.0
-        # as a voter: to whom it is promised, until when, and the newest number it knows; one that has just
-        # started may have promised and forgotten
+        self.last_heartbeat, self.heartbeats, self.stalled_at = now, 0, -1.0
+        # as a voter: to whom the lease is promised, until when, and the highest number seen; a restarted
+        # member may have lost a promise
         self.promised: tuple[int, int] | None = None
         self.promised_until, self.number = (now + LEASE * MARGIN if self.life > 1 else now), 0
         self.votes: set[int] = set()
         self.asked_at, self.owned_until, self.own = now, -1.0, 0
         self.part, self.part_until = 0.0, -1.0
-        self.verdicts: dict[int, float] = {}  # stamp: when it was made, by its own clock
-        self.used: set[int] = set()  # stamps: each once
+        self.outcomes: dict[int, float] = {}  # stamp: creation time by the local clock
+        self.used: set[int] = set()  # stamps, each used once
         if self.me == 0:
             self.row("limit", "calls", RATE, BURST)
         self.wake_at = now
 
-    # ---- every beat
+    # ---- every heartbeat
 
     def wakes(self) -> None:
-        if self.now - self.last_beat > STILL:
-            self.stood()
-        self.last_beat, self.wake_at = self.now, self.now + BEAT
-        self.beats += 1
-        self.beat()
+        if self.now - self.last_heartbeat > STALL:
+            self.after_stall()
+        self.last_heartbeat, self.wake_at = self.now, self.now + HEARTBEAT
+        self.heartbeats += 1
+        self.send_heartbeat()
         for i, at in self.heard_at.items():
             if self.now - at > GONE and not self.gone.get(i):
-                self.found_gone(i)
-        self.seek()
+                self.mark_gone(i)
+        self.seek_lease()
         self.spend()
-        if self.me == 1 % self.members and self.beats % 10 == 0:
-            stamp = self.life * 100_000 + self.beats
+        if self.me == 1 % self.members and self.heartbeats % 10 == 0:
+            stamp = self.life * 100_000 + self.heartbeats
             self.row("made", "worker w1 is bad", stamp)
-            self.verdicts[stamp] = self.now
+            self.outcomes[stamp] = self.now
             self.used.add(stamp)
-        for stamp, made in self.verdicts.items():
+        for stamp, made in self.outcomes.items():
             self.tell_all(v=stamp, age=round(self.now - made, 3))
-        self.verdicts = {stamp: made for stamp, made in self.verdicts.items() if self.now - made < 2.0}
+        self.outcomes = {stamp: made for stamp, made in self.outcomes.items() if self.now - made < 2.0}
 
-    def stood(self) -> None:
-        """What it has not heard meanwhile says nothing, and it owns nothing until it has renewed."""
-        self.stood_at = self.now
+    def after_stall(self) -> None:
+        """After a stall: silence meanwhile means nothing, and leases are void until renewed."""
+        self.stalled_at = self.now
         self.heard_at = dict.fromkeys(self.heard_at, self.now)
         self.owned_until = self.part_until = -1.0
 
-    def beat(self) -> None:
-        there = [i for i, at in self.direct.items() if self.now - at < 2.0 * BEAT]
+    def send_heartbeat(self) -> None:
+        there = [i for i, at in self.direct.items() if self.now - at < 2.0 * HEARTBEAT]
         self.tell_all(b=self.life, near=there)
 
-    def found_gone(self, i: int) -> None:
+    def mark_gone(self, i: int) -> None:
         self.gone[i] = True
         self.row("believes", i, "gone", self.lives[i])
 
-    def hears(self, sender: int, told: dict[str, Any]) -> None:
-        if self.now - self.last_beat > STILL:
-            self.stood()
-            self.last_beat = self.now
-        if self.now - self.stood_at < BEAT and "v" in told:
-            return  # it may have lain there for as long as it stood still
-        if "b" in told:
-            self.there(sender, int(told["b"]))
-            for i in told["near"]:  # heard by one that is heard, which bears one-sided cuts
+    def hears(self, sender: int, fields: dict[str, Any]) -> None:
+        if self.now - self.last_heartbeat > STALL:
+            self.after_stall()
+            self.last_heartbeat = self.now
+        if self.now - self.stalled_at < HEARTBEAT and "v" in fields:
+            return  # it may have been queued for the whole stall
+        if "b" in fields:
+            self.there(sender, int(fields["b"]))
+            for i in fields["near"]:  # reported by a member in contact, which tolerates one-way failures
                 if i in self.heard_at and not self.gone.get(i):
                     self.heard_at[i] = self.now
-        elif "ask" in told:
-            self.vote(sender, int(told["life"]), int(told["ask"]))
-        elif "vote" in told:
-            self.voted(sender, told)
-        elif "part" in told:
-            self.part, self.part_until = float(told["part"]), self.now + float(told["for"])
-        elif "v" in told and told["v"] not in self.used and float(told["age"]) < 2.0:
-            made = self.now - float(told["age"])
-            self.used.add(told["v"])
-            self.verdicts[told["v"]] = made
-            self.row("used", "worker w1 is bad", told["v"], round(self.now - made, 3))
+        elif "ask" in fields:
+            self.vote(sender, int(fields["life"]), int(fields["ask"]))
+        elif "vote" in fields:
+            self.voted(sender, fields)
+        elif "part" in fields:
+            self.part, self.part_until = float(fields["part"]), self.now + float(fields["for"])
+        elif "v" in fields and fields["v"] not in self.used and float(fields["age"]) < 2.0:
+            made = self.now - float(fields["age"])
+            self.used.add(fields["v"])
+            self.outcomes[fields["v"]] = made
+            self.row("used", "worker w1 is bad", fields["v"], round(self.now - made, 3))
 
     def there(self, i: int, life: int) -> None:
         if life < self.lives[i]:
-            return  # of a life before
+            return  # from a former process
         self.heard_at[i] = self.direct[i] = self.now
         if self.gone.get(i, True) or life > self.lives[i]:
             self.gone[i], self.lives[i] = False, life
             self.row("believes", i, "alive", life)
 
-    # ---- one owner: leased from a majority
+    # ---- the exclusive lease, granted by a majority
 
-    def seek(self) -> None:
+    def seek_lease(self) -> None:
         owns = self.now < self.owned_until
         first = all(i > self.me for i, at in self.heard_at.items() if not self.gone.get(i, True))
         if not first:
-            return  # an owner too: its lease lapses, and the first takes over, however late it started
-        # asked by number: one more than the newest known for a new ownership, the same to renew
+            return  # an owner too: its lease expires, and the first member takes over
+        # a new ownership has the highest known number plus one, a renewal the same number
         if not owns:
             self.own = max(self.number, self.own) + 1
         self.asked_at, self.votes = self.now, set()
@@ -134,10 +142,10 @@
         else:
             self.send(sender, vote=True, n=number)
 
-    def voted(self, sender: int, told: dict[str, Any]) -> None:
-        if not told["vote"]:
-            self.number = max(self.number, int(told["n"]))
-        elif told["n"] == self.own:
+    def voted(self, sender: int, fields: dict[str, Any]) -> None:
+        if not fields["vote"]:
+            self.number = max(self.number, int(fields["n"]))
+        elif fields["n"] == self.own:
             self.votes.add(sender)
             if len(self.votes) > self.members // 2:
                 self.owned_until = self.asked_at + LEASE / MARGIN
@@ -164,52 +172,56 @@
         return RATE / self.members
 
     def spend(self) -> None:
-        self.row("wanted", "calls", 2.0 * RATE * BEAT / self.members)
+        self.row("wanted", "calls", 2.0 * RATE * HEARTBEAT / self.members)
         if self.now + 1e-9 < self.part_until:
-            self.row("spent", "calls", self.part * BEAT)
+            self.row("spent", "calls", self.part * HEARTBEAT)
 
 
 # ---- one fault each
 
 
 class EverybodyDead(Sound):
-    """Declares all dead when it misses one word."""
+    """Declares all others dead at once."""
 
     def wakes(self) -> None:
         super().wakes()
-        if self.beats == 30 and self.me == 0:
+        if self.heartbeats == 30 and self.me == 0:
             for i in self.heard_at:
-                self.found_gone(i)
+                self.mark_gone(i)
 
 
 class NeverDetects(Sound):
-    def found_gone(self, i: int) -> None: ...
+    """Reports no member as gone."""
+
+    def mark_gone(self, i: int) -> None: ...
 
 
 class AccusesAfterAPause(Sound):
-    """Takes what it did not hear while it stood still for silence."""
+    """Counts a stall of its own as silence of the others."""
 
-    def stood(self) -> None:
-        super().stood()
+    def after_stall(self) -> None:
+        super().after_stall()
         for i in self.heard_at:
-            self.found_gone(i)
+            self.mark_gone(i)
 
 
 class TwoOwners(Sound):
-    """Goes on owning after a pause, whatever its lease."""
+    """Keeps its ownership after a pause, whatever its lease."""
 
-    def stood(self) -> None:
+    def after_stall(self) -> None:
         owned = self.owned_until > 0
-        super().stood()
+        super().after_stall()
         if owned and self.own:
             self.owned_until = self.now + LEASE
             self.row("claims", "pace", self.own, self.when(self.owned_until))
 
 
 class ActsAfterItsLease(Sound):
-    def stood(self) -> None:
+    """Acts as owner after its lease has expired."""
+
+    def after_stall(self) -> None:
         until = self.owned_until
-        super().stood()
+        super().after_stall()
         self.owned_until = until
 
     def act(self) -> None:
@@ -219,42 +231,50 @@
 
 
 class OldNumbers(Sound):
-    """Acts past its number at a receiver that does not check."""
+    """Acts with an outdated number at a receiver that doesn't check."""
 
     def wakes(self) -> None:
         super().wakes()
-        if self.own and self.beats % 5 == 0:
+        if self.own and self.heartbeats % 5 == 0:
             self.send(self.members, act="pace", n=max(0, self.own - 1), life=self.life, checked=False)
 
 
 class GrantsTooMuch(Sound):
+    """Shares out more than the limit."""
+
     def shares(self) -> float:
         return 1.5 * RATE / self.members
 
 
 class SpendsWhatLapsed(Sound):
+    """Uses its part of the limit after it has expired."""
+
     def spend(self) -> None:
-        self.row("wanted", "calls", 2.0 * RATE * BEAT / self.members)
+        self.row("wanted", "calls", 2.0 * RATE * HEARTBEAT / self.members)
         if self.part_until > 0:
-            self.row("spent", "calls", 0.2 * self.part * BEAT)
+            self.row("spent", "calls", 0.2 * self.part * HEARTBEAT)
 
 
 class OldVerdictAsNew(Sound):
-    def hears(self, sender: int, told: dict[str, Any]) -> None:
-        if "v" in told:
-            told = {**told, "age": 0.0}
-            self.used.discard(told["v"])
-        super().hears(sender, told)
+    """Uses outcomes without regard to their age."""
+
+    def hears(self, sender: int, fields: dict[str, Any]) -> None:
+        if "v" in fields:
+            fields = {**fields, "age": 0.0}
+            self.used.discard(fields["v"])
+        super().hears(sender, fields)
 
 
 class LongWords(Sound):
-    def beat(self) -> None:
-        super().beat()
-        self.send((self.me + 1) % self.members, pad="x" * 247)  # with the rest of it 257 octets
+    """Sends a message over the limit of 256 bytes."""
+
+    def send_heartbeat(self) -> None:
+        super().send_heartbeat()
+        self.send((self.me + 1) % self.members, pad="x" * 247)  # 257 bytes in all
 
 
 class NeverHeals(Sound):
-    """Once held gone is gone for ever."""
+    """Never accepts a member again once it was gone."""
 
     def there(self, i: int, life: int) -> None:
         if not self.gone.get(i, False) or i not in self.gone or life > self.lives[i]:
@@ -262,23 +282,23 @@
 
 
 class SameLife(Sound):
-    """Takes one that came back for the one before."""
+    """Mistakes a restarted process for the former one."""
 
     def there(self, i: int, life: int) -> None:
         super().there(i, min(life, self.lives[i] or life))
 
 
 class Vacates(Sound):
-    """Nobody takes a duty over from the first owner."""
+    """Only the first owner ever takes the lease."""
 
-    def seek(self) -> None:
+    def seek_lease(self) -> None:
         if self.me == 0:
-            super().seek()
+            super().seek_lease()
 
 
 SOUND = Sound
 PLANTED: dict[type[Sound], tuple[str, str]] = {
-    # with the property that it breaks, and the day on which that shows
+    # with the property that it violates, and the scenario that shows it
     EverybodyDead: ("false", "calm"),
     NeverDetects: ("detect", "lost"),
     AccusesAfterAPause: ("false", "stopped"),
@@ -296,4 +316,4 @@
 
 if __name__ == "__main__":
     name = sys.argv.pop(1)
-    main({made.__name__: made for made in (SOUND, *PLANTED)}[name])
+    main({member.__name__: member for member in (SOUND, *PLANTED)}[name])
