--- a/opalwick/post/configuration.py
+++ b/opalwick/post/configuration.py
@@ -1,6 +1,6 @@
-"""The operator's configuration: what is acknowledged must be kept, so it is read whole and strictly first.
+"""The operator's configuration, validated in full before it is acknowledged: from then on it must be kept.
 
-The fields are named as in the body. Times are in milliseconds, `retain_s` in seconds.
+Fields have the names of the body. Times are in milliseconds, `retain_s` in seconds.
 """
 
 from __future__ import annotations
@@ -67,7 +67,7 @@
     max_conns: int = 64
     proto: str = "h1"
     tls: bool = False
-    rate_per_s: float = 0.0  # 0: no ceiling
+    rate_per_s: float = 0.0  # 0: no rate limit
     dedup: bool = False
     poll: bool = False
     static: str | None = by(_static, default=None)
@@ -98,10 +98,11 @@
         pass
 
 
-_WHOLE = BasicDecoder(Configuration)
+_CONFIGURATION = BasicDecoder(Configuration)
 
 
 def _repeats(values: Iterable[Any]) -> tuple[int, int] | None:
+    """The positions of the first value that repeats an earlier one, the earlier one first."""
     seen: dict[Any, int] = {}
     for i, value in enumerate(values):
         if (before := seen.setdefault(value, i)) != i:
@@ -110,19 +111,21 @@
 
 
 def check(body: bytes) -> Result[Configuration, str]:
-    """A Failure is one sentence that names the field; what it names must not come into force."""
-    return from_json(body, lambda given: decoded(_WHOLE, given, "")).bind(_fits)
-
-
-def _fits(read: Configuration) -> Result[Configuration, str]:
-    """Whether its parts fit together."""
-    for name, kind in (("routing", read.routing), ("backends", read.backends)):
-        if two := _repeats(one.name for one in kind):  # type: ignore[attr-defined]
-            return Failure(f"{name}[{two[0]}] and {name}[{two[1]}] have the same name")
-    if two := _repeats((route.vhost.casefold(), route.stem) for route in read.routing):
-        return Failure(f"routing[{two[0]}] and routing[{two[1]}] have the same vhost and stem")
-    known = {service.name for service in read.backends}
-    for i, route in enumerate(read.routing):
+    """Parses and validates a configuration. A Failure is one sentence that names the invalid field;
+    such a configuration must not come into force.
+    """
+    return from_json(body, lambda value: decoded(_CONFIGURATION, value, "")).bind(_check_references)
+
+
+def _check_references(configuration: Configuration) -> Result[Configuration, str]:
+    """Checks references and uniqueness across the parts."""
+    for name, items in (("routing", configuration.routing), ("backends", configuration.backends)):
+        if pair := _repeats(item.name for item in items):  # type: ignore[attr-defined]
+            return Failure(f"{name}[{pair[0]}] and {name}[{pair[1]}] have the same name")
+    if pair := _repeats((route.vhost.casefold(), route.stem) for route in configuration.routing):
+        return Failure(f"routing[{pair[0]}] and routing[{pair[1]}] have the same vhost and stem")
+    known = {service.name for service in configuration.backends}
+    for i, route in enumerate(configuration.routing):
         if route.svc not in known:
             return Failure(f"routing[{i}].svc names an unknown service {route.svc!r}")
-    return Success(read)
+    return Success(configuration)
--- a/opalwick/post/settings.py
+++ b/opalwick/post/settings.py
@@ -1,6 +1,7 @@
-"""What a process is told at its start and on SIGHUP. All faults are told at once, each with its line.
+"""The settings file of a process, read at its start and on SIGHUP.
 
-The words of the file end here: times are seconds from here on.
+All errors are reported together, each with its line. Times in the file may be in milliseconds (`_ms`);
+`Settings` has them in seconds.
 """
 
 from __future__ import annotations
@@ -18,12 +19,12 @@
 
 
 class Faulty(Exception):
-    """The file cannot be used: a line to each fault, `FILE:LINE: KEY: what is wrong`."""
+    """The file cannot be used. One line for each error: `FILE:LINE: KEY: what is wrong`."""
 
 
 @dataclass(frozen=True, slots=True)
 class Survive:
-    """How many of each may be lost at one time with every rule still kept."""
+    """How many of each may be lost at the same time without breaking any guarantee."""
 
     boxes: int = 1
     zones: int = 0
@@ -31,13 +32,13 @@
 
     @property
     def spread(self) -> bool:
-        """Whether copies stand in different zones: where none may be lost, octets between them are spared."""
+        """Whether replicas are placed in different zones. If none may be lost, one zone saves network traffic."""
         return bool(self.zones or self.regions)
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """In seconds, but for `ceil_excess`, which is a factor."""
+    """Time limits in seconds; `ceil_excess` is a factor."""
 
     seed_lag: float = 3.0
     reuse: float = 2.0
@@ -60,10 +61,10 @@
     ceil_excess: float = 1.1
 
 
-# as the file has them; the unit is the name's ending
+# key in the file of each field; its suffix is the unit
 _BOUNDS = {
-    name: f"bounds.{name}{unit}"
-    for unit, names in (
+    name: f"bounds.{name}{suffix}"
+    for suffix, names in (
         ("_s", "seed_lag reuse sync grace recover done state notify ceil_win"),
         ("_ms", "contact ack drain loss apply revert stretch visible skew"),
         ("", "ceil_excess"),
@@ -84,7 +85,7 @@
     region: str
     zones: dict[str, str]  # each zone's region
     binds: dict[str, tuple[str, int]]
-    ports: tuple[int, int]  # both ends are ours
+    ports: tuple[int, int]  # first and last, inclusive
     seeds: tuple[tuple[str, int], ...]
     bootstrap: bool
     counted: bool
@@ -95,7 +96,7 @@
     net_mbps: float
     disk_mb: float
     datadir: str  # empty: no disk
-    beat: float  # seconds
+    beat: float  # s between the heartbeats of a worker
     policy: tuple[str, ...]
     survive: Survive
     bounds: Bounds
@@ -111,116 +112,125 @@
 
 
 def endpoint(text: str, by_number: bool = True) -> tuple[str, int] | None:
-    """`IPv4:port` in two, or `host:port` if not `by_number`; none where it is no such thing."""
-    found = _ENDPOINT.fullmatch(text)
-    if found is None or not 0 < (port := int(found[2])) < 65536 or (by_number and not _is_ipv4(found[1])):
+    """Splits `IPv4:port`, or `host:port` if not `by_number`; None if `text` has another form."""
+    matched = _ENDPOINT.fullmatch(text)
+    if (
+        matched is None
+        or not 0 < (port := int(matched[2])) < 65536
+        or (by_number and not _is_ipv4(matched[1]))
+    ):
         return None
-    return found[1], port
+    return matched[1], port
 
 
 class _Reader:
-    """Each value by its key. What is wrong is noted and a stand-in returned, so that all faults are found."""
+    """Reads values by key. An invalid value is recorded and replaced, so that all errors are found."""
 
     def __init__(self, text: str, name: str) -> None:
         self.name = name
-        self.faults: list[tuple[int, str]] = []
+        self.errors: list[tuple[int, str]] = []
         self.lines: dict[str, int] = {}
         read = Properties()
         for number, line in enumerate(re.split(r"\r\n|\r|\n", text), 1):
             if not line.strip() or line.lstrip()[0] in "#!":
                 continue
-            found = _LINE.match(line)
-            if found is None or line.endswith("\\"):
-                self.faults.append((number, f"{name}:{number}: this is no line of the form a.b=value"))
+            matched = _LINE.match(line)
+            if matched is None or line.endswith("\\"):
+                self.errors.append((number, f"{name}:{number}: not a line of the form key=value"))
                 continue
-            self.lines[found[1]] = number
+            self.lines[matched[1]] = number
             try:
-                # one by one: the library counts lines, but keeps none
+                # line by line, since the library does not report line numbers
                 read.load(line)
             except ParseError as e:
-                self.faults.append((number, f"{name}:{number}: {found[1]}: {e.message or 'a broken escape'}"))
+                self.errors.append(
+                    (number, f"{name}:{number}: {matched[1]}: {e.message or 'invalid escape sequence'}")
+                )
         self.values: dict[str, str] = {key: value.strip() for key, value in read.properties.items()}
 
-    def wrong(self, key: str, what: str) -> None:
+    def add_error(self, key: str, problem: str) -> None:
         line = self.lines.get(key)
-        # the missing ones come last
-        self.faults.append(
-            (line or 1 << 30, f"{self.name}:{line}: {key}: {what}" if line else f"{self.name}: {key}: {what}")
+        # missing keys have no line and are sorted last
+        self.errors.append(
+            (
+                line or 1 << 30,
+                f"{self.name}:{line}: {key}: {problem}" if line else f"{self.name}: {key}: {problem}",
+            )
         )
 
     def text(self, key: str, default: str | None = None) -> str:
         value = self.values.get(key, default)
         if value is None:
-            self.wrong(key, "missing")
+            self.add_error(key, "missing")
             return ""
         if not value and default is None:
-            self.wrong(key, "empty")
+            self.add_error(key, "empty")
         return value
 
-    def row(self, key: str, default: str = "") -> tuple[str, ...]:
+    def comma_list(self, key: str, default: str = "") -> tuple[str, ...]:
         return tuple(part.strip() for part in self.values.get(key, default).split(",") if part.strip())
 
     def flag(self, key: str) -> bool:
         value = self.values.get(key, "false")
         if value not in ("true", "false"):
-            self.wrong(key, f"must be true or false, not {value!r}")
+            self.add_error(key, f"must be true or false, not {value!r}")
         return value == "true"
 
-    def number(self, key: str, default: float, above: bool = False) -> float:
+    def number(self, key: str, default: float, positive: bool = False) -> float:
         value = self.values.get(key)
         if value is None:
             return default
         if _NUMBER.fullmatch(value) is None:
-            self.wrong(key, f"must be a number of at least 0, not {value!r}")
+            self.add_error(key, f"must be a number of at least 0, not {value!r}")
             return default
-        if above and not float(value):
-            self.wrong(key, "must be above 0")
+        if positive and not float(value):
+            self.add_error(key, "must be above 0")
         return float(value)
 
-    def whole(self, key: str, default: int, above: bool = False) -> int:
-        value = self.number(key, default, above)
+    def integer(self, key: str, default: int, positive: bool = False) -> int:
+        value = self.number(key, default, positive)
         if not float(value).is_integer():
-            self.wrong(key, f"must be a whole number, not {self.values[key]!r}")
+            self.add_error(key, f"must be a whole number, not {self.values[key]!r}")
         return int(value)
 
-    def seconds(self, key: str, default: float, above: bool = False) -> float:
+    def seconds(self, key: str, default: float, positive: bool = False) -> float:
         if not key.endswith("_ms"):
-            return self.number(key, default, above)
-        return self.number(key, default * 1000.0, above) / 1000.0
+            return self.number(key, default, positive)
+        return self.number(key, default * 1000.0, positive) / 1000.0
 
     def ip(self, key: str) -> str:
         value = self.text(key)
         if value and not _is_ipv4(value):
-            self.wrong(key, f"must be an IPv4 address, not {value!r}")
+            self.add_error(key, f"must be an IPv4 address, not {value!r}")
         return value
 
     def endpoint(self, key: str, value: str) -> tuple[str, int]:
-        found = endpoint(value)
-        if found is None:
-            self.wrong(key, f"must be IPv4:PORT, not {value!r}")
+        matched = endpoint(value)
+        if matched is None:
+            self.add_error(key, f"must be IPv4:PORT, not {value!r}")
             return "", 0
-        return found
+        return matched
 
     def ports(self, key: str) -> tuple[int, int]:
         value = self.text(key)
-        found = re.fullmatch(r"([0-9]{1,5})\s*,\s*([0-9]{1,5})", value)
-        first, last = (int(found[1]), int(found[2])) if found else (0, 0)
+        matched = re.fullmatch(r"([0-9]{1,5})\s*,\s*([0-9]{1,5})", value)
+        first, last = (int(matched[1]), int(matched[2])) if matched else (0, 0)
         if value and not 0 < first <= last < 65536:
-            self.wrong(key, f"must be FIRST,LAST, two ports, not {value!r}")
+            self.add_error(key, f"must be FIRST,LAST, two ports, not {value!r}")
         return first, last
 
 
 def parse(text: str, name: str) -> Settings:
-    """`Faulty` names `name` as the file."""
+    """Parses the settings; raises `InvalidFile` with every error, and `name` as the file."""
     r = _Reader(text, name)
-    serves, zone = r.row("serves"), r.text("az")
+    serves, zone = r.comma_list("serves"), r.text("az")
     zones = {key[6:]: value for key, value in r.values.items() if key.startswith("zones.")}
     region = r.text("region", zones.get(zone, ""))
     binds = {key[6:]: r.endpoint(key, value) for key, value in r.values.items() if key.startswith("binds.")}
-    for who in serves:
-        for bind in _BINDS.get(who, ()):
+    for service in serves:
+        for bind in _BINDS.get(service, ()):
             if bind not in binds:
-                r.wrong(f"binds.{bind}", "missing")
+                r.add_error(f"binds.{bind}", "missing")
     default: Any = Bounds()
     settings = Settings(
         node=r.text("node"),
@@ -233,20 +243,23 @@
         zones={zone: region} | zones,
         binds=binds,
         ports=r.ports("port_range"),
-        seeds=tuple(r.endpoint("seeds", seed) for seed in r.row("seeds")),
+        seeds=tuple(r.endpoint("seeds", seed) for seed in r.comma_list("seeds")),
         bootstrap=r.flag("bootstrap"),
         counted=r.flag("counted"),
-        cpu=r.number("caps.cpu", 0.5, above=True),
-        ncpu=r.whole("caps.ncpu", 1, above=True),
-        mem_mb=r.number("caps.mem_mb", 256.0, above=True),
-        nofile=r.whole("caps.nofile", 1024, above=True),
-        net_mbps=r.number("caps.net_mbps", 100.0, above=True),
+        cpu=r.number("caps.cpu", 0.5, positive=True),
+        ncpu=r.integer("caps.ncpu", 1, positive=True),
+        mem_mb=r.number("caps.mem_mb", 256.0, positive=True),
+        nofile=r.integer("caps.nofile", 1024, positive=True),
+        net_mbps=r.number("caps.net_mbps", 100.0, positive=True),
         disk_mb=r.number("caps.disk_mb", 0.0),
         datadir=r.text("datadir", None if "disk" in serves else ""),
-        beat=r.seconds("beat_ms", 1.2, above=True),
-        policy=r.row("policy", "base,drain,config,cost,ingest,recover"),
+        beat=r.seconds("beat_ms", 1.2, positive=True),
+        policy=r.comma_list("policy", "base,drain,config,cost,ingest,recover"),
         survive=Survive(
-            *(r.whole(f"survive.{what}", getattr(Survive(), what)) for what in ("boxes", "zones", "regions"))
+            *(
+                r.integer(f"survive.{unit}", getattr(Survive(), unit))
+                for unit in ("boxes", "zones", "regions")
+            )
         ),
         bounds=Bounds(
             **{
@@ -256,21 +269,21 @@
         ),
         config_mode=r.text("config_mode", "highest"),
     )
-    if r.faults:
-        raise Faulty("\n".join(what for _, what in sorted(r.faults, key=lambda fault: fault[0])))
+    if r.errors:
+        raise Faulty("\n".join(error for _, error in sorted(r.errors, key=lambda error: error[0])))
     return settings
 
 
 def read(path: str) -> Settings:
-    """`Faulty` too where the file cannot be opened or is no UTF-8."""
+    """Reads and parses a file; raises `InvalidFile` also if it cannot be opened or is not UTF-8."""
     try:
         with open(path, "rb") as file:
-            held = file.read()
+            data = file.read()
     except OSError as e:
         raise Faulty(f"{path}: {e.strerror or e}") from None
     try:
-        text = held.decode("utf-8")
+        text = data.decode("utf-8")
     except UnicodeDecodeError as e:
-        line = len(re.findall(rb"\r\n|\r|\n", held[: e.start])) + 1
-        raise Faulty(f"{path}:{line}: this line is no UTF-8") from None
+        line = len(re.findall(rb"\r\n|\r|\n", data[: e.start])) + 1
+        raise Faulty(f"{path}:{line}: not valid UTF-8") from None
     return parse(text, path)
--- a/opalwick/post/strict.py
+++ b/opalwick/post/strict.py
@@ -1,4 +1,4 @@
-"""Strict reading by mashumaro: nothing is taken for what it is not, and a fault names its whole way."""
+"""Strict decoding with mashumaro: types are not converted, and errors name the full path of a field."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 from returns.result import Failure, Result, Success
 
 T = TypeVar("T")
-MOST = 2**63 - 1  # what the disk and the wire hold
+MAX_INTEGER = 2**63 - 1  # largest that the database and the protocol store
 
 
 class Wrong(ValueError):
-    """What is wrong, and where below the place that is being read."""
+    """An invalid value: the problem, and the path of the value below the one being read."""
 
-    def __init__(self, what: str, where: str = "") -> None:
-        super().__init__(what)
-        self.what, self.where = what, where
+    def __init__(self, problem: str, path: str = "") -> None:
+        super().__init__(problem)
+        self.what, self.where = problem, path
 
 
 def text(value: Any) -> str:
     if type(value) is not str:
-        raise Wrong("must be text")
+        raise Wrong("must be a string")
     try:
         value.encode()
     except UnicodeEncodeError:
-        raise Wrong("holds half a character") from None
+        raise Wrong("contains an unpaired surrogate") from None
     return value
 
 
@@ -51,13 +51,13 @@
         raise Wrong("must be a number")
     if value < 0:
         raise Wrong("must not be below 0")
-    if value > MOST:  # a number such as 1e999 too
-        raise Wrong(f"must not be above {MOST}")
+    if value > MAX_INTEGER:  # also 1e999, which is read as infinity
+        raise Wrong(f"must not be above {MAX_INTEGER}")
     return float(value)
 
 
 def whole(value: Any) -> int:
-    # 7.0 is a whole number in JSON, as 7 is
+    # JSON does not distinguish 7.0 from 7
     if not number(value).is_integer():
         raise Wrong("must be a whole number")
     return int(value)
@@ -76,73 +76,81 @@
 
 
 def by(read: Callable[[Any], Any], **default: Any) -> Any:
+    """A dataclass field that is decoded by `read`."""
     return field(metadata={"deserialize": read}, **default)
 
 
 class Strict(BaseConfig):
-    """Left to itself the library would make numbers of text, and pass numbers for text."""
+    """By default the library would convert strings to numbers, and accept numbers as strings."""
 
-    serialization_strategy = {  # noqa: RUF012 - as the library declares it
+    serialization_strategy = {  # noqa: RUF012 - declared so by the library
         kind: {"deserialize": read}
         for kind, read in ((str, text), (bool, flag), (int, whole), (float, number))
     }
 
 
 def each(kind: type) -> Callable[[Any], Any]:
-    """A list of these, read one by one: the library does not tell which of a list is wrong."""
+    """A reader of lists. It decodes item by item, since the library does not report which item is invalid."""
     decoder: BasicDecoder[Any] = BasicDecoder(kind)
 
     def read(value: Any) -> Any:
         if type(value) is not list:
             raise Wrong("must be a list")
-        return [decoded(decoder, one, f"[{i}]") for i, one in enumerate(value)]
+        return [decoded(decoder, item, f"[{i}]") for i, item in enumerate(value)]
 
     return read
 
 
 def one(kind: type) -> Callable[[Any], Any]:
+    """A reader of objects."""
     decoder: BasicDecoder[Any] = BasicDecoder(kind)
     return lambda value: decoded(decoder, value, "")
 
 
-def decoded(decoder: BasicDecoder[Any], value: Any, where: str) -> Any:
-    """`Wrong` with the whole way to what is wrong."""
+def decoded(decoder: BasicDecoder[Any], value: Any, path: str) -> Any:
+    """Decodes an object; raises `InvalidValue` with the full path of the invalid field."""
     if type(value) is not dict:
-        raise Wrong("must be an object", where)
+        raise Wrong("must be an object", path)
     try:
         return decoder.decode(value)
     except MissingField as e:
-        raise Wrong("is missing", f"{where}.{e.field_name}") from None
-    except ExtraKeysError as e:  # where a kind forbids them
-        raise Wrong("is no field here", f"{where}.{min(e.extra_keys)}") from None
+        raise Wrong("is missing", f"{path}.{e.field_name}") from None
+    except ExtraKeysError as e:  # only for types that forbid them
+        raise Wrong("is not a known field", f"{path}.{min(e.extra_keys)}") from None
     except InvalidFieldValue as e:
-        found = e.__context__
-        if not isinstance(found, Wrong):
-            raise Wrong("is malformed", f"{where}.{e.field_name}") from None
-        raise Wrong(found.what, f"{where}.{e.field_name}{found.where}") from None
+        cause = e.__context__
+        if not isinstance(cause, Wrong):
+            raise Wrong("is malformed", f"{path}.{e.field_name}") from None
+        raise Wrong(cause.what, f"{path}.{e.field_name}{cause.where}") from None
 
 
-def plain(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    made = dict(pairs)
-    if len(made) < len(pairs):
+def unique_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+    """The object of these pairs; raises `InvalidValue` if a key repeats."""
+    fields = dict(pairs)
+    if len(fields) < len(pairs):
         keys = [key for key, _ in pairs]
         raise Wrong(f"an object has the key {next(key for key in keys if keys.count(key) > 1)!r} twice")
-    return made
+    return fields
 
 
-def no_constant(name: str) -> None:
-    raise Wrong(f"{name} is no number")
+def reject_constant(name: str) -> None:
+    raise Wrong(f"{name} is not a number")
 
 
 def from_json(body: bytes, read: Callable[[Any], T]) -> Result[T, str]:
-    """What `read` makes of the body's JSON; it may raise Wrong. A Failure is a sentence, naming the field."""
+    """Parses the body and returns the result of `read`, which may raise `InvalidValue`.
+
+    A Failure is a sentence that names the field.
+    """
     try:
-        given = json.loads(body.decode("utf-8"), object_pairs_hook=plain, parse_constant=no_constant)
+        value = json.loads(
+            body.decode("utf-8"), object_pairs_hook=unique_keys, parse_constant=reject_constant
+        )
     except Wrong as e:
-        return Failure(f"the body is no plain JSON: {e.what}")
+        return Failure(f"the body is not plain JSON: {e.what}")
     except (ValueError, RecursionError) as e:
         return Failure(f"the body is not JSON: {e}")
     try:
-        return Success(read(given))
+        return Success(read(value))
     except Wrong as e:
         return Failure(f"{e.where.lstrip('.') or 'the body'} {e.what}")
