--- a/opalwick/post/__init__.py
+++ b/opalwick/post/__init__.py
@@ -1,1 +1,5 @@
-"""The ingest and dispatch service: the carrier (counters and depots) and the postmaster (offices)."""
+"""The ingest and dispatch service.
+
+The program `carrier` runs the data plane: gateways (role `counter`) and stores (role `depot`). The program
+`postmaster` runs the control plane: controllers (role `office`).
+"""
--- a/opalwick/post/__main__.py
+++ b/opalwick/post/__main__.py
@@ -1,7 +1,8 @@
-"""The two programs: `python -m opalwick.post carrier counter|depot`, `python -m opalwick.post postmaster`.
+"""The data plane and control plane programs.
 
-With `--trace` behind it a process writes events of single messages as well (`docs/operate/events.md`); with
-`--metrics PORT/PATH` it tells its figures there, beside the operators' address.
+`python -m opalwick.post carrier counter` runs a gateway, `carrier depot` a store, `postmaster` a controller.
+With `--trace` a process also logs the events of single messages (`docs/operate/events.md`); with
+`--metrics PORT/PATH` it serves its metrics there too, in addition to the operators' server.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 
 def split_options(arguments: list[str]) -> tuple[list[str], Options]:
-    """The words that name the role, and the options behind them; ValueError names what is wrong."""
+    """The words that select the program and role, and the options after them; raises ValueError."""
     from opalwick.post.operators import Metrics
 
     words, trace, metrics = list[str](), False, None
@@ -38,14 +39,14 @@
             except ValueError as problem:
                 raise ValueError(f"--metrics {problem}") from None
         elif argument.startswith("-"):
-            raise ValueError(f"{argument} is no option. {USAGE}")
+            raise ValueError(f"{argument}: unknown option. {USAGE}")
         else:
             words.append(argument)
     return words, Options(trace, metrics)
 
 
 def main(arguments: list[str]) -> int:
-    # until there are handlers a SIGHUP would end the process; the settings are read after that
+    # without a handler SIGHUP would terminate the process; the settings are read after this point
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     import gevent
     from gevent.event import Event
@@ -58,10 +59,10 @@
     if not path:
         print("opalwick post: OPALWICK_CONFIG names no settings file", file=sys.stderr)
         return 2
-    stop, again = Event(), Event()
-    for number, event in ((signal.SIGTERM, stop), (signal.SIGINT, stop), (signal.SIGHUP, again)):
+    stop, reload = Event(), Event()
+    for number, event in ((signal.SIGTERM, stop), (signal.SIGINT, stop), (signal.SIGHUP, reload)):
         gevent.signal_handler(number, event.set)
-    seen = stamp(path)
+    settings_stamp = stamp(path)
     try:
         settings = read(path)
     except Faulty as problem:
@@ -73,8 +74,8 @@
         print(f"opalwick post: {problem}", file=sys.stderr)
         return 2
     events.begin(options.trace)
-    process = Process(stop, again, path, options.metrics, seen)
-    # each role imports only what it needs: a start costs a small machine whole seconds
+    process = Process(stop, reload, path, options.metrics, settings_stamp)
+    # each role imports only what it needs, since imports take seconds on a small machine
     if arguments == ["carrier", "counter"]:
         from opalwick.post.counter.agent import CounterShell
 
--- a/opalwick/post/asking.py
+++ b/opalwick/post/asking.py
@@ -1,4 +1,4 @@
-"""What the commands of the post share: processes are asked, answers told, files read."""
+"""Shared by the commands: requests to processes, output, and reading of files."""
 
 from __future__ import annotations
 
@@ -16,80 +16,84 @@
 
 from opalwick.post.settings import endpoint, read
 
-WITHIN = 3.0  # s for one process's answer
-ONCE = 16  # that are asked at once
+TIMEOUT = 3.0  # s for the answer of one process
+MAX_PARALLEL = 16  # simultaneous requests
 
 At = Annotated[
-    str, Parameter(help="HOST:PORT of any process's operators; else this machine's, by OPALWICK_CONFIG.")
+    str,
+    Parameter(help="HOST:PORT of the operators' server of any process; default: that of OPALWICK_CONFIG."),
 ]
-Json = Annotated[bool, Parameter(name="--json", negative="", help="As JSON, for programs.")]
+Json = Annotated[bool, Parameter(name="--json", negative="", help="Print JSON, for programs.")]
 
 
 class Problem(Exception):
-    """Told on standard error; the exit code is 2."""
+    """A command fails: printed on standard error, with exit code 2."""
 
 
-# ---- asking
+# ---- requests
 
 Place = tuple[str, int]
 
 
 def place(at: str) -> Place:
+    """The address of `--at`, else that of the settings file of OPALWICK_CONFIG."""
     if at:
         found = endpoint(at, by_number=False)
         if found is None:
             raise Problem(f"--at: must be HOST:PORT, not {at!r}")
         return found
     if not (path := os.environ.get("OPALWICK_CONFIG", "")):
-        raise Problem("--at: missing, and OPALWICK_CONFIG names no settings file")
+        raise Problem("--at: missing, and OPALWICK_CONFIG is not set")
     settings = read(path)
     return settings.ip, settings.ports[0] + 1
 
 
 def ask(where: Place, path: str, method: str = "GET", body: bytes | None = None) -> tuple[int, Any]:
-    """The status and the JSON of the answer; Problem where none comes."""
-    call = HTTPConnection(*where, timeout=WITHIN)
+    """The status and the JSON body of the answer; raises `CommandError` if there is none."""
+    connection = HTTPConnection(*where, timeout=TIMEOUT)
     try:
-        call.request(method, path, body, {"Connection": "close"})
-        answer = call.getresponse()
+        connection.request(method, path, body, {"Connection": "close"})
+        answer = connection.getresponse()
         return answer.status, json.loads(answer.read())
     except (OSError, ValueError, HTTPException) as problem:
         raise Problem(f"{where[0]}:{where[1]}: {problem or type(problem).__name__}") from None
     finally:
-        call.close()
+        connection.close()
 
 
 def ask_all(places: Iterable[Place], path: str) -> dict[Place, tuple[int, Any]]:
-    """Status nought and why, where no answer comes."""
+    """Status and body by address; status 0 and the reason where there is no answer."""
 
-    def one(where: Place) -> tuple[int, Any]:
+    def fetch(where: Place) -> tuple[int, Any]:
         try:
             return ask(where, path)
         except Problem as problem:
             return 0, str(problem)
 
-    wanted = list(places)
-    with ThreadPoolExecutor(ONCE) as pool:
-        return dict(zip(wanted, pool.map(one, wanted)))
+    addresses = list(places)
+    with ThreadPoolExecutor(MAX_PARALLEL) as pool:
+        return dict(zip(addresses, pool.map(fetch, addresses)))
 
 
 def everybody(at: str) -> dict[Place, Any]:
-    """The status of each process, from the directory of the one that is asked and of those found there; a
-    text where there is none."""
+    """The status of each process, found through the directories of all that answer, or the reason for none.
+
+    Raises `CommandError` if the first process does not answer.
+    """
     first = place(at)
-    status, told = ask(first, "/status")
+    status, body = ask(first, "/status")
     if status != 200:
-        raise Problem(f"{first[0]}:{first[1]}: {told}")
-    found: dict[Place, Any] = {first: told}
-    # the same process under the ip that it has in the directory
-    same = told["ip"], told["operators"]
+        raise Problem(f"{first[0]}:{first[1]}: {body}")
+    found: dict[Place, Any] = {first: body}
+    # the first process under its address in the directory
+    same = body["ip"], body["operators"]
     while True:
         new = (
             {
-                (node["ip"], told["operators"])
-                for one in found.values()
-                if isinstance(one, dict)
-                for node in one["directory"]
+                (node["ip"], body["operators"])
+                for known in found.values()
+                if isinstance(known, dict)
+                for node in known["directory"]
                 if not node["gone"]
             }
             - set(found)
@@ -97,66 +101,68 @@
         )
         if not new:
             return found
-        for where, (status, said) in ask_all(sorted(new), "/status").items():
-            found[where] = said if status == 200 else str(said)
+        for where, (status, answer) in ask_all(sorted(new), "/status").items():
+            found[where] = answer if status == 200 else str(answer)
 
 
-# ---- telling
+# ---- output
 
 
 def table(title: str, rows: list[dict[str, Any]]) -> None:
+    """Prints rows of equal keys; nothing if there are none."""
     if not rows:
         return
     from rich.console import Console
     from rich.markup import escape
     from rich.table import Table
 
-    # a pipe has no width: nothing is cut there
+    # a pipe has no width: wide enough that nothing is cut
     console = Console(width=None if sys.stdout.isatty() else 240, highlight=False)
-    shown = Table(title=title, title_justify="left", box=None, pad_edge=False)
+    table_view = Table(title=title, title_justify="left", box=None, pad_edge=False)
     for name in rows[0]:
-        shown.add_column(name.replace("_", " "), overflow="fold")
+        table_view.add_column(name.replace("_", " "), overflow="fold")
     for row in rows:
-        shown.add_row(*(escape(cell(one)) for one in row.values()))
-    console.print(shown)
+        table_view.add_row(*(escape(format_cell(one)) for one in row.values()))
+    console.print(table_view)
     console.print()
 
 
-def cell(value: Any) -> str:
+def format_cell(value: Any) -> str:
     if isinstance(value, dict):
-        return ", ".join(f"{key} {cell(one)}" for key, one in value.items())
+        return ", ".join(f"{key} {format_cell(one)}" for key, one in value.items())
     if isinstance(value, list):
-        return ", ".join(map(cell, value))
+        return ", ".join(map(format_cell, value))
     if isinstance(value, bool):
         return "yes" if value else "no"
     return "-" if value is None or value == "" else str(value)
 
 
 def told(value: Any, as_json: bool) -> bool:
-    """Whether it was asked for as JSON, and is done with."""
+    """Prints the value as JSON if `as_json`; returns `as_json`."""
     if as_json:
         print(json.dumps(value, indent=1))
     return as_json
 
 
-def day(life: int) -> str:
-    """When a life began, by its own clock."""
-    return time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(life / 1000.0))
+def day(incarnation: int) -> str:
+    """The start time of a process incarnation, by the clock of its machine (UTC)."""
+    return time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(incarnation / 1000.0))
 
 
 def facts(value: dict[str, Any]) -> None:
     for key, one in value.items():
-        print(f"{key.replace('_', ' ')}: {cell(one)}")
+        print(f"{key.replace('_', ' ')}: {format_cell(one)}")
 
 
 # ---- files
 
 
 def given(file: str) -> str:
+    """The text of a file; raises `CommandError` if it cannot be read or is not UTF-8."""
     try:
         return Path(file).read_bytes().decode("utf-8")
     except OSError as problem:
         raise Problem(f"{file}: {problem.strerror or problem}") from None
     except UnicodeDecodeError as problem:
         line = problem.object[: problem.start].count(b"\n") + 1
-        raise Problem(f"{file}:{line}: this line is no UTF-8") from None
+        raise Problem(f"{file}:{line}: not valid UTF-8") from None
--- a/opalwick/post/commands.py
+++ b/opalwick/post/commands.py
@@ -1,7 +1,7 @@
-"""`opalwick post`: what operators of the post call.
+"""`opalwick post`: the command line for operators of the service.
 
-Exit codes: 0 fine; 1 what was asked for is not so (a plan that is short, configurations that differ, a
-message that nobody knows); 2 what was given is faulty, or nobody answers.
+Exit codes: 0 success; 1 a negative answer (a plan with too few machines, configurations that differ, an
+unknown message); 2 invalid input, or no process answers.
 """
 
 from __future__ import annotations
@@ -20,88 +20,96 @@
 from opalwick.post.maintenance.commands import maintenance
 from opalwick.post.settings import Faulty, parse
 
-FAULTS = 100  # of a configuration that are told
+MAX_ERRORS = 100  # of a configuration that are reported
 NO, FAULTY = 1, 2
 
 app = App(
     name="opalwick post",
     help_format="plaintext",
     version_flags=[],
-    help="Checks, plans, asks and replays the post: the ingest and dispatch service.",
+    help="Commands for the ingest and dispatch service: checks, plans, status and replay.",
 )
-dead = App(name="dead", help="Messages that ended without a success, as the depots keep them.")
+dead = App(name="dead", help="Messages that ended without a success, as kept by the stores.")
 config = App(name="config", help="The configuration in force.")
-plans = App(name="plan", help="Whether what is planned bears what is asked of it.")
+plans = App(name="plan", help="Checks plans against the losses that they must withstand.")
 for part in (dead, config, plans, maintenance):
     app.command(part)
-# the library finds the module when it is called for
+# the library imports the module when the command is called
 app.command(
-    "opalwick.post.home.commands:home", name="home", help="Where partners' work may be, and where it is."
+    "opalwick.post.home.commands:home",
+    name="home",
+    help="Data residency: where work may be, and where it is.",
 )
 
 
 def merged(answers: dict[Place, Any]) -> dict[str, Any]:
-    """One picture of what all say; `look` names what should not be so."""
-    said = sorted(
+    """Combines the statuses of all processes; `look` lists what needs attention."""
+    statuses = sorted(
         (one for one in answers.values() if isinstance(one, dict)),
         key=lambda one: (one["role"], one["zone"], one["node"]),
     )
-    known = {node["node"]: node for one in said for node in one["directory"]}
-    here = {one["node"]: one for one in said}
-    silent = {where[0]: one for where, one in answers.items() if not isinstance(one, dict)}
-    of = {role: [one for one in said if one["role"] == role] for role in ("counter", "depot", "office")}
+    known = {node["node"]: node for one in statuses for node in one["directory"]}
+    by_node = {one["node"]: one for one in statuses}
+    failures = {where[0]: one for where, one in answers.items() if not isinstance(one, dict)}
+    by_role = {
+        role: [one for one in statuses if one["role"] == role] for role in ("counter", "depot", "office")
+    }
     look = [
-        f"{node['node']} ({node['role']}, {node['zone']}) does not answer: {silent[node['ip']]}"
+        f"{node['node']} ({node['role']}, {node['zone']}) does not answer: {failures[node['ip']]}"
         for node in known.values()
-        if node["node"] not in here and node["ip"] in silent
+        if node["node"] not in by_node and node["ip"] in failures
     ]
-    newest = max((one["conf"] for one in said), default=0)
-    for one in said:
-        lives = {n["life"] for other in said for n in other["directory"] if n["node"] == one["node"]}
-        if max(lives, default=0) > one["life"]:
-            look.append(f"{one['node']}: others have heard a newer life of it")
+    newest = max((one["conf"] for one in statuses), default=0)
+    for one in statuses:
+        incarnations = {
+            n["life"] for other in statuses for n in other["directory"] if n["node"] == one["node"]
+        }
+        if max(incarnations, default=0) > one["life"]:
+            look.append(f"{one['node']}: others have seen a newer incarnation of it")
         if one["conf"] < newest:
-            look.append(f"{one['node']} is at configuration {one['conf']}, others at {newest}")
-    for one in of["counter"]:
+            look.append(f"{one['node']} is at configuration {one['conf']}, others are at {newest}")
+    for one in by_role["counter"]:
         look += [f"{one['node']} is not ready: {why}" for why in one["why_not"]]
-    for one in of["depot"]:
+    for one in by_role["depot"]:
         if not one["settled"]:
             look.append(
-                f"{one['node']} has not settled: it awaits "
-                f"{', '.join(one['awaits'] + one['unheard']) or 'its time'}"
+                f"{one['node']} has not caught up: it waits for "
+                f"{', '.join(one['awaits'] + one['unheard']) or 'the settling time'}"
             )
         if one["room"] and one["octets"] > 0.8 * one["room"]:
-            look.append(f"{one['node']} has {one['octets'] / one['room']:.0%} of its room taken")
-    primaries = [one["node"] for one in of["office"] if one["active"]]
-    if of["office"] and len(primaries) != 1:
-        look.append(f"active primaries among the offices that answer: {', '.join(primaries) or 'none'}")
-    look += [f"{one['node']} has lost its disk and does not vote yet" for one in of["office"] if one["blank"]]
-    desks: dict[str, dict[str, Any]] = {}
-    ceilings: dict[str, dict[str, Any]] = {}
-    for one in of["counter"]:
-        for name, desk in one["desks"].items():
-            total = desks.setdefault(
+            look.append(f"{one['node']} has {one['octets'] / one['room']:.0%} of its space in use")
+    primaries = [one["node"] for one in by_role["office"] if one["active"]]
+    if by_role["office"] and len(primaries) != 1:
+        look.append(f"active primaries among the controllers that answer: {', '.join(primaries) or 'none'}")
+    look += [
+        f"{one['node']} has lost its disk and does not vote yet" for one in by_role["office"] if one["blank"]
+    ]
+    dispatchers: dict[str, dict[str, Any]] = {}
+    limits: dict[str, dict[str, Any]] = {}
+    for one in by_role["counter"]:
+        for name, dispatcher in one["desks"].items():
+            total = dispatchers.setdefault(
                 name,
                 dict.fromkeys(("queue", "jobs", "out", "blocks", "firsts", "copies", "cancels"), 0)
                 | {"workers": {}},
             )
             for key in total.keys() - {"workers"}:
-                total[key] += desk[key] or 0
-            for worker in desk["workers"]:
+                total[key] += dispatcher[key] or 0
+            for worker in dispatcher["workers"]:
                 total["workers"].setdefault(worker["state"], set()).add(worker["id"])
-        for svc, ceiling in one["ceilings"].items():
-            total = ceilings.setdefault(svc, {"rate": ceiling["rate"], "holders": [], "wants": 0})
-            total["wants"] += ceiling["wants"]
-            if ceiling["here"]:
+        for svc, limit in one["ceilings"].items():
+            total = limits.setdefault(svc, {"rate": limit["rate"], "holders": [], "wants": 0})
+            total["wants"] += limit["wants"]
+            if limit["here"]:
                 total["holders"].append(one["node"])
-    for svc, total in ceilings.items():
+    for svc, total in limits.items():
         if len(total["holders"]) > 1:
-            look.append(f"the ceiling of {svc} is held by {', '.join(total['holders'])}")
-    for name, desk in desks.items():
-        desk["workers"] = {state: len(ids) for state, ids in sorted(desk["workers"].items())}
-        if desk["queue"] + desk["jobs"] and not desk["workers"].get("ready"):
-            look.append(f"{name}: messages wait, and no counter has a worker in use")
-    office = next((one for one in of["office"] if one["active"]), None)
+            look.append(f"the rate limit of {svc} is held by more than one: {', '.join(total['holders'])}")
+    for name, dispatcher in dispatchers.items():
+        dispatcher["workers"] = {state: len(ids) for state, ids in sorted(dispatcher["workers"].items())}
+        if dispatcher["queue"] + dispatcher["jobs"] and not dispatcher["workers"].get("ready"):
+            look.append(f"{name}: messages are waiting, and no gateway has a worker in use")
+    primary = next((one for one in by_role["office"] if one["active"]), None)
     return {
         "nodes": [
             {
@@ -109,13 +117,13 @@
                 "role": node["role"],
                 "zone": node["zone"],
                 "ip": node["ip"],
-                "life": here[name]["life"] if name in here else node["life"],
-                "answers": name in here,
-                "conf": here[name]["conf"] if name in here else None,
+                "life": by_node[name]["life"] if name in by_node else node["life"],
+                "answers": name in by_node,
+                "conf": by_node[name]["conf"] if name in by_node else None,
             }
             for name, node in sorted(known.items(), key=lambda n: (n[1]["role"], n[1]["zone"], n[0]))
         ],
-        "primary": office and {key: office[key] for key in ("node", "epoch", "view", "conf", "duties")},
+        "primary": primary and {key: primary[key] for key in ("node", "epoch", "view", "conf", "duties")},
         "depots": [
             {
                 key: one[key]
@@ -131,7 +139,7 @@
                     "room",
                 )
             }
-            for one in of["depot"]
+            for one in by_role["depot"]
         ],
         "counters": [
             {key: one[key] for key in ("node", "ready", "held", "keeping", "oldest_due")}
@@ -139,11 +147,11 @@
                 "ends": one["ends"]["waiting"],
                 "permits": {key: one["figures"].get(key, 0) for key in ("granted", "used_here", "late")},
             }
-            for one in of["counter"]
+            for one in by_role["counter"]
         ],
-        "oldest_due": max((one["oldest_due"] for one in of["depot"]), default=0.0),
-        "desks": desks,
-        "ceilings": ceilings,
+        "oldest_due": max((one["oldest_due"] for one in by_role["depot"]), default=0.0),
+        "desks": dispatchers,
+        "ceilings": limits,
         "look": look,
     }
 
@@ -152,7 +160,7 @@
 
 
 def kind(text: str) -> str:
-    """What a file is, by its content: JSON, TOML or lines a.b=value."""
+    """The kind of a file by its content: JSON, TOML or lines key=value."""
     if text.lstrip().startswith("{"):
         return "json"
     if re.search(r"(?m)^\s*(\[+[A-Za-z]|build\s*=)", text):
@@ -161,14 +169,14 @@
 
 
 def configuration_faults(text: str, name: str) -> list[str]:
-    """All there are: after each, a value that will do takes the faulty one's place, and it is read again."""
+    """All errors: after each, the invalid value is replaced by a valid one, and the file is checked again."""
     from returns.result import Success
 
     from opalwick.post.configuration import check
 
     faults: list[str] = []
     body = text.encode()
-    while len(faults) < FAULTS:
+    while len(faults) < MAX_ERRORS:
         match check(body):
             case Success(_):
                 return faults
@@ -183,56 +191,56 @@
         faults.append(f"{name}: {why}")
         if where is None or not isinstance(whole, dict):
             return faults
-        mend(whole, re.findall(r"\w+", where[0]), why, len(faults))
+        replace_invalid(whole, re.findall(r"\w+", where[0]), why, len(faults))
         body = json.dumps(whole).encode()
-    return [*faults, f"{name}: there may be more"]
+    return [*faults, f"{name}: there may be more errors"]
 
 
-def mend(whole: dict[str, Any], way: list[str], why: str, serial: int) -> None:
-    """A value that will do where `way` leads to."""
-    top, *rest = way
-    free = {"name": f"mended-{serial}", "stem": f"/mended-{serial}/", "vhost": "mended", "limit_ms": 1}
-    if "have the same" in why:  # the second of the two, which stands last
+def replace_invalid(whole: dict[str, Any], path: list[str], why: str, serial: int) -> None:
+    """Puts a valid value at `path`, so that the next error can be found."""
+    top, *rest = path
+    valid = {"name": f"valid-{serial}", "stem": f"/valid-{serial}/", "vhost": "valid", "limit_ms": 1}
+    if "have the same" in why:  # the second of the two, which is named last
         found = re.findall(r"(routing|backends)\[(\d+)\]", why)[-1]
         whole[found[0]][int(found[1])]["name" if "same name" in why else "stem"] = (
-            free["name"] if "same name" in why else free["stem"]
+            valid["name"] if "same name" in why else valid["stem"]
         )
     elif not rest:
         whole[top] = {"gen": 1, "caps": {}}.get(top, [])
     elif top == "caps":
         whole[top].pop(rest[0], None)
     elif len(rest) == 1:
-        whole[top][int(rest[0])] = {"name": free["name"]} | (
-            {} if top == "backends" else free | {"svc": known(whole, serial)}
+        whole[top][int(rest[0])] = {"name": valid["name"]} | (
+            {} if top == "backends" else valid | {"svc": any_service(whole, serial)}
         )
     else:
         one, key = whole[top][int(rest[0])], rest[1]
         if top == "routing" and key == "svc":
-            one[key] = known(whole, serial)
-        elif key in free:
-            one[key] = free[key]
+            one[key] = any_service(whole, serial)
+        elif key in valid:
+            one[key] = valid[key]
         else:
             one.pop(key, None)
 
 
-def known(whole: dict[str, Any], serial: int) -> str:
-    """A service's name, made if need be."""
+def any_service(whole: dict[str, Any], serial: int) -> str:
+    """The name of a service; adds one if there is none."""
     backends = whole.setdefault("backends", [])
     for one in backends if isinstance(backends, list) else []:
         if isinstance(one, dict) and isinstance(one.get("name"), str) and one["name"]:
             return str(one["name"])
-    whole["backends"] = [*(backends if isinstance(backends, list) else []), {"name": f"mended-{serial}"}]
-    return f"mended-{serial}"
+    whole["backends"] = [*(backends if isinstance(backends, list) else []), {"name": f"valid-{serial}"}]
+    return f"valid-{serial}"
 
 
 @app.command
 def check(file: str, /) -> int:
-    """Reads a file as it would be read, and names every fault, with its line or field.
+    """Validates a file and reports every error, with its line or field.
 
     Parameters
     ----------
     file
-        a settings file, a deploy file (TOML) or an operator's configuration (JSON), told by its content
+        a settings file, a deploy file (TOML) or an operator's configuration (JSON), recognized by its content
     """
     from opalwick.post import plan
 
@@ -253,7 +261,7 @@
             found = parse(text, file)
             print(
                 f"{file}: settings of {found.node} in {found.zone}: serves "
-                f"{', '.join(found.serves) or 'nobody'}, links on {found.ip}:{found.ports[0]}, "
+                f"{', '.join(found.serves) or 'nothing'}, links on {found.ip}:{found.ports[0]}, "
                 f"operators on {found.ip}:{found.ports[0] + 1}"
             )
     return 0
@@ -261,46 +269,46 @@
 
 @app.command
 def status(*, at: At = "", json: Json = False) -> int:
-    """Asks one process, and all others that it and they know: who is there, and what all hold."""
+    """Shows the processes and their state, found through the directories of the processes that answer."""
     found = merged(everybody(at))
     if told(found, json):
         return NO if found["look"] else 0
-    table("who is there", [node | {"life": day(node["life"])} for node in found["nodes"]])
+    table("processes", [node | {"life": day(node["life"])} for node in found["nodes"]])
     if (first := found["primary"]) is not None:
         print(
             f"primary: {first['node']}, epoch {first['epoch']}, configuration {first['conf']}, members "
             f"{', '.join(first['view']['members'])}, voters {', '.join(first['view']['voters'])}\n"
         )
-    table("depots", found["depots"])
-    table("counters", found["counters"])
-    table("desks", [{"service": name, **desk} for name, desk in sorted(found["desks"].items())])
-    table("ceilings", [{"service": name, **one} for name, one in sorted(found["ceilings"].items())])
-    print(f"oldest undelivered: due for {found['oldest_due']} s")
+    table("stores", found["depots"])
+    table("gateways", found["counters"])
+    table("dispatchers", [{"service": name, **desk} for name, desk in sorted(found["desks"].items())])
+    table("rate limits", [{"service": name, **one} for name, one in sorted(found["ceilings"].items())])
+    print(f"oldest undelivered message: due for {found['oldest_due']} s")
     for line in found["look"]:
-        print(f"look: {line}")
+        print(f"attention: {line}")
     return NO if found["look"] else 0
 
 
 @app.command
 def message(id: str, /, *, at: At = "", json: Json = False) -> int:
-    """Where one message is, what was tried, and why it waits, as each process that knows it sees it.
+    """Shows where one message is, its attempts, and why it waits, as each process that has it reports.
 
     Parameters
     ----------
     id
-        its X-Msg-Id; or its X-Request-Id, while a counter holds it
+        its X-Msg-Id; or its X-Request-Id, while a gateway holds it
     """
     answers = ask_all(everybody(at), f"/message/{quote(id, safe='')}")
-    found = [said for status, said in answers.values() if status == 200]
+    found = [answer for status, answer in answers.values() if status == 200]
     if not told(found, json):
         for one in found:
             facts(one)
             print()
-        for status, said in answers.values():
+        for status, answer in answers.values():
             if status == 0:
-                print(f"no answer from {said}")
+                print(f"no answer from {answer}")
         if not found:
-            print("nobody that answers knows it")
+            print("no process that answers has it")
     return 0 if found else NO
 
 
@@ -323,12 +331,12 @@
         only ids after this one
     """
     answers = ask_all(of_role("depot", at), f"/dead?route={quote(route)}&after={quote(after)}")
-    pages = [said for status, said in answers.values() if status == 200]
+    pages = [answer for status, answer in answers.values() if status == 200]
     found = {one["id"]: one for page in pages for one in page["dead"]}
-    # what lies beyond the shortest page may be on a further one of that depot
-    edge = min((page["last"] for page in pages if page["more"]), default="")
-    shown = [found[id] for id in sorted(found) if not edge or id <= edge]
-    if not told({"dead": shown, "after": edge}, json):
+    # ids beyond the end of the shortest page may be on a later page of that store
+    last = min((page["last"] for page in pages if page["more"]), default="")
+    shown = [found[id] for id in sorted(found) if not last or id <= last]
+    if not told({"dead": shown, "after": last}, json):
         table(
             "dead messages",
             [
@@ -339,26 +347,26 @@
                 for one in shown
             ],
         )
-        print(f"{len(shown)} messages" + (f"; more with --after {edge}" if edge else ""))
-        for status, said in answers.values():
+        print(f"{len(shown)} messages" + (f"; more with --after {last}" if last else ""))
+        for status, answer in answers.values():
             if status != 200:
-                print(f"not all were asked: {said}")
+                print(f"incomplete: {answer}")
     return 0
 
 
 @dead.command(name="show")
 def dead_show(id: str, /, *, at: At = "", json: Json = False) -> int:
-    """One dead message whole: its fields and its octets (base64).
+    """Shows one dead message: its fields and its body (base64).
 
     Parameters
     ----------
     id
-        its name
+        its id
     """
     answers = ask_all(of_role("depot", at), f"/dead/{quote(id, safe='')}")
-    found = next((said for status, said in answers.values() if status == 200), None)
+    found = next((answer for status, answer in answers.values() if status == 200), None)
     if found is None:
-        print("no depot that answers has it among its dead")
+        print("no store that answers has it as a dead message")
         return NO
     if not told(found, json):
         facts(found)
@@ -366,18 +374,22 @@
 
 
 def in_force(at: str) -> dict[str, Any]:
-    answers = [said for status, said in ask_all(of_role("office", at), "/conf").values() if status == 200]
+    """The configuration in force, or the newest stored; raises `CommandError` if no controller answers."""
+    answers = [answer for status, answer in ask_all(of_role("office", at), "/conf").values() if status == 200]
     if not answers:
-        raise Problem("no office answers")
+        raise Problem("no controller answers")
     return max(answers, key=lambda one: (one["in_force"], one["gen"]))
 
 
 @config.command
 def show(*, at: At = "") -> int:
-    """Prints the configuration as it was sent; where no primary answers, the newest that an office keeps."""
+    """Prints the configuration as it was sent; if no primary answers, the newest that a controller stores."""
     found = in_force(at)
     if not found["in_force"]:
-        print(f"no primary answers: this is what {found['node']} ({found['state']}) keeps", file=sys.stderr)
+        print(
+            f"no primary answers: this is the one stored by {found['node']} ({found['state']})",
+            file=sys.stderr,
+        )
     if found["conf"] is None:
         print("there is no configuration", file=sys.stderr)
         return NO
@@ -386,31 +398,31 @@
 
 
 def differences(old: dict[str, Any], new: dict[str, Any]) -> list[str]:
-    """What the new one changes: routes and services by name, fields one by one."""
-    said = []
+    """The changes from old to new: routes and services by name, field by field."""
+    changes = []
     for top in ("gen", "caps"):
         if old.get(top) != new.get(top):
-            said.append(f"{top}: {old.get(top)} -> {new.get(top)}")
+            changes.append(f"{top}: {old.get(top)} -> {new.get(top)}")
     for top in ("routing", "backends"):
         before, after = ({one["name"]: one for one in whole.get(top, [])} for whole in (old, new))
         for name in sorted(before.keys() | after.keys()):
             if name not in after:
-                said.append(f"{top} {name}: dropped")
+                changes.append(f"{top} {name}: removed")
             elif name not in before:
-                said.append(f"{top} {name}: new {after[name]}")
+                changes.append(f"{top} {name}: added {after[name]}")
             else:
                 a, b = before[name], after[name]
-                said += [
+                changes += [
                     f"{top} {name}.{key}: {a.get(key)} -> {b.get(key)}"
                     for key in sorted(a.keys() | b.keys())
                     if a.get(key) != b.get(key)
                 ]
-    return said
+    return changes
 
 
 @config.command
 def diff(file: str, /, *, at: At = "") -> int:
-    """What a configuration would change; exit code 1 where it changes something.
+    """Shows what a configuration would change; exit code 1 if it changes anything.
 
     Parameters
     ----------
@@ -420,22 +432,22 @@
     text = given(file)
     if faults := configuration_faults(text, file):
         raise Problem("\n".join(faults))
-    said = differences(in_force(at)["conf"] or {}, json.loads(text))
-    for line in said:
-        print(line)
-    return NO if said else 0
+    changes = differences(in_force(at)["conf"] or {}, json.loads(text))
+    for change in changes:
+        print(change)
+    return NO if changes else 0
 
 
 @plans.command(name="deploy")
 def plan_deploy(file: str, site: str, /) -> int:
-    """Whether a deploy file bears what the site's `survive` says; exit code 1 where a number is short.
+    """Checks a deploy file against the losses of a site's `survive`; exit code 1 if a number is too small.
 
     Parameters
     ----------
     file
         the deploy file (TOML)
     site
-        a site file (TOML), or a settings file: one machine of each class in each zone is taken then
+        a site file (TOML), or a settings file: then one machine of each class in each zone is assumed
     """
     from opalwick.post import plan
 
@@ -443,7 +455,7 @@
     where = plan.site(text, site) if kind(text) == "toml" else plan.told(parse(text, site))
     if where.assumed:
         print(
-            f"{site} is a settings file: one machine of each class is taken in each of "
+            f"{site} is a settings file: one machine of each class is assumed in each of "
             f"{len(where.zones)} zones"
         )
     lines = plan.plan(roles, where)
@@ -465,21 +477,21 @@
 
 @app.command
 def runs(*logs: str, most: int = 20) -> int:
-    """Which messages were sent to a worker again, and why, from the logs of processes started with --trace.
+    """Shows which messages were delivered again, and why, from the logs of processes started with --trace.
 
-    Exit code 1 where one was sent again after a success that was read.
+    Exit code 1 if a message was delivered again after its success had been read.
 
     Parameters
     ----------
     logs
-        A file for each process; or one of all, with the process' name before each line.
+        A file for each process, or one for all with the process name before each line.
     most
-        Repeats that are shown of each cause.
+        Maximum number of repeats shown for each cause.
     """
     from opalwick.post.runs import Cause, Event, read_events, repeats
 
     if not logs:
-        raise Problem("no log is given")
+        raise Problem("no log file is given")
     events = list[Event]()
     for name in logs:
         try:
@@ -498,12 +510,12 @@
 
 @app.command
 def replay(trace: str, /) -> int:
-    """Plays a recorded trace through the state machines, and prints what each step returns, a line each.
+    """Replays a recorded trace through the state machines and prints the result of each step, one per line.
 
     Parameters
     ----------
     trace
-        JSON lines, as docs/operate/post-trace.jsonl
+        JSON lines such as docs/operate/post-trace.jsonl
     """
     from opalwick.post.replay import BadTrace, play
 
@@ -518,7 +530,7 @@
 def run(arguments: list[str]) -> int:
     try:
         code = app(arguments, exit_on_error=False, print_error=True, result_action="return_value")
-    except CycloptsError:  # it has been told
+    except CycloptsError:  # already printed
         return FAULTY
     except (Problem, Faulty) as problem:
         for line in str(problem).split("\n"):
@@ -530,7 +542,7 @@
             file=sys.stderr,
         )
         return FAULTY
-    except BrokenPipeError:  # who read it has gone
+    except BrokenPipeError:  # the reader of the output has ended
         sys.stderr.close()
         return 0
     return code if isinstance(code, int) else 0
--- a/opalwick/post/operators.py
+++ b/opalwick/post/operators.py
@@ -1,7 +1,8 @@
-"""The address for operators that every process of the post has: what it knows. No call changes anything.
+"""The read-only HTTP server for operators, which every process of the service runs.
 
-The calls stand in `openapi/operators.yaml`; what each role tells is in its `status.py`. Few connections, so
-that those who stay silent hold up nobody; only what reads a depot's disk waits, and that for this call alone.
+The calls are described in `openapi/operators.yaml`; the answers of each role are built in its `status.py`.
+The number of connections is small, so that idle clients cannot take up the process. Only calls that read a
+store's disk wait, and they delay no other call.
 """
 
 from __future__ import annotations
@@ -31,26 +32,26 @@
 from opalwick.transport.limits import within
 from opalwick.transport.pulse import Pulse
 
-MOST = 6  # connections at once; at the brim the one that has waited longest goes
-AGAIN = 5.0  # s until an address that cannot be had is tried again
+MOST = 6  # simultaneous connections; at the limit the one that has been idle longest is closed
+AGAIN = 5.0  # s between attempts to bind the address
 _ODD = re.compile(r"[^a-zA-Z0-9_]")
 JSON, TEXT = "application/json", "text/plain; version=0.0.4; charset=utf-8"
 
-# a figure for Prometheus: name, whether it only counts up, what it is, and its values by their labels
-Figure = tuple[str, bool, str, list[tuple[dict[str, str], float]]]
-# runs what reads the disk in the disk's thread
+# a metric for Prometheus: name, whether it is a counter, description, and values with their labels
+Metric = tuple[str, bool, str, list[tuple[dict[str, str], float]]]
+# runs a function that reads the disk in the disk's thread
 Look = Callable[[Callable[[Any], Any]], Any]
 
 
 class Metrics(NamedTuple):
-    """Where a process tells its figures to whoever collects them: a port of its machine, and a path."""
+    """Where a process serves its metrics: a port of its machine, and a path."""
 
     port: int
     path: str
 
     @classmethod
     def parse(cls, text: str) -> Metrics:
-        """`PORT/PATH`, as `metrics` of a role in deploy/system.toml has it; ValueError says what is wrong."""
+        """Parses `PORT/PATH`, the form of a role's `metrics` in deploy/system.toml; raises ValueError."""
         port, slash, path = text.partition("/")
         if not slash or not path or not port.isdecimal() or not 0 < int(port) < 65536:
             raise ValueError(f"must be PORT/PATH, such as 9464/metrics, not {text!r}")
@@ -58,18 +59,18 @@
 
 
 def place(settings: Settings) -> Address | None:
-    """None where the machine has only one port for it."""
+    """The address of the operators' server; None if the process has only one port."""
     first, last = settings.ports
     return (settings.ip, first + 1) if first < last else None
 
 
 def since(now: float, at: float | None) -> float | None:
-    """None where it never was."""
+    """Seconds since `at`; None if it has never happened."""
     return now - at if at is not None and at > -1e8 else None
 
 
 def tidy(value: Any) -> Any:
-    """As JSON bears it: to a thousandth; what has no end is null."""
+    """As a JSON value: floats rounded to 3 decimals, infinity and NaN as null."""
     if isinstance(value, dict):
         return {str(key): tidy(one) for key, one in value.items()}
     if isinstance(value, (list, tuple, set, frozenset)):
@@ -80,8 +81,8 @@
 
 
 def common(role: Station) -> dict[str, Any]:
-    """What every role tells of itself."""
-    used = resource.getrusage(resource.RUSAGE_SELF)
+    """The part of the status that all roles have."""
+    usage = resource.getrusage(resource.RUSAGE_SELF)
     conf, own = role.directory.conf, place(role.settings)
     nodes = {role.node: (role.role, role.zone, role.ip, role.life, False)} | {
         n.node: (n.role, n.zone, n.ip, n.life, n.gone)
@@ -110,8 +111,8 @@
         "life": role.life,
         "version": __version__,
         "conf": int(conf.gen) if conf is not None else 0,
-        "peak_mb": used.ru_maxrss / 1024.0,
-        "cpu_s": used.ru_utime + used.ru_stime,
+        "peak_mb": usage.ru_maxrss / 1024.0,
+        "cpu_s": usage.ru_utime + usage.ru_stime,
         "links": links,
         "directory": [
             dict(zip(("node", "role", "zone", "ip", "life", "gone"), (node, *rest)))
@@ -123,48 +124,50 @@
 
 
 def query(text: bytes, *known: str) -> dict[str, str]:
-    """The fields of a call; Malformed names the one that is not known or stands there twice."""
+    """The fields of a query string; raises Malformed if one is unknown or repeated."""
     try:
         pairs = parse_qsl(text.decode("ascii"), keep_blank_values=True, errors="strict", max_num_fields=16)
     except ValueError:
         raise Malformed(400, "the query is malformed") from None
     for name, _ in pairs:
         if name not in known:
-            raise Malformed(400, f"{name!r} is no field of this call: it has {', '.join(known)}")
+            raise Malformed(400, f"{name!r} is not a field of this call, which has {', '.join(known)}")
     if len(found := dict(pairs)) < len(pairs):
-        raise Malformed(400, "a field stands there twice")
+        raise Malformed(400, "a field is repeated")
     return found
 
 
 class Operators:
-    closing = False  # its connections end with the process
+    """The server: accepts connections and answers calls."""
+
+    closing = False  # connections are closed only when the process ends
 
     def __init__(
         self,
         role: Station,
         place: Address | None,
-        look: Look | None = None,
+        read_disk: Look | None = None,
         clock: Callable[[], float] = time.monotonic,
         metrics_path: str = "",
     ) -> None:
-        """`look`: a depot's way to its disk; other roles have none. `metrics_path`: only the figures are
-        told, at that path.
+        """`read_disk` runs a function in the disk's thread; only stores have one. If `metrics_path` is set,
+        only metrics are served, at that path.
         """
         self.metrics_path = metrics_path
-        self.role, self.place, self.look, self.clock = role, place, look, clock
+        self.role, self.place, self.read_disk, self.clock = role, place, read_disk, clock
         self.pulse = Pulse(clock())
         self.limits = replace(
             within(64, role.settings.mem_mb, MOST, 15.0, 0.3, 60.0, 3.0), clients=MOST, kept=MOST, spare=1
         )
         self.door: Any = None
-        self.registry: Any = None  # of the library, made with the first call for figures
+        self.registry: Any = None  # of the Prometheus library, created by the first call for metrics
 
     def accept(self) -> None:
-        """Runs in a greenlet of its own."""
+        """Binds the address and accepts connections; runs in a greenlet of its own."""
         failed = False
         while self.door is None:
             if self.place is None:
-                gevent.sleep(3600.0)  # the machine has no port for it
+                gevent.sleep(3600.0)  # the process has no port for this server
                 continue
             try:
                 listener = listening(self.place, 16)
@@ -185,72 +188,74 @@
 
     @property
     def told(self) -> Any:
-        """The role's own part; a process imports no other's."""
+        """The status module of this role; those of other roles are not imported."""
         return import_module(f"opalwick.post.{self.role.role}.status")
 
     def answer(self, message: Message) -> tuple[int, bytes, str]:
-        """Status, body and its type."""
+        """Status, body and content type."""
         self.role.clock(self.clock())
         try:
-            found = self.carry_out(message)
+            result = self.dispatch(message)
         except Malformed as problem:
             return problem.status, json.dumps({"err": problem.text}).encode(), JSON
-        except Exception as problem:  # noqa: BLE001 - it is told and answered with 500
+        except Exception as problem:  # noqa: BLE001 - logged and answered with 500
             events.say(901, work="operators", problem=repr(problem), where=traceback.format_exc(limit=-3))
-            return 500, json.dumps({"err": f"a fault of ours: {problem!r}"}).encode(), JSON
-        if isinstance(found, bytes):
-            return 200, found, TEXT
-        return 200, json.dumps(tidy(found)).encode() + b"\n", JSON
+            return 500, json.dumps({"err": f"internal error: {problem!r}"}).encode(), JSON
+        if isinstance(result, bytes):
+            return 200, result, TEXT
+        return 200, json.dumps(tidy(result)).encode() + b"\n", JSON
 
-    def carry_out(self, message: Message) -> Any:
-        path, _, asked = message.target.partition(b"?")
+    def dispatch(self, message: Message) -> Any:
+        path, _, query_string = message.target.partition(b"?")
         if self.metrics_path:
             if path != self.metrics_path.encode():
-                raise Malformed(404, f"only {self.metrics_path} is told here")
+                raise Malformed(404, f"only {self.metrics_path} is served here")
             path = b"/metrics"
         _, first, *rest = path.split(b"/")
         if first not in (b"status", b"message", b"dead", b"conf", b"home", b"metrics") or len(rest) > 1:
             raise Malformed(404, "no such call")
         if message.method != b"GET":
-            raise Malformed(405, "only GET: nothing is changed here")
+            raise Malformed(405, "only GET is allowed: this server is read-only")
         try:
             name = unquote_to_bytes(rest[0]).decode("ascii") if rest else ""
         except UnicodeDecodeError:
             raise Malformed(400, "the name in the path is not ASCII") from None
         match first, bool(name):
             case b"status", False:
-                query(asked)
+                query(query_string)
                 return common(self.role) | self.told.status(self.role)
             case b"message", True:
                 if not hasattr(self.told, "message"):
-                    raise Malformed(404, f"a {self.role.role} knows no messages: ask counters and depots")
+                    raise Malformed(404, f"a {self.role.role} has no messages: call a gateway or a store")
                 found = self.told.message(self.role, name)
                 if found is None:
-                    raise Malformed(404, "this process does not know it")
+                    raise Malformed(404, "this process has no such message")
                 return {"node": self.role.node, "role": self.role.role} | found
             case b"dead", _:
-                if self.look is None:
-                    raise Malformed(404, f"a {self.role.role} keeps no messages: ask a depot")
+                if self.read_disk is None:
+                    raise Malformed(404, f"a {self.role.role} stores no messages: call a store")
                 if name:
-                    if (found := self.told.dead_one(self.role, self.look, name)) is None:
-                        raise Malformed(404, "no dead message of that name is here")
+                    if (found := self.told.dead_one(self.role, self.read_disk, name)) is None:
+                        raise Malformed(404, "this store has no dead message of that name")
                     return found
-                return self.told.dead(self.role, self.look, **query(asked, "route", "after"))
+                return self.told.dead(self.role, self.read_disk, **query(query_string, "route", "after"))
             case b"conf", False:
                 if not hasattr(self.told, "conf"):
-                    raise Malformed(404, f"a {self.role.role} keeps no configuration: ask an office")
+                    raise Malformed(404, f"a {self.role.role} stores no configuration: call a controller")
                 return self.told.conf(self.role)
             case b"home", False:
-                query(asked)
-                return {"node": self.role.node, "role": self.role.role} | self.told.home(self.role, self.look)
+                query(query_string)
+                return {"node": self.role.node, "role": self.role.role} | self.told.home(
+                    self.role, self.read_disk
+                )
             case b"metrics", False:
                 return self.metrics()
         raise Malformed(404, "no such call")
 
-    # ---- figures
+    # ---- metrics
 
     def metrics(self) -> bytes:
-        """As Prometheus reads it. Its library is imported with the first such call."""
+        """In the text format of Prometheus. The library is imported by the first such call."""
         try:
             from prometheus_client import CollectorRegistry, ProcessCollector, generate_latest
         except ModuleNotFoundError as problem:
@@ -262,33 +267,38 @@
         return bytes(generate_latest(self.registry))
 
     def collect(self) -> Iterator[Any]:
-        """For the library: called with each reading."""
+        """Called by the Prometheus library at each scrape."""
         from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
-        for name, counts, text, rows in self.figures():
+        for name, is_counter, text, rows in self.figures():
             names = sorted({label for labels, _ in rows for label in labels})
-            kind = CounterMetricFamily if counts else GaugeMetricFamily
+            kind = CounterMetricFamily if is_counter else GaugeMetricFamily
             family = kind(f"opalwick_post_{_ODD.sub('_', name)}", text, labels=names)
             for labels, value in rows:
                 family.add_metric([labels.get(label, "") for label in names], float(value))
             yield family
 
-    def figures(self) -> Iterator[Figure]:
-        role, told = self.role, self.told
+    def figures(self) -> Iterator[Metric]:
+        role, status_module = self.role, self.told
         yield (
             "process",
             False,
-            "Who it is.",
+            "Identity of the process.",
             [({"node": role.node, "role": role.role, "zone": role.zone, "version": __version__}, 1.0)],
         )
         for name, value in role.figures().items():
             if isinstance(value, (bool, int, float)):
-                counts = name not in told.NOW
-                yield (name, counts, "Since its start." if counts else "Now.", [({}, float(value))])
+                is_counter = name not in status_module.NOW
+                yield (
+                    name,
+                    is_counter,
+                    "Total since the process started." if is_counter else "Current value.",
+                    [({}, float(value))],
+                )
         yield (
             "link_age_seconds",
             False,
-            "Since the last word on it.",
+            "Seconds since the last message on the link.",
             [
                 ({"node": link.peer.node, "role": link.peer.role}, role.now - link.heard_at)
                 for node in sorted(role.links)
@@ -298,14 +308,14 @@
         yield (
             "crossed_octets",
             True,
-            "Said to other zones, by kind of word.",
-            [({"kind": kind}, octets) for kind, octets in sorted(role.crossed.items())],
+            "Bytes sent to other zones, by kind of message.",
+            [({"kind": kind}, size) for kind, size in sorted(role.crossed.items())],
         )
-        yield from told.metrics(role)
+        yield from status_module.metrics(role)
 
 
 class Calling(Conversation):
-    """An operator's connection."""
+    """A connection of an operator."""
 
     house: Any
 
--- a/opalwick/post/plan.py
+++ b/opalwick/post/plan.py
@@ -1,7 +1,7 @@
-"""Whether a deploy file bears what `survive` says, by the machines of a site; and what is wrong in the file.
+"""Checks a deploy file, and whether its roles on the machines of a site withstand the losses of `survive`.
 
-A site is a file of the bench (its words are turned into ours here) or a settings file: that one tells neither
-how many machines there are nor where, so one of each class in each zone is taken.
+A site is read from a site file of the bench, whose terms are mapped to ours here, or from a settings file.
+That has neither the number of machines nor their zones, so one of each class in each zone is assumed.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 CLASSES = ("edge", "disk", "core")
 SERVES = ("edge", "disk", "ctl")
 HELPERS = ("env", "npx", "sh", "bash", "dash", "exec", "nohup", "nice", "sudo")
-# what our programs need: class, what they serve
+# of each program: the class of machines it needs, and what it must serve
 PROGRAMS = {
     "carrier counter": ("edge", "edge"),
     "carrier depot": ("disk", "disk"),
@@ -40,25 +40,25 @@
 
     @property
     def program(self) -> str:
-        """The one of ours that it runs, whatever options stand behind it; empty: none."""
+        """The program of `PROGRAMS` that it runs, without options; empty: none of them."""
         words = self.run.partition(" --")[0]
         return next((name for name in PROGRAMS if words.endswith(name)), "")
 
-    def machines(self, there: int) -> int:
-        """Of so many in a zone."""
-        return min(there, self.count) if self.count else math.ceil(self.share * there - 1e-9)
+    def machines(self, available: int) -> int:
+        """How many of a zone's machines it runs on."""
+        return min(available, self.count) if self.count else math.ceil(self.share * available - 1e-9)
 
 
 @dataclass(slots=True)
 class Site:
     zones: dict[str, str]  # each zone's region
     survive: Survive
-    machines: dict[str, dict[str, int]] = field(default_factory=dict)  # class: zone: how many
+    machines: dict[str, dict[str, int]] = field(default_factory=dict)  # count by class and zone
     assumed: bool = False
 
 
 class Line(NamedTuple):
-    """A thing that has to hold: what there is of it, and what is needed."""
+    """A requirement of the plan: how many there are, and how many are needed."""
 
     what: str
     has: int
@@ -74,11 +74,11 @@
 
 
 class _Deploy:
-    """Reads it; every fault is noted with its line."""
+    """Reads a deploy file and collects its errors, each with its line."""
 
     def __init__(self, text: str, name: str) -> None:
         self.lines, self.name = text.split("\n"), name
-        self.faults: list[tuple[int, str]] = []
+        self.errors: list[tuple[int, str]] = []
         try:
             self.given: dict[str, Any] = tomllib.loads(text)
         except tomllib.TOMLDecodeError as problem:
@@ -86,7 +86,7 @@
             raise Faulty(f"{name}:{found[1] if found else len(self.lines)}: {problem}") from None
 
     def line(self, role: str, key: str) -> int:
-        """Where that key stands, or its table, or nought."""
+        """The line of that key, else of its table, else 0."""
         at, inside = 0, not role
         for number, line in enumerate(self.lines, 1):
             if line.lstrip().startswith("["):
@@ -96,128 +96,134 @@
                 return number
         return at
 
-    def wrong(self, role: str, key: str, what: str) -> None:
+    def add_error(self, role: str, key: str, problem: str) -> None:
         line = self.line(role, key)
         where = f"roles.{role}.{key}" if role and key else f"roles.{role}" if role else key
-        self.faults.append(
+        self.errors.append(
             (
                 line or 1 << 30,
-                f"{self.name}:{line}: {where}: {what}" if line else f"{self.name}: {where}: {what}",
+                f"{self.name}:{line}: {where}: {problem}" if line else f"{self.name}: {where}: {problem}",
             )
         )
 
     def role(self, name: str, given: Any) -> Role | None:
         if not isinstance(given, dict):
-            self.wrong("", "roles", f"{name!r} must be a table")
+            self.add_error("", "roles", f"{name!r} must be a table")
             return None
         for key in given:
             if key not in ("run", "on", "share", "count", "apart", "serves", "metrics"):
-                self.wrong(name, key, "no such field")
+                self.add_error(name, key, "unknown field")
         run, on, serves = given.get("run"), given.get("on"), given.get("serves", [])
         if not isinstance(run, str) or not run.split():
-            self.wrong(name, "run", "a program with its arguments is due")
+            self.add_error(name, "run", "must be a program with its arguments")
             run = ""
         elif run.split()[0].rpartition("/")[2] in HELPERS or re.search(r"[|&;<>$`*]", run):
-            self.wrong(name, "run", f"runs without any shell or helper: {run!r} needs one")
+            self.add_error(name, "run", f"must not need a shell or a wrapper program, as {run!r} does")
         if on not in CLASSES:
-            self.wrong(name, "on", f"must be one of {', '.join(CLASSES)}, not {on!r}")
+            self.add_error(name, "on", f"must be one of {', '.join(CLASSES)}, not {on!r}")
         if not isinstance(serves, list) or any(one not in SERVES for one in serves):
-            self.wrong(name, "serves", f"must be a list out of {', '.join(SERVES)}, not {serves!r}")
+            self.add_error(name, "serves", f"must be a list of any of {', '.join(SERVES)}, not {serves!r}")
             serves = [one for one in serves if one in SERVES] if isinstance(serves, list) else []
         share, count, apart = given.get("share"), given.get("count"), given.get("apart", False)
         if (share is None) == (count is None):
-            self.wrong(name, "" if share is None else "count", "either share or count is due")
+            self.add_error(name, "" if share is None else "count", "must have either share or count")
         if share is not None and (type(share) not in (int, float) or not 0 < share <= 1):
-            self.wrong(name, "share", f"must be over 0 and up to 1, not {share!r}")
+            self.add_error(name, "share", f"must be above 0 and at most 1, not {share!r}")
             share = 1.0
         if count is not None and (type(count) is not int or count < 1):
-            self.wrong(name, "count", f"must be a whole number from 1, not {count!r}")
+            self.add_error(name, "count", f"must be a whole number of at least 1, not {count!r}")
             count = 1
         if (metrics := given.get("metrics")) is not None:
             try:
                 Metrics.parse(str(metrics))
             except ValueError as problem:
-                self.wrong(name, "metrics", str(problem))
+                self.add_error(name, "metrics", str(problem))
         if type(apart) is not bool:
-            self.wrong(name, "apart", "must be true or false")
+            self.add_error(name, "apart", "must be true or false")
         if on != "disk" and "disk" in serves:
-            self.wrong(name, "serves", f"disk is served on disk machines alone, not on {on!r}")
+            self.add_error(name, "serves", f"disk can only be served on disk machines, not on {on!r}")
         role = Role(name, run, str(on), tuple(serves), float(share or 0.0), int(count or 0), bool(apart))
         if run and not role.program:
             programs = ", ".join(map(repr, PROGRAMS))
-            self.wrong(name, "run", f"none of our programs: it must end in {programs}, and options behind it")
+            self.add_error(
+                name, "run", f"unknown program: must end in one of {programs}, followed by options"
+            )
         elif run:
-            where, what = PROGRAMS[role.program]
-            if on in CLASSES and on != where:
-                self.wrong(name, "on", f"{role.program!r} needs {where} machines, not {on}")
-            if what not in serves:
-                self.wrong(name, "serves", f"{role.program!r} serves {what!r}, which is not there")
-            if what == "edge" and share != 1:
-                self.wrong(
+            needed, service = PROGRAMS[role.program]
+            if on in CLASSES and on != needed:
+                self.add_error(name, "on", f"{role.program!r} needs {needed} machines, not {on}")
+            if service not in serves:
+                self.add_error(name, "serves", f"{role.program!r} serves {service!r}, which is missing")
+            if service == "edge" and share != 1:
+                self.add_error(
                     name,
                     "share" if share is not None else "count",
-                    "what carries the traffic runs on all machines of its class: share = 1.0",
+                    "must be share = 1.0: the gateway runs on all machines of its class",
                 )
         return role
 
-    def whole(self) -> list[Role]:
+    def read(self) -> list[Role]:
         for key in self.given:
             if key not in ("build", "packages", "roles"):
-                self.wrong("", key, "no such field")
+                self.add_error("", key, "unknown field")
         if not isinstance(self.given.get("build"), str) or not self.given["build"].strip():
-            self.wrong("", "build", "a command is due")
+            self.add_error("", "build", "must be a command")
         packages = self.given.get("packages", [])
         if not isinstance(packages, list) or not all(isinstance(p, str) and p.strip() for p in packages):
-            self.wrong("", "packages", "must be a list of names of system packages")
+            self.add_error("", "packages", "must be a list of names of system packages")
         given = self.given.get("roles")
         if not isinstance(given, dict) or not given:
-            self.wrong("", "roles", "no role is there")
+            self.add_error("", "roles", "must have at least one role")
             given = {}
-        roles = [role for name, one in given.items() if (role := self.role(name, one)) is not None]
+        roles = [role for name, fields in given.items() if (role := self.role(name, fields)) is not None]
         for kind in CLASSES:
-            here = [role for role in roles if role.on == kind]
-            if len(here) > 2 and sum(role.share == 1 for role in here) > 2:
-                self.wrong(here[2].name, "on", f"more than two roles run on each {kind} machine")
-            for i, role in enumerate(here):
-                for other in here[:i]:
-                    for twice in set(role.serves) & set(other.serves):
-                        self.wrong(role.name, "serves", f"{twice} is served on {kind} by {other.name!r} too")
+            of_class = [role for role in roles if role.on == kind]
+            if len(of_class) > 2 and sum(role.share == 1 for role in of_class) > 2:
+                self.add_error(of_class[2].name, "on", f"more than two roles run on each {kind} machine")
+            for i, role in enumerate(of_class):
+                for other in of_class[:i]:
+                    for service in set(role.serves) & set(other.serves):
+                        self.add_error(
+                            role.name, "serves", f"{service} is served on {kind} by {other.name!r} too"
+                        )
         for program in PROGRAMS if roles else ():
             if not any(role.program == program for role in roles):
-                self.wrong("", "roles", f"no role runs {program!r}")
-        if self.faults:
-            raise Faulty("\n".join(what for _, what in sorted(self.faults)))
+                self.add_error("", "roles", f"no role runs {program!r}")
+        if self.errors:
+            raise Faulty("\n".join(error for _, error in sorted(self.errors)))
         return roles
 
 
 def deploy(text: str, name: str) -> list[Role]:
-    """`Faulty` with every fault, each with its line where it has one."""
-    return _Deploy(text, name).whole()
+    """Parses a deploy file; raises `InvalidFile` with every error, and its line where there is one."""
+    return _Deploy(text, name).read()
 
 
 # ---- the site
 
 
 def site(text: str, name: str) -> Site:
-    """Of a site file of the bench."""
+    """Parses a site file of the bench."""
     try:
         given = tomllib.loads(text)
         zones = {zone["name"]: zone["region"] for zone in given["zones"]}
-        lost = given.get("tolerate", {})
-        found = Site(zones, Survive(*(int(lost.get(what, 0)) for what in ("machines", "zones", "regions"))))
-        for kind in given["machines"]:
-            here = found.machines.setdefault(_BENCH[kind["class"]], {})
-            here[kind["zone"]] = here.get(kind["zone"], 0) + int(kind["count"])
+        losses = given.get("tolerate", {})
+        parsed = Site(
+            zones, Survive(*(int(losses.get(unit, 0)) for unit in ("machines", "zones", "regions")))
+        )
+        for group in given["machines"]:
+            counts = parsed.machines.setdefault(_BENCH[group["class"]], {})
+            counts[group["zone"]] = counts.get(group["zone"], 0) + int(group["count"])
     except tomllib.TOMLDecodeError as problem:
         line = re.search(r"line (\d+)", str(problem))
         raise Faulty(f"{name}:{line[1] if line else 1}: {problem}") from None
     except (KeyError, TypeError, ValueError, AttributeError) as problem:
-        raise Faulty(f"{name}: no site file: {type(problem).__name__} {problem}") from None
-    return found
+        raise Faulty(f"{name}: not a site file: {type(problem).__name__} {problem}") from None
+    return parsed
 
 
 def told(settings: Settings) -> Site:
-    """Of a settings file."""
+    """Of a settings file: one machine of each class in each zone is assumed."""
     return Site(
         dict(settings.zones),
         settings.survive,
@@ -226,95 +232,98 @@
     )
 
 
-# ---- what has to hold
+# ---- requirements
 
 
-def most(here: dict[str, int], groups: dict[str, str], lost: int) -> int:
-    """The most of them that are gone with so many groups."""
+def most(counts: dict[str, int], groups: dict[str, str], lost: int) -> int:
+    """The most that the loss of `lost` groups of zones takes away; `counts` is by zone."""
     sums: dict[str, int] = {}
-    for zone, count in here.items():
+    for zone, count in counts.items():
         sums[groups[zone]] = sums.get(groups[zone], 0) + count
     return sum(sorted(sums.values(), reverse=True)[:lost])
 
 
 def placed(roles: list[Role], program: str, site: Site) -> dict[str, int]:
-    found: dict[str, int] = {}
+    """How many processes of that program run in each zone."""
+    counts: dict[str, int] = {}
     for role in roles:
         if role.program == program:
             for zone, count in site.machines.get(role.on, {}).items():
-                found[zone] = found.get(zone, 0) + role.machines(count)
-    return {zone: count for zone, count in found.items() if count}
+                counts[zone] = counts.get(zone, 0) + role.machines(count)
+    return {zone: count for zone, count in counts.items() if count}
 
 
 def plan(roles: list[Role], site: Site) -> list[Line]:
-    """Every loss that `survive` allows, in its worst place, against what our programs do."""
-    s, copies = site.survive, site.survive.boxes + 1
-    depots, offices, counters = (
+    """The requirements of every loss that `survive` allows, at its worst place."""
+    s, replicas = site.survive, site.survive.boxes + 1
+    stores, controllers, gateways = (
         placed(roles, program, site) for program in ("carrier depot", "postmaster", "carrier counter")
     )
-    voters = min(MOST, sum(offices.values()))
+    voters = min(MOST, sum(controllers.values()))
     single = {zone: zone for zone in site.zones}
-    spread = min(copies, len(depots))  # different zones that a message's copies are in for sure
+    spread = min(replicas, len(stores))  # the least number of zones that the replicas of a message are in
     lines = [
-        Line("counters", sum(counters.values()), 1, "clients reach nobody else"),
-        Line("depots", sum(depots.values()), copies, f"a message is kept by survive.boxes + 1 = {copies}"),
+        Line("gateways", sum(gateways.values()), 1, "clients connect to gateways only"),
+        Line(
+            "stores", sum(stores.values()), replicas, f"replicas of a message: survive.boxes + 1 = {replicas}"
+        ),
         Line(
-            "zones with depots",
-            len(depots),
-            min(copies, len(site.zones)) if s.spread else 1,
-            "a message's copies are in different zones, where some may be lost",
+            "zones with stores",
+            len(stores),
+            min(replicas, len(site.zones)) if s.spread else 1,
+            "the replicas of a message are in different zones if zones may be lost",
         ),
         Line(
-            "offices that keep the configuration",
+            "controllers that store the configuration",
             voters,
-            copies,
-            f"it is on survive.boxes + 1 = {copies} disks before it is acknowledged",
+            replicas,
+            f"it is on survive.boxes + 1 = {replicas} disks before it is acknowledged",
         ),
     ]
-    for word, lost, groups in (
+    for unit, lost, groups in (
         ("boxes", s.boxes, None),
         ("zones", s.zones, single),
         ("regions", s.regions, site.zones),
     ):
         if not lost:
             continue
-        said = f"survive.{word} = {lost}"
+        cause = f"survive.{unit} = {lost}"
         if groups is None:
-            gone_depots, gone_voters, gone_zones = lost, lost, 0
+            lost_stores, lost_voters, lost_zones = lost, lost, 0
         else:
-            gone_depots = most(depots, groups, lost)
-            gone_voters = min(voters, most(offices, groups, lost))
-            # each zone has one copy at most where there are zones enough
-            gone_zones = most(dict.fromkeys(depots, 1), groups, lost)
+            lost_stores = most(stores, groups, lost)
+            lost_voters = min(voters, most(controllers, groups, lost))
+            # a zone has at most one replica if there are enough zones
+            lost_zones = most(dict.fromkeys(stores, 1), groups, lost)
             lines.append(
                 Line(
-                    "zones that have a copy of a message",
+                    "zones that have a replica of a message",
                     spread,
-                    gone_zones + 1,
-                    f"{said}: {gone_zones} of them may be gone",
+                    lost_zones + 1,
+                    f"{cause}: {lost_zones} of them may be lost",
                 )
             )
             lines.append(
                 Line(
                     "disks that have the configuration",
-                    min(copies, voters),
-                    gone_voters + 1,
-                    f"{said}: {gone_voters} voters may be gone",
+                    min(replicas, voters),
+                    lost_voters + 1,
+                    f"{cause}: {lost_voters} voters may be lost",
                 )
             )
         lines += [
             Line(
-                "depots left",
-                max(0, sum(depots.values()) - gone_depots),
-                copies,
-                f"{said}: messages are still taken, on {copies} disks",
+                "stores left",
+                max(0, sum(stores.values()) - lost_stores),
+                replicas,
+                f"{cause}: messages are still accepted, on {replicas} disks",
             ),
             Line(
                 "voters left",
-                max(0, voters - gone_voters),
+                max(0, voters - lost_voters),
                 voters // 2 + 1,
-                f"{said}: of {voters} voters a majority must be there"
-                + (f"; more than {MOST} never vote" if sum(offices.values()) > MOST else ""),
+                f"{cause}: a majority of the {voters} voters must remain"
+                + (f"; at most {MOST} vote" if sum(controllers.values()) > MOST else ""),
             ),
         ]
     return lines
--- a/opalwick/post/replay.py
+++ b/opalwick/post/replay.py
@@ -1,7 +1,8 @@
-"""A recorded trace, played step by step through the state machines: what was put in, what they return.
+"""Replays a recorded trace through the state machines ("cores"), with the results of each input.
 
-One JSON object a line: `at` (seconds), `core`, `input` (a method of it) and `fields` (its arguments, a list).
-`new` makes a core; `name` tells several of one kind apart. `docs/operate/post-trace.jsonl` is an example.
+Each line is a JSON object: `at` (seconds), `core`, `input` (a method of it) and `fields` (its arguments, a
+list). The input `new` creates a core; `name` distinguishes several of one kind. An example is
+`docs/operate/post-trace.jsonl`.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 from google.protobuf.json_format import MessageToDict, ParseDict
 from google.protobuf.message import Message
 
-# by name: the module and the class
+# module and class by the name that a trace has; these names are part of its format
 CORES = {
     "intake": ("counter.intake", "Intake"),
     "rounds": ("counter.rounds", "Rounds"),
@@ -32,11 +33,11 @@
 
 
 class BadTrace(Exception):
-    """`FILE:LINE: what is wrong`."""
+    """The trace cannot be replayed: `FILE:LINE: what is wrong`."""
 
 
 def plain(value: Any) -> Any:
-    """As JSON has it."""
+    """The value as JSON types."""
     if isinstance(value, Message):
         return MessageToDict(value, preserving_proto_field_name=True)
     if isinstance(value, tuple) and hasattr(value, "_asdict"):
@@ -53,22 +54,22 @@
         return value.name
     if value is None or isinstance(value, (bool, int, float, str)):
         return value
-    return getattr(value, "mid", f"<{type(value).__name__}>")  # a message that a core holds
+    return getattr(value, "mid", f"<{type(value).__name__}>")  # a core's own object for a message
 
 
-def value(hint: Any, given: Any, core: Any) -> Any:
-    """What a method takes, of what the line has."""
+def convert(hint: Any, given: Any, core: Any) -> Any:
+    """Converts a value of a line to the type of a method's parameter."""
     origin, parts = typing.get_origin(hint), typing.get_args(hint)
     if hint is Any or hint is None:
         return tuple(given) if isinstance(given, list) else given
-    if type(None) in parts:  # an optional one
+    if type(None) in parts:  # optional
         rest = [part for part in parts if part is not type(None)]
-        return None if given is None else value(rest[0], given, core)
+        return None if given is None else convert(rest[0], given, core)
     if origin in (list, tuple, set):
-        return origin(value(parts[0] if parts else Any, one, core) for one in given)
+        return origin(convert(parts[0] if parts else Any, one, core) for one in given)
     if origin is dict:
-        return {key: value(parts[1], one, core) for key, one in given.items()}
-    if getattr(origin, "__name__", "") == "Callable":  # whatever it is asked, this is the answer
+        return {key: convert(parts[1], one, core) for key, one in given.items()}
+    if getattr(origin, "__name__", "") == "Callable":  # a callback that always returns this value
         return lambda *_: given
     if not isinstance(hint, type):
         return given
@@ -88,71 +89,82 @@
         args = given if isinstance(given, list) else list(given.values())
         maker = hint if hasattr(hint, "_fields") else vars(hint)["__init__"]
         hints = typing.get_type_hints(maker).values()
-        return hint(*(value(h, one, core) for h, one in zip(hints, args)))
+        return hint(*(convert(h, one, core) for h, one in zip(hints, args)))
     return given
 
 
 def arguments(method: Callable[..., Any], given: list[Any], core: Any) -> list[Any]:
+    """The arguments of a call, converted; raises TypeError if their number is wrong."""
     hints = typing.get_type_hints(vars(method)["__init__"] if isinstance(method, type) else method)
     signature = inspect.signature(method)
     signature.bind(*given)
     named = [hints.get(name, Any) for name in signature.parameters]
-    return [value(named[min(i, len(named) - 1)], one, core) for i, one in enumerate(given)]
+    return [convert(named[min(i, len(named) - 1)], one, core) for i, one in enumerate(given)]
 
 
 def play(lines: list[str], name: str = "trace") -> Iterator[dict[str, Any]]:
-    """For each line: what was put in, `returned`, and `left`: its `effects()`, kind by kind."""
+    """Yields for each line its input, the value `returned`, and `left`: the core's `effects()`, kind by kind.
+
+    Raises `InvalidTrace`.
+    """
     cores: dict[str, Any] = {}
     for number, line in enumerate(lines, 1):
         if not line.strip() or line.lstrip().startswith("#"):
             continue
         where = f"{name}:{number}"
         try:
-            told = json.loads(line)
-            at, kind, put, fields = float(told["at"]), told["core"], told["input"], told.get("fields", [])
-            module, made = CORES[kind]
+            step = json.loads(line)
+            at, kind, input_name, fields = (
+                float(step["at"]),
+                step["core"],
+                step["input"],
+                step.get("fields", []),
+            )
+            module, class_name = CORES[kind]
         except json.JSONDecodeError as problem:
-            raise BadTrace(f"{where}: no JSON: {problem.msg}") from None
+            raise BadTrace(f"{where}: not JSON: {problem.msg}") from None
         except KeyError as problem:
-            what = problem.args[0]
+            key = problem.args[0]
             raise BadTrace(
-                f"{where}: {what}: missing"
-                if what in ("at", "core", "input")
-                else f"{where}: core: no {what!r}; there are {', '.join(CORES)}"
+                f"{where}: {key}: missing"
+                if key in ("at", "core", "input")
+                else f"{where}: core: unknown {key!r}; known are {', '.join(CORES)}"
             ) from None
         except (TypeError, ValueError) as problem:
             raise BadTrace(f"{where}: at: must be a number of seconds: {problem}") from None
         if not isinstance(fields, list):
             raise BadTrace(f"{where}: fields: must be a list")
-        who = told.get("name", kind)
+        name_of_core = step.get("name", kind)
         try:
-            if put == "new":
-                maker = getattr(import_module(f"opalwick.post.{module}"), made)
-                cores[who], returned = maker(*arguments(maker, fields, None)), None
+            if input_name == "new":
+                maker = getattr(import_module(f"opalwick.post.{module}"), class_name)
+                cores[name_of_core], returned = maker(*arguments(maker, fields, None)), None
             else:
-                if who not in cores:
-                    raise BadTrace(f"{where}: {who!r} was not made: its first input is 'new'")
-                core = cores[who]
-                method = getattr(core, put, None)
-                if put.startswith("_") or not inspect.ismethod(method):
-                    raise BadTrace(f"{where}: input: {kind} has no {put!r}")
-                # without a method of its own for it, the time is an attribute or an argument
+                if name_of_core not in cores:
+                    raise BadTrace(f"{where}: {name_of_core!r} does not exist: its first input must be 'new'")
+                core = cores[name_of_core]
+                method = getattr(core, input_name, None)
+                if input_name.startswith("_") or not inspect.ismethod(method):
+                    raise BadTrace(f"{where}: input: {kind} has no {input_name!r}")
+                # cores without `clock` have the time as an attribute or as an argument of the input
                 if hasattr(core, "clock"):
                     core.clock(at)
                 elif hasattr(core, "now"):
                     core.now = at
                 returned = method(*arguments(method, fields, core))
-            effects = getattr(cores[who], "effects", None)
+            effects = getattr(cores[name_of_core], "effects", None)
             left = effects() if effects is not None else ()
         except BadTrace:
             raise
-        except Exception as problem:  # noqa: BLE001 - whatever a core raises is the trace's fault
-            raise BadTrace(f"{where}: {who} {put}: {type(problem).__name__}: {problem}") from None
+        except Exception as problem:  # noqa: BLE001 - any exception of a core is due to the trace
+            raise BadTrace(
+                f"{where}: {name_of_core} {input_name}: {type(problem).__name__}: {problem}"
+            ) from None
         yield {
             "line": number,
             "at": at,
-            "core": who,
-            "input": put,
+            "core": name_of_core,
+            "input": input_name,
             "returned": plain(returned),
             "left": [plain(one) for one in left] if any(left) else [],
         }
@@ -161,22 +173,22 @@
 def recorded(
     core: Any, kind: str, now: Callable[[], float], write: Callable[[str], None], inputs: tuple[str, ...]
 ) -> None:
-    """From now on each of these inputs to the core is written as a line; what it calls itself is not."""
-    inside = False
+    """Writes a line for each further call of these inputs, but not for calls that the core makes itself."""
+    nested = False
 
-    def wrap(put: str, method: Callable[..., Any]) -> Callable[..., Any]:
+    def wrap(input_name: str, method: Callable[..., Any]) -> Callable[..., Any]:
         def run(*fields: Any) -> Any:
-            nonlocal inside
-            if inside:
+            nonlocal nested
+            if nested:
                 return method(*fields)
-            write(json.dumps({"at": now(), "core": kind, "input": put, "fields": plain(list(fields))}))
-            inside = True
+            write(json.dumps({"at": now(), "core": kind, "input": input_name, "fields": plain(list(fields))}))
+            nested = True
             try:
                 return method(*fields)
             finally:
-                inside = False
+                nested = False
 
         return run
 
-    for put in inputs:
-        setattr(core, put, wrap(put, getattr(core, put)))
+    for input_name in inputs:
+        setattr(core, input_name, wrap(input_name, getattr(core, input_name)))
--- a/opalwick/post/settings.py
+++ b/opalwick/post/settings.py
@@ -32,7 +32,7 @@
 
     @property
     def spread(self) -> bool:
-        """Whether replicas are placed in different zones. If none may be lost, one zone saves network traffic."""
+        """Whether replicas are placed in different zones. If none may be lost, one zone saves traffic."""
         return bool(self.zones or self.regions)
 
 
--- a/tests/test_post_commands.py
+++ b/tests/test_post_commands.py
@@ -89,15 +89,14 @@
         (
             BAD_DEPLOY,
             [
-                "FILE:1: build: a command is due",
-                "FILE:3: roles.a.run: runs without any shell or helper: "
-                "'env python3 -m opalwick.post carrier counter' needs one",
-                "FILE:5: roles.a.share: "
-                "what carries the traffic runs on all machines of its class: share = 1.0",
+                "FILE:1: build: must be a command",
+                "FILE:3: roles.a.run: must not need a shell or a wrapper program, as "
+                "'env python3 -m opalwick.post carrier counter' does",
+                "FILE:5: roles.a.share: must be share = 1.0: the gateway runs on all machines of its class",
                 "FILE:9: roles.b.on: must be one of edge, disk, core, not 'cloud'",
-                "FILE:10: roles.b.count: must be a whole number from 1, not 0",
-                "FILE:11: roles.b.serves: must be a list out of edge, disk, ctl, not ['ctl', 'all']",
-                "FILE:12: roles.b.more: no such field",
+                "FILE:10: roles.b.count: must be a whole number of at least 1, not 0",
+                "FILE:11: roles.b.serves: must be a list of any of edge, disk, ctl, not ['ctl', 'all']",
+                "FILE:12: roles.b.more: unknown field",
                 "FILE: roles: no role runs 'carrier depot'",
             ],
         ),
@@ -166,16 +165,16 @@
         (
             {"front": [2, 2, 2], "store": [1, 1, 0], "core": [1, 1, 1]},
             {"machines": 1},
-            [("depots left", 1, 2)],
+            [("stores left", 1, 2)],
         ),
         ({"front": [1, 1], "store": [4, 0], "core": [2, 1]}, {"machines": 1}, []),
         (
             {"front": [1, 1], "store": [4, 0], "core": [1, 1]},
             {"zones": 1},
             [
-                ("zones that have a copy of a message", 1, 2),
+                ("zones that have a replica of a message", 1, 2),
                 ("disks that have the configuration", 1, 2),
-                ("depots left", 0, 1),
+                ("stores left", 0, 1),
                 ("voters left", 1, 2),
             ],
         ),
@@ -189,7 +188,7 @@
         (
             {"front": [1, 1, 1], "store": [2, 2, 2], "core": [1, 1, 1]},
             {"zones": 1},
-            [("zones that have a copy of a message", 1, 2), ("disks that have the configuration", 1, 2)],
+            [("zones that have a replica of a message", 1, 2), ("disks that have the configuration", 1, 2)],
         ),
     ],
 )
@@ -204,8 +203,8 @@
     settings.write_text(SETTINGS + "zones.b=r\nzones.c=r\n")
     asked = ["plan", "deploy", str(HERE / "deploy" / "system.toml")]
     assert (run([*asked, str(there)]), run([*asked, str(settings)])) == (1, 0)
-    assert re.search(r"SHORT +depots left +1 +2", capsys.readouterr().out)
-    with pytest.raises(Faulty, match="s: no site file: KeyError 'zones'"):
+    assert re.search(r"SHORT +stores left +1 +2", capsys.readouterr().out)
+    with pytest.raises(Faulty, match="s: not a site file: KeyError 'zones'"):
         plan.site("a = 1", "s")
 
 
@@ -233,11 +232,11 @@
 @pytest.mark.parametrize(
     "line, why",
     [
-        ("{", "t:2: no JSON"),
-        ('{"at": 1, "core": "x", "input": "y"}', "t:2: core: no 'x'; there are intake"),
+        ("{", "t:2: not JSON"),
+        ('{"at": 1, "core": "x", "input": "y"}', "t:2: core: unknown 'x'; known are intake"),
         ('{"at": 1, "core": "intake"}', "t:2: input: missing"),
         ('{"at": "z", "core": "intake", "input": "y"}', "t:2: at"),
-        ('{"at": 1, "core": "views", "input": "tick"}', "t:2: 'views' was not made"),
+        ('{"at": 1, "core": "views", "input": "tick"}', "t:2: 'views' does not exist"),
         ('{"at": 1, "core": "intake", "input": "_x"}', "t:2: input: intake has no '_x'"),
         ('{"at": 1, "core": "intake", "input": "tick", "fields": [1]}', "t:2: intake tick: TypeError"),
     ],
@@ -350,7 +349,7 @@
     counter, _, office = said.values()
     counter["why_not"] = []
     office |= {"active": True, "blank": False, "conf": 7}
-    assert merged(said)["look"] == ["depot-1 has not settled: it awaits its time"]
+    assert merged(said)["look"] == ["depot-1 has not caught up: it waits for the settling time"]
     other = json.loads(json.dumps(counter)) | {"node": "counter-2", "conf": 6, "why_not": ["it is to end"]}
     other["desks"]["s1"] |= {"firsts": 5, "queue": 2, "workers": []}
     counter["desks"]["s1"]["workers"][0]["state"] = "silent"
@@ -359,11 +358,11 @@
     found = merged(said | {("10.0.0.8", 7301): other, ("10.0.0.9", 7301): "10.0.0.9:7301: refused"})
     assert found["look"] == [
         "gone (depot, b) does not answer: 10.0.0.9:7301: refused",
-        "counter-2 is at configuration 6, others at 7",
+        "counter-2 is at configuration 6, others are at 7",
         "counter-2 is not ready: it is to end",
-        "depot-1 has not settled: it awaits its time",
-        "the ceiling of s1 is held by counter-1, counter-2",
-        "s1: messages wait, and no counter has a worker in use",
+        "depot-1 has not caught up: it waits for the settling time",
+        "the rate limit of s1 is held by more than one: counter-1, counter-2",
+        "s1: messages are waiting, and no gateway has a worker in use",
     ]
     assert (found["desks"]["s1"]["firsts"], found["desks"]["s1"]["workers"]) == (5, {"silent": 1})
     assert differences(CONF, CONF | {"gen": 8, "routing": [CONF["routing"][0] | {"limit_ms": 6}]}) == [
@@ -439,7 +438,7 @@
     "words", ["--metrics", "--metrics 9464", "--metrics /metrics", "--metrics 0/x", "--tarce"]
 )
 def test_a_wrong_option_is_named(words: str) -> None:
-    with pytest.raises(ValueError, match=r"--metrics must be PORT/PATH|--tarce is no option"):
+    with pytest.raises(ValueError, match=r"--metrics must be PORT/PATH|--tarce: unknown option"):
         split_options(["postmaster", *words.split()])
 
 
