--- a/opalwick/post/commands.py
+++ b/opalwick/post/commands.py
@@ -168,68 +168,68 @@
     return "json" if text.lstrip().startswith("[") else "settings"
 
 
-def configuration_faults(text: str, name: str) -> list[str]:
+def configuration_errors(text: str, name: str) -> list[str]:
     """All errors: after each, the invalid value is replaced by a valid one, and the file is checked again."""
     from returns.result import Success
 
     from opalwick.post.configuration import check
 
-    faults: list[str] = []
+    errors: list[str] = []
     body = text.encode()
-    while len(faults) < MAX_ERRORS:
+    while len(errors) < MAX_ERRORS:
         match check(body):
             case Success(_):
-                return faults
+                return errors
             case failure:
                 why = str(failure.failure())
         where = re.match(r"(?:routing|backends|caps|gen)[^ ]*", why)
         try:
-            whole = json.loads(text if not faults else body)
+            document = json.loads(text if not errors else body)
         except (ValueError, RecursionError) as problem:
             line = getattr(problem, "lineno", 0)
-            return [*faults, f"{name}:{line}: {why}" if line else f"{name}: {why}"]
-        faults.append(f"{name}: {why}")
-        if where is None or not isinstance(whole, dict):
-            return faults
-        replace_invalid(whole, re.findall(r"\w+", where[0]), why, len(faults))
-        body = json.dumps(whole).encode()
-    return [*faults, f"{name}: there may be more errors"]
+            return [*errors, f"{name}:{line}: {why}" if line else f"{name}: {why}"]
+        errors.append(f"{name}: {why}")
+        if where is None or not isinstance(document, dict):
+            return errors
+        replace_invalid(document, re.findall(r"\w+", where[0]), why, len(errors))
+        body = json.dumps(document).encode()
+    return [*errors, f"{name}: there may be more errors"]
 
 
-def replace_invalid(whole: dict[str, Any], path: list[str], why: str, serial: int) -> None:
+def replace_invalid(document: dict[str, Any], path: list[str], why: str, serial: int) -> None:
     """Puts a valid value at `path`, so that the next error can be found."""
     top, *rest = path
     valid = {"name": f"valid-{serial}", "stem": f"/valid-{serial}/", "vhost": "valid", "limit_ms": 1}
     if "have the same" in why:  # the second of the two, which is named last
         found = re.findall(r"(routing|backends)\[(\d+)\]", why)[-1]
-        whole[found[0]][int(found[1])]["name" if "same name" in why else "stem"] = (
+        document[found[0]][int(found[1])]["name" if "same name" in why else "stem"] = (
             valid["name"] if "same name" in why else valid["stem"]
         )
     elif not rest:
-        whole[top] = {"gen": 1, "caps": {}}.get(top, [])
+        document[top] = {"gen": 1, "caps": {}}.get(top, [])
     elif top == "caps":
-        whole[top].pop(rest[0], None)
+        document[top].pop(rest[0], None)
     elif len(rest) == 1:
-        whole[top][int(rest[0])] = {"name": valid["name"]} | (
-            {} if top == "backends" else valid | {"svc": any_service(whole, serial)}
+        document[top][int(rest[0])] = {"name": valid["name"]} | (
+            {} if top == "backends" else valid | {"svc": any_service(document, serial)}
         )
     else:
-        one, key = whole[top][int(rest[0])], rest[1]
+        one, key = document[top][int(rest[0])], rest[1]
         if top == "routing" and key == "svc":
-            one[key] = any_service(whole, serial)
+            one[key] = any_service(document, serial)
         elif key in valid:
             one[key] = valid[key]
         else:
             one.pop(key, None)
 
 
-def any_service(whole: dict[str, Any], serial: int) -> str:
+def any_service(document: dict[str, Any], serial: int) -> str:
     """The name of a service; adds one if there is none."""
-    backends = whole.setdefault("backends", [])
+    backends = document.setdefault("backends", [])
     for one in backends if isinstance(backends, list) else []:
         if isinstance(one, dict) and isinstance(one.get("name"), str) and one["name"]:
             return str(one["name"])
-    whole["backends"] = [*(backends if isinstance(backends, list) else []), {"name": f"valid-{serial}"}]
+    document["backends"] = [*(backends if isinstance(backends, list) else []), {"name": f"valid-{serial}"}]
     return f"valid-{serial}"
 
 
@@ -250,12 +250,12 @@
             roles = plan.deploy(text, file)
             print(f"{file}: a deploy file: {', '.join(f'{r.name} on {r.on}' for r in roles)}")
         case "json":
-            if faults := configuration_faults(text, file):
-                raise Problem("\n".join(faults))
-            whole = json.loads(text)
+            if errors := configuration_errors(text, file):
+                raise Problem("\n".join(errors))
+            document = json.loads(text)
             print(
-                f"{file}: configuration {whole['gen']}: {len(whole['routing'])} routes, "
-                f"{len(whole['backends'])} services"
+                f"{file}: configuration {document['gen']}: {len(document['routing'])} routes, "
+                f"{len(document['backends'])} services"
             )
         case _:
             found = parse(text, file)
@@ -404,7 +404,7 @@
         if old.get(top) != new.get(top):
             changes.append(f"{top}: {old.get(top)} -> {new.get(top)}")
     for top in ("routing", "backends"):
-        before, after = ({one["name"]: one for one in whole.get(top, [])} for whole in (old, new))
+        before, after = ({one["name"]: one for one in document.get(top, [])} for document in (old, new))
         for name in sorted(before.keys() | after.keys()):
             if name not in after:
                 changes.append(f"{top} {name}: removed")
@@ -430,8 +430,8 @@
         an operator's configuration (JSON)
     """
     text = given(file)
-    if faults := configuration_faults(text, file):
-        raise Problem("\n".join(faults))
+    if errors := configuration_errors(text, file):
+        raise Problem("\n".join(errors))
     changes = differences(in_force(at)["conf"] or {}, json.loads(text))
     for change in changes:
         print(change)
