--- a/tests/post_cluster.py
+++ b/tests/post_cluster.py
@@ -1,7 +1,7 @@
-"""Counters and depots that hear each other's words in order, on a clock that stands until it is moved.
+"""Gateways and stores connected by ordered links, on a clock that only moves when it is advanced.
 
-Each pair of processes has one link; a word is read by the other side once `read` is called, as in one piece
-with all others that wait there. A depot's disk answers at once. Deliveries are only noted.
+Each pair of processes has one link. The other side receives peer messages when `read` is called, all that are
+waiting there at once. A store's disk answers immediately. Deliveries are only recorded.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 from opalwick.post.wire_pb2 import Conf, Envelope, Letter, News, Node, Route, Service, Worker
 from opalwick.protocol.http import Message
 
-STEP = 0.05  # s: a process looks at the time so often
-PULSE = 0.25  # s between pulses
+STEP = 0.05  # s between ticks of a process
+PULSE = 0.25  # s between keepalives
 ROUTE = Route(
     name="r", host="h", stem="/", svc="s", deferred=True, retain=90.0, tries=3, limit=0.6, start=0.6
 )
 CONF = Conf(gen=1, body_bytes=99, routes=[ROUTE], services=[Service(name="s", max_conns=50)])
-# a link to one that brings news and hears nothing
-OFFICE = SimpleNamespace(peer=SimpleNamespace(role="office", node="o1"), say=lambda kind, word: None)
+# a link to a controller that sends directory updates and ignores what it receives
+OFFICE = SimpleNamespace(peer=SimpleNamespace(role="office", node="o1"), say=lambda kind, message: None)
 WORKER = Worker(id="w1", svc="s", host="10.9.0.1", port=80, zone="a", capacity=20)
 
 
@@ -39,7 +39,7 @@
 
 
 class Call:
-    """A client's request, and what it was answered with."""
+    """A client's request and its response."""
 
     def __init__(self, now: float, host: bytes = b"h") -> None:
         self.message, self.status, self.body = Message(now), 0, b""
@@ -53,15 +53,15 @@
 
 
 class End:
-    """A process' end of its link to another."""
+    """The end of a link at one process."""
 
     def __init__(self, cluster: Cluster, near: str, far: str) -> None:
         self.cluster, self.near, self.far = cluster, near, far
         self.peer, self.heard_at = cluster.roles[far].hello(), 0.0
 
-    def say(self, kind: str, word: Any) -> None:
+    def say(self, kind: str, message: Any) -> None:
         if (self.near, self.far) in self.cluster.ends:
-            data = Envelope(**{kind: word}).SerializeToString()
+            data = Envelope(**{kind: message}).SerializeToString()
             self.cluster.waiting[self.near, self.far].append(data)
 
 
@@ -71,9 +71,9 @@
         self.roles: dict[str, Any] = {}
         self.ends: dict[tuple[str, str], End] = {}
         self.waiting: dict[tuple[str, str], list[bytes]] = defaultdict(list)
-        self.letters: dict[str, dict[str, bytes]] = defaultdict(dict)  # by depot: what its disk has
-        self.out: dict[str, list[Start]] = defaultdict(list)  # by message: deliveries that have gone out
-        self.began: dict[str, list[str]] = defaultdict(list)  # by message: the counters that have sent it
+        self.letters: dict[str, dict[str, bytes]] = defaultdict(dict)  # by store: the messages on its disk
+        self.out: dict[str, list[Start]] = defaultdict(list)  # by message: deliveries in progress
+        self.began: dict[str, list[str]] = defaultdict(list)  # by message: the gateways that have sent it
         for number in range(1, depots + 1):
             self.start_depot(f"d{number}", number)
         for number in range(1, counters + 1):
@@ -83,20 +83,20 @@
     # ---- processes and links
 
     def start_depot(self, node: str, number: int) -> None:
-        depot = Depot(settings(node, "depot", number), int(self.now), self.now, f"disk of {node}")
-        self.join(node, depot)
+        store = Depot(settings(node, "depot", number), int(self.now), self.now, f"disk of {node}")
+        self.join(node, store)
 
     def start_counter(self, node: str, number: int) -> None:
-        counter = Gateway(settings(node, "counter", number), int(self.now), self.now, 512)
-        counter.heard(OFFICE, "news", News(conf=CONF, workers=[WORKER], whole=True))
-        counter.confirmed = True
-        self.join(node, counter)
+        gateway = Gateway(settings(node, "counter", number), int(self.now), self.now, 512)
+        gateway.heard(OFFICE, "news", News(conf=CONF, workers=[WORKER], whole=True))
+        gateway.confirmed = True
+        self.join(node, gateway)
 
     def introduce(self) -> None:
-        """The counters are told which depots there are, as offices do."""
-        depots = [role for role in self.roles.values() if role.role == "depot"]
+        """Sends the gateways the list of stores, as controllers do."""
+        stores = [role for role in self.roles.values() if role.role == "depot"]
         news = News(
-            nodes=[Node(node=d.node, role="depot", zone=d.zone, ip=d.ip, life=d.life) for d in depots]
+            nodes=[Node(node=d.node, role="depot", zone=d.zone, ip=d.ip, life=d.life) for d in stores]
         )
         for role in self.roles.values():
             if role.role == "counter":
@@ -118,7 +118,7 @@
             self.settle(near)
 
     def part(self, one: str, other: str) -> None:
-        """The link breaks; what was not read is lost."""
+        """Breaks the link; unread messages are lost."""
         for near, far in ((one, other), (other, one)):
             if (end := self.ends.pop((near, far), None)) is not None:
                 self.waiting.pop((near, far), None)
@@ -128,13 +128,13 @@
                     self.settle(near)
 
     def end(self, node: str) -> None:
-        """The process is gone, with all its links."""
+        """Ends the process, with all its links."""
         for near, far in list(self.ends):
             if near == node:
                 self.part(near, far)
         del self.roles[node]
 
-    # ---- what follows
+    # ---- effects of a step
 
     def settle(self, node: str) -> None:
         role = self.roles[node]
@@ -144,38 +144,38 @@
                 self.sync(node, role)
                 role.settle()
         else:
-            orders, role.commands = role.commands, []
-            for order in orders:
-                if isinstance(order, Start):
-                    self.send(node, order)
+            commands, role.commands = role.commands, []
+            for command in commands:
+                if isinstance(command, Start):
+                    self.send(node, command)
 
-    def sync(self, node: str, depot: Depot) -> None:
-        writes, fetches = depot.batch()
+    def sync(self, node: str, store: Depot) -> None:
+        writes, fetches = store.batch()
         disk = self.letters[node]
         for write in writes:
             if write.kind == "keep":
                 disk[write.fields[0]] = write.fields[1]
             elif write.kind in ("drop", "forget") or (write.kind == "end" and write.fields[1]):
                 disk.pop(write.fields[0], None)
-        depot.synced(writes, fetches, [disk.get(fetch.mid) for fetch in fetches])
+        store.synced(writes, fetches, [disk.get(fetch.mid) for fetch in fetches])
 
-    def send(self, node: str, order: Start) -> None:
-        if self.roles[node].may_start(order):
-            self.out[order.item.mid].append(order)
-            self.began[order.item.mid].append(node)
+    def send(self, node: str, command: Start) -> None:
+        if self.roles[node].may_start(command):
+            self.out[command.item.mid].append(command)
+            self.began[command.item.mid].append(node)
         else:
-            self.roles[node].delivery_ended(order, DeliveryOutcome.NOT_SENT, "", None, False)
+            self.roles[node].delivery_ended(command, DeliveryOutcome.NOT_SENT, "", None, False)
 
-    def answer(self, mid: str, verdict: DeliveryOutcome = DeliveryOutcome.DONE) -> None:
-        """The worker's answer to the delivery of that message that went out first."""
-        order = self.out[mid].pop(0)
+    def answer(self, mid: str, outcome: DeliveryOutcome = DeliveryOutcome.DONE) -> None:
+        """The worker's answer to the oldest delivery of that message."""
+        command = self.out[mid].pop(0)
         node = self.began[mid][-1 - len(self.out[mid])]
         self.roles[node].clock(self.now)
-        self.roles[node].delivery_ended(order, verdict, f"seal of {node}", None, False)
+        self.roles[node].delivery_ended(command, outcome, f"seal of {node}", None, False)
         self.settle(node)
 
     def holders(self, mid: str) -> tuple[str, ...]:
-        """The depots that keep it, the one that acts first."""
+        """The stores that have it, the one that acts first."""
         found = {
             role.keeping.entries[mid].holders
             for role in self.roles.values()
@@ -187,24 +187,26 @@
     # ---- time
 
     def read(self, *to: str) -> None:
-        """All words that wait are read, and those that follow from them; `to`: by these processes alone."""
-        while ready := [way for way, words in self.waiting.items() if words and (not to or way[1] in to)]:
+        """Delivers all waiting peer messages, and those that follow; `to`: only at these processes."""
+        while ready := [
+            link for link, messages in self.waiting.items() if messages and (not to or link[1] in to)
+        ]:
             for near, far in ready:
-                words, self.waiting[near, far] = self.waiting[near, far], []
-                self.hear(far, self.ends.get((far, near)), words)
+                messages, self.waiting[near, far] = self.waiting[near, far], []
+                self.receive(far, self.ends.get((far, near)), messages)
 
-    def hear(self, node: str, end: End | None, words: list[bytes]) -> None:
+    def receive(self, node: str, end: End | None, messages: list[bytes]) -> None:
         if end is None:
             return
         role, end.heard_at = self.roles[node], self.now
         role.clock(self.now)
-        pulses = 0
-        for data in words:
-            said = Envelope.FromString(data)
-            kind = str(said.WhichOneof("what"))
-            pulses += kind == "pulse"
-            role.hear(end, kind, getattr(said, kind))
-        if pulses < len(words):  # what follows from pulses alone waits for the next tick
+        keepalives = 0
+        for data in messages:
+            envelope = Envelope.FromString(data)
+            kind = str(envelope.WhichOneof("what"))
+            keepalives += kind == "pulse"
+            role.hear(end, kind, getattr(envelope, kind))
+        if keepalives < len(messages):  # effects of keepalives alone wait for the next tick
             self.settle(node)
 
     def pulses(self) -> None:
@@ -213,7 +215,7 @@
             end.say("pulse", self.roles[near].beat(end))
 
     def run(self, seconds: float) -> None:
-        """Time passes, and all that is said is read."""
+        """Advances the time and delivers all peer messages."""
         until = self.now + seconds
         while self.now < until - 1e-9:
             self.now = round(self.now + STEP, 6)
@@ -228,30 +230,30 @@
     # ---- clients
 
     def offer(self, node: str, delay: float = 0.0) -> Call:
-        """A request comes; what follows for others is not read yet."""
-        call, counter = Call(self.now), self.roles[node]
-        counter.clock(self.now)
-        letter = Letter(rid="1", host=b"h", method=b"POST", target=b"/x", body=b"x")
-        counter.offered(call, call.message, letter, delay)
+        """A client sends a message; peer messages that follow are not delivered yet."""
+        call, gateway = Call(self.now), self.roles[node]
+        gateway.clock(self.now)
+        message = Letter(rid="1", host=b"h", method=b"POST", target=b"/x", body=b"x")
+        gateway.offered(call, call.message, message, delay)
         self.settle(node)
         return call
 
     def accepted(self, node: str, delay: float = 0.0) -> str:
-        """A message that was answered 202; its name inside."""
+        """The internal id of a message that was answered 202."""
         return self.named(node, delay).partition("-")[0]
 
     def named(self, node: str, delay: float = 0.0) -> str:
-        """A message that was answered 202; the name that its client was given."""
+        """The name that the client received for a message that was answered 202."""
         call = self.offer(node, delay)
         self.read()
         assert call.status == 202
         return call.name
 
     def ask(self, node: str, name: str, host: bytes = b"h", body: bool = False) -> Call:
-        """A client asks for a message's state or bytes, and has its answer."""
-        call, counter = Call(self.now, host), self.roles[node]
-        counter.clock(self.now)
-        counter.asked_back(call, name, body)
+        """A client requests the state or the body of a message; returns the answered call."""
+        call, gateway = Call(self.now, host), self.roles[node]
+        gateway.clock(self.now)
+        gateway.asked_back(call, name, body)
         self.settle(node)
         self.read()
         if not call.status:
--- a/tests/post_helper.py
+++ b/tests/post_helper.py
@@ -1,7 +1,8 @@
-"""Plays traces against the cores of the post: a line is `SECONDS who what ...; who what ...`. Prints effects.
+"""Plays scripts against the state machines and prints their effects.
 
-Words stand as `kind field=value ...`: a bare name is true, commas part lists, parentheses hold a word.
-Messages stand as `mid field=value ...`, kept at d1 and d2 for 90 s if nothing else is said.
+A line is `SECONDS who what ...; who what ...`. Peer messages are written as `kind field=value ...`: a bare
+name is true, commas separate list items, parentheses enclose a nested message. Client messages are written as
+`mid field=value ...`; by default they are stored at d1 and d2 for 90 s.
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
         known, field = getattr(to, name), to.DESCRIPTOR.fields_by_name[name]
         if value.startswith("("):
             fill(known.add() if hasattr(known, "add") else known, value[1:-1])
-        elif hasattr(known, "items"):  # a map of spans
+        elif hasattr(known, "items"):  # a map of durations
             known.update({key: float(x) for key, x in (item.split(":") for item in value.split(","))})
         elif hasattr(known, "extend"):
             known.extend(v if field.cpp_type == field.CPPTYPE_STRING else int(v) for v in value.split(","))
@@ -41,7 +42,7 @@
     return to
 
 
-def show(said: Any) -> str:
+def show(message: Any) -> str:
     def one(x: Any) -> str:
         return (
             f"({show(x)})"
@@ -54,7 +55,7 @@
         )
 
     parts = []
-    for field, value in said.ListFields():
+    for field, value in message.ListFields():
         many = value if hasattr(value, "extend") else [value]
         if value is True:
             parts.append(field.name)
@@ -66,7 +67,7 @@
 
 
 class Player:
-    """`do_WHAT(who, rest)` takes an input in, or else `hear(who, kind, word)`; `step()` lets time pass."""
+    """Inputs go to `do_WHAT(who, rest)` or else to `hear(who, kind, message)`; `step()` is called every STEP."""
 
     STEP = 0.05
 
@@ -96,20 +97,20 @@
         self.stamp = stamp
 
     def sent(self, sends: list[tuple[str, str, Any]]) -> None:
-        """Prints words, those to several nodes once."""
+        """Prints peer messages; equal ones to several nodes are printed once."""
         to: dict[str, list[str]] = {}
-        for node, kind, said in sends:
-            self.said.append((self.now, node, kind, said))
-            to.setdefault(f"{kind} {show(said)}".strip(), []).append(node)
+        for node, kind, message in sends:
+            self.said.append((self.now, node, kind, message))
+            to.setdefault(f"{kind} {show(message)}".strip(), []).append(node)
         for text, nodes in to.items():
             self.note(f"{text} to {' '.join(sorted(nodes))}")
 
     def got(self, kind: str, mid: str = "") -> list[tuple[float, str]]:
-        """When a word of this kind was said, and to whom."""
+        """Times and receivers of the peer messages of this kind."""
         return [
             (round(at, 2), node)
-            for at, node, what, w in self.said
-            if what == kind and mid in ("", (w.letter if kind == "assign" else w).mid)
+            for at, node, sent_kind, message in self.said
+            if sent_kind == kind and mid in ("", (message.letter if kind == "assign" else message).mid)
         ]
 
     def until(self, when: float) -> None:
@@ -122,28 +123,28 @@
 
     def settle(self) -> None: ...
 
-    def hear(self, who: str, kind: str, said: Any) -> None: ...
+    def hear(self, who: str, kind: str, message: Any) -> None: ...
 
 
 class Net:
-    """Virtual time: what is carried comes late by chance, in order, or not at all."""
+    """A simulated network in virtual time: messages arrive in order after a random delay, or are lost."""
 
     def __init__(self, seed: int, late: tuple[float, float], lost: float = 0.0) -> None:
         self.random, self.late, self.lost, self.now, self.serial = Random(seed), late, lost, 0.0, 0
-        self.turns: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
+        self.queue: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.cuts, self.last = set[frozenset[str]](), dict[tuple[str, str], float]()
 
-    def at(self, when: float, do: Callable[..., None], *told: Any) -> None:
+    def at(self, when: float, do: Callable[..., None], *arguments: Any) -> None:
         self.serial += 1
-        heapq.heappush(self.turns, (when, self.serial, do, told))
+        heapq.heappush(self.queue, (when, self.serial, do, arguments))
 
     def draw(self, span: tuple[float, float]) -> float:
-        return span[0] + (span[1] - span[0]) * self.random.random() ** 3  # mostly short
+        return span[0] + (span[1] - span[0]) * self.random.random() ** 3  # short delays are more frequent
 
-    def carry(self, a: str, b: str, do: Callable[..., None], *told: Any) -> None:
+    def carry(self, a: str, b: str, do: Callable[..., None], *arguments: Any) -> None:
         if frozenset((a, b)) not in self.cuts and self.random.random() >= self.lost:
             when = self.last[a, b] = max(self.last.get((a, b), 0.0), self.now + self.draw(self.late))
-            self.at(when, do, *told)
+            self.at(when, do, *arguments)
 
     def do_cut(self, a: str, others: str) -> None:
         self.cuts |= {frozenset((a, b)) for b in others.split()}
@@ -152,22 +153,27 @@
         self.cuts -= {frozenset((a, b)) for b in others.split()}
 
     def until(self, when: float) -> None:
-        while self.turns and self.turns[0][0] <= when:
-            self.now, _, do, told = heapq.heappop(self.turns)
-            do(*told)
+        while self.queue and self.queue[0][0] <= when:
+            self.now, _, do, arguments = heapq.heappop(self.queue)
+            do(*arguments)
         self.now = when
 
 
-HEARS = {"beat": "beats", "installed": "installs", "resign": "resigned"}  # by word: how the views take it
+INPUTS = {
+    "beat": "beats",
+    "installed": "installs",
+    "resign": "resigned",
+}  # by kind of message: the input of the views, if its name differs
 
 
 class Offices(Net, Player):
-    """Views on a net; the first three of `count` stand in the settings.
+    """Controllers on a simulated network; the first three of `count` are the seeds in the settings.
 
-    A disk has what was synced last; a crash loses the rest and what was to follow.
+    A disk has what was synced last. A crash loses the rest, and the messages that depend on it.
 
-    Holds as it goes: a number has one content for ever, no answer is older than what was known to be in force
-    when its call began, one is primary in an epoch, and who lost its disk votes for nobody before it learned.
+    Checked at each step: a number has one content for ever, no answer is older than what was known to be in
+    force when its call began, each epoch has one primary, and a node that lost its disk does not vote before it
+    has caught up.
     """
 
     def __init__(
@@ -187,9 +193,11 @@
         self.disks: dict[str, Stored | None] = dict.fromkeys(self.names)
         self.lives, self.busy = dict.fromkeys(self.names, 0), dict.fromkeys(self.names, False)
         self.saves = dict[str, list[Any]]()
-        self.told = dict[str, Conf]()  # what an office last had committed
-        self.asked = list[tuple[str, int, int, bytes]]()  # by call: what, number, in force then, content
-        self.confirmed = dict[int, bytes]()  # by number: the one content that was answered 200
+        self.committed = dict[str, Conf]()  # the last configuration committed at each controller
+        self.calls = list[
+            tuple[str, int, int, bytes]
+        ]()  # by call: kind, number, number in force at its start, content
+        self.confirmed = dict[int, bytes]()  # by number: the only content that was answered with 200
         self.answers: list[tuple[str, str, int, int]] = []
         self.contents, self.newest, self.epochs = dict[int, bytes](), -1, dict[int, str]()
         for name in self.names:
@@ -198,12 +206,12 @@
     # ---- inputs
 
     def do_start(self, me: str) -> None:
-        # `bootstrap` is for the first start of all
+        # `bootstrap` applies only to the very first start
         blank = self.disks[me] is None and (self.lives[me] > 0 or me not in self.first)
         self.lives[me] += 1
         self.busy[me], self.saves[me] = False, []
         self.views[me] = Views(me, self.copies, self.disks[me], self.seeds, blank, self.now)
-        self.told.pop(me, None)
+        self.committed.pop(me, None)
         self.at(self.now, self.tick, me, self.lives[me])
 
     def do_crash(self, me: str, wiped: str = "") -> None:
@@ -212,35 +220,35 @@
         self.disks[me] = None if wiped else self.disks[me]
 
     def do_replace(self, me: str, new: str) -> None:
-        """It is taken away for good; an empty one starts at another address."""
+        """Removes it for good; an empty one starts at another address."""
         self.do_crash(me, "wiped")
         self.names[self.names.index(me)] = new
         self.disks[new], self.lives[new], self.busy[new] = None, 0, False
 
     def do_put(self, me: str, text: str) -> None:
-        """`p`: at whoever is the primary."""
+        """`p`: at the current primary."""
         me = self.primary() or "o1" if me == "p" else me
         gen, content = int(text.split()[0]), text.split()[1].encode()
-        self.asked.append(("put", gen, self.newest, content))
-        told, newest = Conf(gen=gen, said=content), Conf()
+        self.calls.append(("put", gen, self.newest, content))
+        conf, newest = Conf(gen=gen, said=content), Conf()
         if me in self.views:
             newest = Conf.FromString(self.views[me].newest())
         if gen > newest.gen:
-            numbers.follow(told, newest)
-        self.hears(me, self.lives[me], "put", len(self.asked) - 1, told.SerializeToString())
+            numbers.follow(conf, newest)
+        self.hears(me, self.lives[me], "put", len(self.calls) - 1, conf.SerializeToString())
 
     def do_read(self, me: str) -> None:
         me = self.primary() or "o1" if me == "p" else me
-        self.asked.append(("read", -1, self.newest, b""))
-        self.hears(me, self.lives[me], "read", len(self.asked) - 1)
+        self.calls.append(("read", -1, self.newest, b""))
+        self.hears(me, self.lives[me], "read", len(self.calls) - 1)
 
-    # ---- what runs
+    # ---- effects
 
-    def hears(self, me: str, life: int, what: str, *told: Any) -> None:
+    def hears(self, me: str, life: int, what: str, *arguments: Any) -> None:
         if life == self.lives[me] and (v := self.views.get(me)) is not None:
             v.now = self.now
             v.linked = {other for other in self.views if frozenset((me, other)) not in self.cuts} - {me}
-            getattr(v, HEARS.get(what, what))(*told)
+            getattr(v, INPUTS.get(what, what))(*arguments)
             self.follow_up(me)
 
     def tick(self, me: str, life: int) -> None:
@@ -248,12 +256,14 @@
             self.hears(me, life, "tick", self.now)
             self.at(self.now + 0.05, self.tick, me, life)
 
-    def pass_on(self, me: str, to: str, kind: str, said: Any) -> None:
-        assert not (self.views[me].blank and (getattr(said, "granted", False) or getattr(said, "ok", False)))
+    def send_message(self, me: str, to: str, kind: str, message: Any) -> None:
+        assert not (
+            self.views[me].blank and (getattr(message, "granted", False) or getattr(message, "ok", False))
+        )
         if to == me:
-            getattr(self.views[me], HEARS.get(kind, kind))(me, said)
+            getattr(self.views[me], INPUTS.get(kind, kind))(me, message)
         else:
-            self.carry(me, to, self.hears, to, self.lives[to], kind, me, said)
+            self.carry(me, to, self.hears, to, self.lives[to], kind, me, message)
 
     def follow_up(self, me: str) -> None:
         v, waits = self.views[me], self.saves[me]
@@ -261,12 +271,12 @@
             saves, sends, answers, committed = found
             waits += saves
             for send in sends:
-                self.pass_on(me, *send)
+                self.send_message(me, *send)
             for conf in map(Conf.FromString, committed):
                 assert self.contents.setdefault(conf.gen, conf.said) == conf.said, f"{conf.gen}: two contents"
-                self.told[me] = conf
+                self.committed[me] = conf
             for call, status in answers:
-                self.answered(me, status, *self.asked[call])
+                self.answered(me, status, *self.calls[call])
         for number, fields in v.events:
             assert number != 203 or self.epochs.setdefault(fields["epoch"], me) == me
             self.note(f"{me} {number} " + " ".join(f"{k}={x}" for k, x in fields.items()))
@@ -276,9 +286,9 @@
             self.at(self.now + self.draw(self.sync), self.synced, me, self.lives[me], waits)
 
     def answered(self, me: str, status: int, what: str, gen: int, floor: int, content: bytes) -> None:
-        has = int(self.told[me].gen) if me in self.told else -1
+        has = int(self.committed[me].gen) if me in self.committed else -1
         if what == "put" and status == 409:
-            assert self.contents.get(gen, b"") != content, f"{gen} {content!r} is refused again at {me}"
+            assert self.contents.get(gen, b"") != content, f"{gen} {content!r} is rejected again at {me}"
         elif what == "put" and status == 200 and gen in self.contents:
             assert self.contents[gen] == self.confirmed.setdefault(gen, content) == content, (
                 f"{gen} is confirmed with two contents"
@@ -294,9 +304,9 @@
             self.disks[me], self.busy[me] = saves[-1].stored, False
             for save in saves:
                 for send in save.then:
-                    self.pass_on(me, *send)
+                    self.send_message(me, *send)
             self.follow_up(me)
 
     def primary(self) -> str:
-        """Who is it, and can act."""
+        """The active primary; empty: none."""
         return next((me for me, v in self.views.items() if v.active), "")
--- a/tests/test_post_commands.py
+++ b/tests/test_post_commands.py
@@ -1,4 +1,4 @@
-"""What operators call: files checked, plans, traces, and what processes tell, on a loopback socket."""
+"""Commands for operators: checks of files, plans, traces, and the operators' server on a loopback socket."""
 
 from __future__ import annotations
 
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, faults",
+    "text, errors",
     [
         (
             SETTINGS + "caps.cpu=zero\nbeat_ms=0\n",
@@ -127,27 +127,27 @@
         ),
     ],
 )
-def test_every_fault_is_told_with_its_line_or_field(
-    tmp_path: Path, capsys: Any, text: str, faults: list[str]
+def test_every_error_is_reported_with_its_line_or_field(
+    tmp_path: Path, capsys: Any, text: str, errors: list[str]
 ) -> None:
     file = tmp_path / "file"
     file.write_text(text)
     assert run(["check", str(file)]) == 2
-    said = capsys.readouterr().err.replace(str(file), "FILE").splitlines()
-    assert said == ["opalwick: " + fault for fault in faults]
+    output = capsys.readouterr().err.replace(str(file), "FILE").splitlines()
+    assert output == ["opalwick: " + error for error in errors]
 
 
-def test_good_files_and_the_old_command_line(tmp_path: Path) -> None:
+def test_valid_files_and_command_lines(tmp_path: Path) -> None:
     conf, settings = tmp_path / "conf", tmp_path / "settings"
     conf.write_text(json.dumps(CONF))
     settings.write_text(SETTINGS)
-    for file, said in (
+    for file, expected in (
         (conf, "configuration 7: 1 routes, 1 services"),
         (settings, "on 127.0.0.1:7301"),
         (HERE / "deploy" / "system.toml", "a deploy file: counter on edge, depot on disk"),
     ):
-        found = CliRunner().invoke(app, ["post", "check", str(file)])
-        assert (found.exit_code, said in found.output) == (0, True), found.output
+        result = CliRunner().invoke(app, ["post", "check", str(file)])
+        assert (result.exit_code, expected in result.output) == (0, True), result.output
     for line in ("check", "status --att x", "nothing", "status --at nowhere", "check /nowhere/x"):
         assert run(line.split()) == 2
     for line in ("", "status", "message", "dead list", "config diff", "plan deploy", "replay"):
@@ -158,7 +158,7 @@
 
 
 @pytest.mark.parametrize(
-    "counts, lost, short",
+    "counts, lost, unmet",
     [
         ({"front": [2, 2, 2], "store": [1, 1, 1], "core": [1, 1, 1]}, {"machines": 1}, []),
         ({"front": [2, 2, 2], "store": [1, 1, 1], "core": [1, 1, 1]}, {"machines": 1, "zones": 1}, []),
@@ -192,17 +192,17 @@
         ),
     ],
 )
-def test_a_plan_names_what_is_short(counts: Any, lost: Any, short: list[Any]) -> None:
+def test_a_plan_reports_unmet_requirements(counts: Any, lost: Any, unmet: list[Any]) -> None:
     lines = plan.plan(plan.deploy(DEPLOY, "d"), plan.site(site(counts, **lost), "s"))
-    assert [(line.what, line.has, line.needs) for line in lines if not line.ok] == short
+    assert [(line.what, line.has, line.needs) for line in lines if not line.ok] == unmet
 
 
 def test_plan_and_its_exit_code(tmp_path: Path, capsys: Any) -> None:
-    there, settings = tmp_path / "site", tmp_path / "settings"
-    there.write_text(site({"front": [1, 1], "store": [1, 1], "core": [1, 1]}, machines=1))
+    site_file, settings = tmp_path / "site", tmp_path / "settings"
+    site_file.write_text(site({"front": [1, 1], "store": [1, 1], "core": [1, 1]}, machines=1))
     settings.write_text(SETTINGS + "zones.b=r\nzones.c=r\n")
-    asked = ["plan", "deploy", str(HERE / "deploy" / "system.toml")]
-    assert (run([*asked, str(there)]), run([*asked, str(settings)])) == (1, 0)
+    command = ["plan", "deploy", str(HERE / "deploy" / "system.toml")]
+    assert (run([*command, str(site_file)]), run([*command, str(settings)])) == (1, 0)
     assert re.search(r"SHORT +stores left +1 +2", capsys.readouterr().out)
     with pytest.raises(Faulty, match="s: not a site file: KeyError 'zones'"):
         plan.site("a = 1", "s")
@@ -211,13 +211,13 @@
 # ---- traces
 
 
-def test_the_example_plays_and_a_recorded_trace_plays_the_same(capsys: Any) -> None:
+def test_the_example_and_a_recorded_trace_replay(capsys: Any) -> None:
     assert run(["replay", str(HERE / "docs" / "operate" / "post-trace.jsonl")]) == 0
-    said = [json.loads(line) for line in capsys.readouterr().out.splitlines()]
-    assert [step["left"][2] for step in said if step["input"] == "tick" and step["left"]] == [
+    steps = [json.loads(line) for line in capsys.readouterr().out.splitlines()]
+    assert [step["left"][2] for step in steps if step["input"] == "tick" and step["left"]] == [
         [{"mid": "m1", "why": ["assign", "c2/9", 2]}]
     ]
-    assert [step["returned"] for step in said if step["input"] == "lease"] == [["ceiling"], [], ["ceiling"]]
+    assert [step["returned"] for step in steps if step["input"] == "lease"] == [["ceiling"], [], ["ceiling"]]
     lines = ['{"at": 0, "core": "intake", "input": "new", "fields": ["a", 1, 8]}']
     core = Intake("a", 1, 8)
     replay.recorded(core, "intake", lambda: 0.5, lines.append, ("depot_up", "offered", "kept"))
@@ -225,8 +225,8 @@
     core.depot_up("d1", "a")
     core.offered("call", Letter(mid="m", body=b"x"), False)
     live = [replay.plain(one) for one in core.effects()]
-    steps = list(replay.play(lines))
-    assert len(steps) == 3 and steps[-1]["left"] == live
+    replayed = list(replay.play(lines))
+    assert len(replayed) == 3 and replayed[-1]["left"] == live
 
 
 @pytest.mark.parametrize(
@@ -241,13 +241,13 @@
         ('{"at": 1, "core": "intake", "input": "tick", "fields": [1]}', "t:2: intake tick: TypeError"),
     ],
 )
-def test_a_faulty_trace(line: str, why: str) -> None:
-    made = '{"at": 0, "core": "intake", "input": "new", "fields": ["a", 1, 8]}'
+def test_an_invalid_trace(line: str, why: str) -> None:
+    first = '{"at": 0, "core": "intake", "input": "new", "fields": ["a", 1, 8]}'
     with pytest.raises(replay.BadTrace, match=f"^{re.escape(why)}"):
-        list(replay.play([made, line], "t"))
+        list(replay.play([first, line], "t"))
 
 
-# ---- what processes tell
+# ---- the operators' server
 
 
 def conf(gen: int = 7) -> News:
@@ -259,29 +259,29 @@
 
 
 def made(role: str) -> Any:
-    """A role that knows a configuration and a worker, and has a link."""
-    found = ROLES[role]()
-    found.node = f"{role}-1"
+    """A role with a configuration, a worker and a link."""
+    process = ROLES[role]()
+    process.node = f"{role}-1"
     link = Spy("office" if role != "office" else "counter", "peer")
-    found.joined(link)
+    process.joined(link)
     if role == "office":
-        found.registry.take(conf())
+        process.registry.take(conf())
     else:
-        found.heard(link, "news", conf())
-    return found
+        process.heard(link, "news", conf())
+    return process
 
 
-def answers(found: Any, path: str, look: Any = None) -> tuple[int, Any]:
+def answers(process: Any, path: str, read_disk: Any = None) -> tuple[int, Any]:
     message = Message(0.0)
     message.method, message.target = b"GET", path.encode()
-    status, body, kind = Operators(found, None, look, lambda: 1.0).answer(message)
+    status, body, kind = Operators(process, None, read_disk, lambda: 1.0).answer(message)
     return status, json.loads(body) if kind == "application/json" else body.decode()
 
 
 def depot(folder: Path) -> tuple[Any, Any]:
-    """One with four dead messages, of two routes and of none, and one that waits."""
-    found, disk, link = made("depot"), Disk(str(folder)), Spy("counter")
-    found.joined(link)
+    """A store with four dead messages, of two routes and of none, and one pending message."""
+    store, disk, link = made("depot"), Disk(str(folder)), Spy("counter")
+    store.joined(link)
     for mid, target in (("a", "/x/1"), ("b", "/y"), ("c", "/x/2"), ("d", "/x/3"), ("e", "/x/4")):
         letter = Letter(
             mid=mid,
@@ -293,47 +293,47 @@
             holders=["depot-1"],
             until=9e9,
         )
-        found.heard(link, "keep", Keep(letter=letter))
+        store.heard(link, "keep", Keep(letter=letter))
         disk.commit([("keep", (mid, letter.SerializeToString(), 0.0, 9e9, int(mid == "c"), 0))])
         if mid != "e":
-            found.heard(link, "end", End(mid=mid))
-    return found, lambda work: work(disk)
+            store.heard(link, "end", End(mid=mid))
+    return store, lambda work: work(disk)
 
 
 def test_dead_messages_by_route_and_page(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    found, look = depot(tmp_path)
-    page = answers(found, "/dead?route=r1", look)[1]
+    store, read_disk = depot(tmp_path)
+    page = answers(store, "/dead?route=r1", read_disk)[1]
     assert [(one["id"], one["cause"]) for one in page["dead"]] == [
         ("a", "refused for good (422)"),
         ("c", "its attempt 2 of 2 failed, or refused for good (422)"),
         ("d", "refused for good (422)"),
     ]
-    assert answers(found, "/dead/b", look)[1]["cause"] == "no route takes it any more"
-    assert answers(found, "/dead/b", look)[1]["body"] == "bw=="
+    assert answers(store, "/dead/b", read_disk)[1]["cause"] == "no route takes it any more"
+    assert answers(store, "/dead/b", read_disk)[1]["body"] == "bw=="
     monkeypatch.setattr("opalwick.post.depot.status.PAGE", 2)
-    page = answers(found, "/dead", look)[1]
+    page = answers(store, "/dead", read_disk)[1]
     assert ([one["id"] for one in page["dead"]], page["last"], page["more"]) == (["a", "b"], "b", True)
-    page = answers(found, "/dead?after=b", look)[1]
+    page = answers(store, "/dead?after=b", read_disk)[1]
     assert ([one["id"] for one in page["dead"]], page["more"]) == (["c", "d"], False)
-    assert answers(found, "/message/e")[1]["why"] == "c1/1 delivers it: ask there"
-    assert answers(found, "/message/a")[1]["state"] == "dead"
+    assert answers(store, "/message/e")[1]["why"] == "c1/1 delivers it: ask there"
+    assert answers(store, "/message/a")[1]["state"] == "dead"
 
 
-def test_why_a_message_waits_at_a_counter() -> None:
-    counter = made("counter")
-    counter.rounds.accepted(Letter(mid="m", rid="q", host=b"h", target=b"/x/1", until=90.0, gen=9), ("d1",))
-    seen = []
+def test_why_a_message_waits_at_a_gateway() -> None:
+    gateway = made("counter")
+    gateway.rounds.accepted(Letter(mid="m", rid="q", host=b"h", target=b"/x/1", until=90.0, gen=9), ("d1",))
+    reasons = []
     for step in range(4):
         if step == 1:
-            counter.rounds.items["m"].message.gen = 7
+            gateway.rounds.items["m"].message.gen = 7
         if step == 2:
-            counter.confirmed_receipt["d1"] = 1.0
+            gateway.confirmed_receipt["d1"] = 1.0
         if step == 3:
-            counter.confirmed_owners.add("d1")
-            counter.tick()
-            counter.settle()
-        seen.append(answers(counter, "/message/" + "mq"[step % 2])[1]["why"])
-    assert seen == [
+            gateway.confirmed_owners.add("d1")
+            gateway.tick()
+            gateway.settle()
+        reasons.append(answers(gateway, "/message/" + "mq"[step % 2])[1]["why"])
+    assert reasons == [
         "configuration 9, by which it was taken, is not here yet",
         "none of its depots (d1) has proved of late that it hears this counter",
         "d1 must say first that it is still this counter's",
@@ -341,21 +341,21 @@
     ]
 
 
-def test_one_picture_of_what_all_say(tmp_path: Path) -> None:
-    said = {
+def test_the_statuses_of_all_processes_are_combined(tmp_path: Path) -> None:
+    statuses = {
         ("10.0.0.%d" % i, 7301): answers(made(role), "/status")[1]
         for i, role in enumerate(("counter", "depot", "office"))
     }
-    counter, _, office = said.values()
-    counter["why_not"] = []
-    office |= {"active": True, "blank": False, "conf": 7}
-    assert merged(said)["look"] == ["depot-1 has not caught up: it waits for the settling time"]
-    other = json.loads(json.dumps(counter)) | {"node": "counter-2", "conf": 6, "why_not": ["it is to end"]}
+    gateway, _, controller = statuses.values()
+    gateway["why_not"] = []
+    controller |= {"active": True, "blank": False, "conf": 7}
+    assert merged(statuses)["look"] == ["depot-1 has not caught up: it waits for the settling time"]
+    other = json.loads(json.dumps(gateway)) | {"node": "counter-2", "conf": 6, "why_not": ["it is to end"]}
     other["desks"]["s1"] |= {"firsts": 5, "queue": 2, "workers": []}
-    counter["desks"]["s1"]["workers"][0]["state"] = "silent"
-    counter["ceilings"]["s1"]["here"] = other["ceilings"]["s1"]["here"] = True
-    counter["directory"].append({"node": "gone", "role": "depot", "zone": "b", "ip": "10.0.0.9", "life": 1})
-    found = merged(said | {("10.0.0.8", 7301): other, ("10.0.0.9", 7301): "10.0.0.9:7301: refused"})
+    gateway["desks"]["s1"]["workers"][0]["state"] = "silent"
+    gateway["ceilings"]["s1"]["here"] = other["ceilings"]["s1"]["here"] = True
+    gateway["directory"].append({"node": "gone", "role": "depot", "zone": "b", "ip": "10.0.0.9", "life": 1})
+    found = merged(statuses | {("10.0.0.8", 7301): other, ("10.0.0.9", 7301): "10.0.0.9:7301: refused"})
     assert found["look"] == [
         "gone (depot, b) does not answer: 10.0.0.9:7301: refused",
         "counter-2 is at configuration 6, others are at 7",
@@ -382,40 +382,40 @@
         "/metrics",
         "/home",
     }
-    schemas, keeps = described["components"]["schemas"], depot(tmp_path)
-    for role, found, look in (
+    schemas, store = described["components"]["schemas"], depot(tmp_path)
+    for role, process, read_disk in (
         ("counter", made("counter"), None),
-        ("depot", *keeps),
+        ("depot", *store),
         ("office", made("office"), None),
     ):
-        operators = Operators(found, ("127.0.0.1", 0), look)
-        running = gevent.spawn(operators.accept)
+        operators = Operators(process, ("127.0.0.1", 0), read_disk)
+        server = gevent.spawn(operators.accept)
         gevent.sleep(0)
 
         def call(path: str, operators: Any = operators) -> tuple[int, Any]:
             return gevent.get_hub().threadpool.apply(ask, (operators.place, path))
 
-        status, told = call("/status")
+        status, body = call("/status")
         own = schemas[f"{role.capitalize()}Status"]["allOf"][1]
-        missing = {*schemas["Common"]["required"], *own["required"], *own["properties"]} - told.keys()
-        assert (status, told["role"], told["conf"], missing) == (200, role, 7 * (role != "office"), set())
-        has = {
+        missing = {*schemas["Common"]["required"], *own["required"], *own["properties"]} - body.keys()
+        assert (status, body["role"], body["conf"], missing) == (200, role, 7 * (role != "office"), set())
+        available = {
             "/conf": role == "office",
             "/dead": role == "depot",
             "/message/e": role == "depot",
             "/home": True,
         }
-        assert {path: call(path)[0] == 200 for path in has} == has
+        assert {path: call(path)[0] == 200 for path in available} == available
         assert [call(path)[0] for path in ("/nix", "/status?x=1", "/dead/%ff", "/message/zz")] == [
             404,
             400,
             400,
             404,
         ]
-        figures = answers(found, "/metrics")[1]
-        assert f'opalwick_post_process{{node="{role}-1",role="{role}"' in figures
-        assert "process_resident_memory_bytes" in figures and "opalwick_post_link_age_seconds" in figures
-        running.kill()
+        metrics = answers(process, "/metrics")[1]
+        assert f'opalwick_post_process{{node="{role}-1",role="{role}"' in metrics
+        assert "process_resident_memory_bytes" in metrics and "opalwick_post_link_age_seconds" in metrics
+        server.kill()
         operators.door.listener.close()
     with pytest.raises(commands.Problem, match=r"127.0.0.1:\d+: "):
         ask(operators.place, "/status")
@@ -427,8 +427,8 @@
     )
 
 
-def test_each_role_tells_its_figures_where_the_deploy_file_says() -> None:
-    """The file is read by the platform, the option by the process: they must be the same."""
+def test_each_role_serves_its_metrics_where_the_deploy_file_says() -> None:
+    """The platform reads the field, the process reads the option: both must have the same value."""
     for role in tomllib.loads(DEPLOY)["roles"].values():
         _, options = split_options(role["run"].split("opalwick.post ")[1].split())
         assert options.metrics == Metrics.parse(role["metrics"])
@@ -437,18 +437,18 @@
 @pytest.mark.parametrize(
     "words", ["--metrics", "--metrics 9464", "--metrics /metrics", "--metrics 0/x", "--tarce"]
 )
-def test_a_wrong_option_is_named(words: str) -> None:
+def test_an_invalid_option_is_reported(words: str) -> None:
     with pytest.raises(ValueError, match=r"--metrics must be PORT/PATH|--tarce: unknown option"):
         split_options(["postmaster", *words.split()])
 
 
-def test_repeats_are_told_by_cause_from_the_logs_of_all_processes(
+def test_repeats_are_listed_by_cause_from_the_logs_of_all_processes(
     tmp_path: Path, capsys: pytest.CaptureFixture
 ) -> None:
     first = {"attempt": 1, "delivery": 0}
     log = tmp_path / "all.log"
     lines = [
-        "a line that is no event",
+        "a line that is not an event",
         trace("c1", 151, 1.0, **first),
         trace("c1", 152, 1.1, **first, verdict="DONE"),
         trace("d1", 352, 1.2, to="c2/7", claim=1, why="unlisted"),
@@ -457,9 +457,9 @@
     ]
     log.write_text("\n".join([*lines, lines[1][:40]]))
     assert run(["runs", str(log)]) == 1
-    told = capsys.readouterr().out
-    assert "1 after a success that was read\n" in told
-    assert "m: c1 read DONE at 1.100, c2 sent it +0.200 s from then (assigned by d1 as unlisted)" in told
+    output = capsys.readouterr().out
+    assert "1 after a success that was read\n" in output
+    assert "m: c1 read DONE at 1.100, c2 sent it +0.200 s from then (assigned by d1 as unlisted)" in output
     log.write_text("\n".join(lines[:3]))
     assert run(["runs", str(log)]) == 0
     assert run(["runs", str(tmp_path / "none")]) == 2
--- a/tests/test_post_tables.py
+++ b/tests/test_post_tables.py
@@ -1,4 +1,4 @@
-"""Small cores by tables: verdicts, routes, names, directory, registry, leases, the words of a delivery."""
+"""Table tests of small parts: outcomes, routes, names, directory, registry, leases, delivery requests."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize(
-    "status, not_run, sealed, wanted",
+    "status, not_run, has_token, expected",
     [
         (200, False, True, "DONE"),
         (299, False, True, "DONE"),
@@ -44,15 +44,15 @@
         (404, False, False, "BROKEN"),
     ],
 )
-def test_what_an_answer_proves(status: int, not_run: bool, sealed: bool, wanted: str) -> None:
-    found = outcome_of_status(status, not_run, sealed)
-    assert found is DeliveryOutcome[wanted]
-    # a seal, 422 and 500 alone prove a run, and `X-Not-Run` or 421 that there was none
-    assert found.ran is (False if not_run or status == 421 else True if found.name != "BROKEN" else None)
+def test_outcome_of_a_response(status: int, not_run: bool, has_token: bool, expected: str) -> None:
+    outcome = outcome_of_status(status, not_run, has_token)
+    assert outcome is DeliveryOutcome[expected]
+    # only a token, 422 and 500 prove that it ran, and `X-Not-Run` or 421 that it did not
+    assert outcome.ran is (False if not_run or status == 421 else True if outcome.name != "BROKEN" else None)
 
 
 @pytest.mark.parametrize(
-    "host, path, wanted",
+    "host, path, expected",
     [
         ("a.example", "/x/1", "x"),
         ("a.example", "/x/y/1", "xy"),
@@ -65,7 +65,7 @@
         ("a.example", "/x/?q=/x/y/", "x"),
     ],
 )
-def test_the_longest_stem_of_a_host(host: str, path: str, wanted: str | None) -> None:
+def test_the_longest_stem_of_a_host(host: str, path: str, expected: str | None) -> None:
     routes = Routes(
         Conf(
             gen=3,
@@ -79,8 +79,8 @@
             ],
         )
     )
-    found = routes.find(host, path)
-    assert (found.name if found else None) == wanted and routes.gen == 3
+    route = routes.find(host, path)
+    assert (route.name if route else None) == expected and routes.gen == 3
 
 
 def test_names() -> None:
@@ -88,18 +88,20 @@
     assert owner("c1", 7) == "c1/7" and len(tag("any")) <= 7
     stores, drawn = [f"disk-{n}" for n in range(5)], Random(1)
     names = Names("edge-1", 36**8 - 1, drawn.randbytes)
-    made = [finish(names.begin(n), stores[:copies], "H:80") for n, copies in enumerate((1, 2, 3, 5))]
-    for name in made:
-        asked = read(name, "h")
-        assert asked is not None and asked.mid == kept_by(name) == name and re.fullmatch("[0-9a-z_.]+", name)
-        assert asked.all_among(stores) and not asked.all_among(stores[1:]) and not asked.all_among([])
-        assert [asked.hinted(store) for store in stores[:2]] == [True, asked.copies > 1]
+    generated = [finish(names.begin(n), stores[:copies], "H:80") for n, copies in enumerate((1, 2, 3, 5))]
+    for name in generated:
+        parsed = read(name, "h")
+        assert (
+            parsed is not None and parsed.mid == kept_by(name) == name and re.fullmatch("[0-9a-z_.]+", name)
+        )
+        assert parsed.all_among(stores) and not parsed.all_among(stores[1:]) and not parsed.all_among([])
+        assert [parsed.hinted(store) for store in stores[:2]] == [True, parsed.copies > 1]
     longest = finish(Names("edge-1", 36**9 - 1, drawn.randbytes).begin(36**6 - 1), stores, "h")
     assert read(longest, "h") and len(longest) <= 64
-    assert len({names.begin(1) for _ in range(1000)}) == 1000  # though the number is the same
+    assert len({names.begin(1) for _ in range(1000)}) == 1000  # although the number is the same
 
 
-def test_names_of_the_version_before() -> None:
+def test_names_of_the_previous_version() -> None:
     stores = ["disk-maipu-1", "disk-nunoa-1"]
     tags = tuple(map(tag, stores))
     name = "-".join(["1c.k3f9a2.zz", *tags])
@@ -112,7 +114,7 @@
 
 
 @pytest.mark.parametrize(
-    "known, worker, taken",
+    "known, worker, accepted",
     [
         ("", "calls=1", True),
         ("calls=4", "calls=5", True),
@@ -126,17 +128,17 @@
         ("gone calls=1", "gone", False),
     ],
 )
-def test_which_word_of_a_worker_is_newer(known: str, worker: str, taken: bool) -> None:
+def test_which_update_of_a_worker_is_newer(known: str, worker: str, accepted: bool) -> None:
     d = Directory()
     if known:
         d.merge(News(workers=[fill(Worker(id="w"), known)]))
     fresh = d.merge(News(workers=[fill(Worker(id="w"), worker)]))
-    assert show(d.workers["w"]) == "id=w " + (worker if taken else known) and empty(fresh) is not taken
+    assert show(d.workers["w"]) == "id=w " + (worker if accepted else known) and empty(fresh) is not accepted
 
 
-def test_a_directory_takes_the_newest_whoever_brings_it() -> None:
+def test_a_directory_keeps_the_newest_from_any_source() -> None:
     d, other = Directory(), Directory()
-    for life, gone, taken in (
+    for life, gone, accepted in (
         (5, False, True),
         (5, False, False),
         (4, True, False),
@@ -144,9 +146,9 @@
         (5, False, False),
         (6, False, True),
     ):
-        assert bool(d.merge(News(nodes=[Node(node="c1", life=life, gone=gone)])).nodes) is taken
-    for gen, taken in ((3, True), (3, False), (2, False), (4, True)):
-        assert d.merge(News(conf=Conf(gen=gen))).HasField("conf") is taken
+        assert bool(d.merge(News(nodes=[Node(node="c1", life=life, gone=gone)])).nodes) is accepted
+    for gen, accepted in ((3, True), (3, False), (2, False), (4, True)):
+        assert d.merge(News(conf=Conf(gen=gen))).HasField("conf") is accepted
     other.merge(d.whole())
     assert other.whole() == d.whole() and other.conf is not None and other.conf.gen == 4
     assert empty(News()) and not empty(d.whole())
@@ -159,8 +161,8 @@
     return Beat(**(fields | more), calls=calls)  # type: ignore[arg-type]
 
 
-def test_counters_hear_of_a_worker_only_what_changes(snapshot) -> None:
-    """Each beat goes to the other offices. Silence comes after MISSED beats, and a beat ends it."""
+def test_gateways_receive_only_changes_of_a_worker(snapshot) -> None:
+    """Each heartbeat goes to the other controllers. A worker is silent after MISSED, until its next one."""
     r, lines = Registry(1.0, 0.0), []
 
     def note(at: float, what: str, news: News, counters: bool) -> None:
@@ -214,7 +216,7 @@
         (False, [(0.0, "a", 1.4, False), (LONGEST - 0.1, "a", 1.4, False), (LONGEST, "a", 1.4, True)]),
     ],
 )
-def test_a_voter_grants_a_duty_to_one_process_for_a_span(first: bool, steps: list) -> None:
+def test_a_voter_grants_a_lease_to_one_process_for_a_period(first: bool, steps: list) -> None:
     d = Duties(0.0, first)
     for at, who, span, granted in steps:
         assert bool(d.lease(at, who, ["s"], span)) is granted, (at, who)
@@ -222,7 +224,7 @@
 
 
 def test_a_delivery_is_the_request_unchanged() -> None:
-    letter = Letter(
+    message = Letter(
         rid="9c41",
         host=b"a.example",
         method=b"POST",
@@ -230,16 +232,16 @@
         body=b"abc",
         fields=[Field(name=b"x-order-key", value=b"k\xe9")],
     )
-    assert request_bytes(letter, 1.5, "i-7f") == (
+    assert request_bytes(message, 1.5, "i-7f") == (
         b"POST /x/2f?q=1 HTTP/1.1\r\nHost: a.example\r\nx-order-key: k\xe9\r\nX-Request-Id: 9c41\r\n"
         b"X-Deadline-Ms: 1500\r\nContent-Length: 3\r\nX-Want-Worker: i-7f\r\n\r\nabc"
     )
-    bare = request_bytes(letter, 0.0001, "")  # a single endpoint has no id
-    assert b"X-Want-Worker" not in bare and b"X-Deadline-Ms: 1\r\n" in bare
+    without_id = request_bytes(message, 0.0001, "")  # a static endpoint has no id
+    assert b"X-Want-Worker" not in without_id and b"X-Deadline-Ms: 1\r\n" in without_id
 
 
 @pytest.mark.parametrize(
-    "alone, status, fields, wanted, closed",
+    "only_request, status, fields, expected, closed",
     [
         (
             True,
@@ -262,19 +264,19 @@
         (False, 503, {b"x-not-run": b""}, (DeliveryOutcome.BROKEN, "", None), True),
     ],
 )
-def test_what_is_heard_of_a_worker(
-    alone: bool, status: int, fields: dict, wanted: tuple, closed: bool
+def test_interpretation_of_a_response(
+    only_request: bool, status: int, fields: dict, expected: tuple, closed: bool
 ) -> None:
-    """An answer of another request proves nothing of this one, and one that names none only where no other
-    was ever asked on its connection; a connection rests well within its time."""
+    """A response to another request proves nothing about this one; one without a request id counts only if no
+    other request was sent on its connection. An idle connection is kept for well below its keep-alive time."""
     d, connection, rests = Delivery.__new__(Delivery), SimpleNamespace(closed=False), []
-    d.rid, d.address, d.only_request, d.fully_written = b"9c41", ("10.0.0.1", 80), alone, True
+    d.rid, d.address, d.only_request, d.fully_written = b"9c41", ("10.0.0.1", 80), only_request, True
     d.pool = SimpleNamespace(rests=lambda at, seconds: rests.append(round(seconds, 2)))  # type: ignore[assignment]
     connection.close = lambda: setattr(connection, "closed", True)
-    assert d.interpret(connection, SimpleNamespace(status=status, headers=fields)) == wanted  # type: ignore[arg-type]
+    assert d.interpret(connection, SimpleNamespace(status=status, headers=fields)) == expected  # type: ignore[arg-type]
     assert connection.closed is closed and rests == ([3.4] if b"keep-alive" in fields else [])
 
 
 @pytest.mark.parametrize("text", [b"", b"1,2", b"1,2,3,4", b"a,b,c", b"-1,0,4", b"1,0,0"])
-def test_odd_loads_say_nothing(text: bytes) -> None:
+def test_invalid_loads_are_ignored(text: bytes) -> None:
     assert parse_load(text) is None
