--- a/tests/post_helper.py
+++ b/tests/post_helper.py
@@ -67,7 +67,7 @@
 
 
 class Player:
-    """Inputs go to `do_WHAT(who, rest)` or else to `hear(who, kind, message)`; `step()` is called every STEP."""
+    """Inputs go to `do_WHAT(who, rest)`, else to `hear(who, kind, message)`; `step()` runs every STEP."""
 
     STEP = 0.05
 
@@ -172,8 +172,8 @@
     A disk has what was synced last. A crash loses the rest, and the messages that depend on it.
 
     Checked at each step: a number has one content for ever, no answer is older than what was known to be in
-    force when its call began, each epoch has one primary, and a node that lost its disk does not vote before it
-    has caught up.
+    force when its call began, each epoch has one primary, and a node that lost its disk does not vote before
+    it has caught up.
     """
 
     def __init__(
--- a/tests/test_post_tables.py
+++ b/tests/test_post_tables.py
@@ -267,8 +267,8 @@
 def test_interpretation_of_a_response(
     only_request: bool, status: int, fields: dict, expected: tuple, closed: bool
 ) -> None:
-    """A response to another request proves nothing about this one; one without a request id counts only if no
-    other request was sent on its connection. An idle connection is kept for well below its keep-alive time."""
+    """A response to another request proves nothing about this one. One without a request id counts only if no
+    other request was sent on its connection. An idle connection is kept for less than its keep-alive."""
     d, connection, rests = Delivery.__new__(Delivery), SimpleNamespace(closed=False), []
     d.rid, d.address, d.only_request, d.fully_written = b"9c41", ("10.0.0.1", 80), only_request, True
     d.pool = SimpleNamespace(rests=lambda at, seconds: rests.append(round(seconds, 2)))  # type: ignore[assignment]
