--- a/opalwick/post/__main__.py
+++ b/opalwick/post/__main__.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 if TYPE_CHECKING:
-    from opalwick.post.operators import Metrics
+    from opalwick.post.operators import MetricsEndpoint
 
 
 USAGE = "usage: opalwick.post carrier counter | carrier depot | postmaster [--trace] [--metrics PORT/PATH]"
@@ -21,12 +21,12 @@
 
 class Options(NamedTuple):
     trace: bool
-    metrics: Metrics | None
+    metrics: MetricsEndpoint | None
 
 
 def split_options(arguments: list[str]) -> tuple[list[str], Options]:
     """The words that select the program and role, and the options after them; raises ValueError."""
-    from opalwick.post.operators import Metrics
+    from opalwick.post.operators import MetricsEndpoint
 
     words, trace, metrics = list[str](), False, None
     rest = iter(arguments)
@@ -35,7 +35,7 @@
             trace = True
         elif argument == "--metrics":
             try:
-                metrics = Metrics.parse(next(rest, ""))
+                metrics = MetricsEndpoint.parse(next(rest, ""))
             except ValueError as problem:
                 raise ValueError(f"--metrics {problem}") from None
         elif argument.startswith("-"):
@@ -53,7 +53,7 @@
 
     from opalwick.post import events
     from opalwick.post.link import Process, stamp
-    from opalwick.post.settings import Faulty, read
+    from opalwick.post.settings import InvalidFile, read
 
     path = os.environ.get("OPALWICK_CONFIG", "")
     if not path:
@@ -65,7 +65,7 @@
     settings_stamp = stamp(path)
     try:
         settings = read(path)
-    except Faulty as problem:
+    except InvalidFile as problem:
         print(problem, file=sys.stderr)
         return 2
     try:
--- a/opalwick/post/asking.py
+++ b/opalwick/post/asking.py
@@ -14,7 +14,7 @@
 
 from cyclopts import Parameter
 
-from opalwick.post.settings import endpoint, read
+from opalwick.post.settings import parse_endpoint, read
 
 TIMEOUT = 3.0  # s for the answer of one process
 MAX_PARALLEL = 16  # simultaneous requests
@@ -26,29 +26,31 @@
 Json = Annotated[bool, Parameter(name="--json", negative="", help="Print JSON, for programs.")]
 
 
-class Problem(Exception):
+class CommandError(Exception):
     """A command fails: printed on standard error, with exit code 2."""
 
 
 # ---- requests
 
-Place = tuple[str, int]
+Address = tuple[str, int]
 
 
-def place(at: str) -> Place:
+def resolve_address(at: str) -> Address:
     """The address of `--at`, else that of the settings file of OPALWICK_CONFIG."""
     if at:
-        found = endpoint(at, by_number=False)
+        found = parse_endpoint(at, by_number=False)
         if found is None:
-            raise Problem(f"--at: must be HOST:PORT, not {at!r}")
+            raise CommandError(f"--at: must be HOST:PORT, not {at!r}")
         return found
     if not (path := os.environ.get("OPALWICK_CONFIG", "")):
-        raise Problem("--at: missing, and OPALWICK_CONFIG is not set")
+        raise CommandError("--at: missing, and OPALWICK_CONFIG is not set")
     settings = read(path)
     return settings.ip, settings.ports[0] + 1
 
 
-def ask(where: Place, path: str, method: str = "GET", body: bytes | None = None) -> tuple[int, Any]:
+def send_request(
+    where: Address, path: str, method: str = "GET", body: bytes | None = None
+) -> tuple[int, Any]:
     """The status and the JSON body of the answer; raises `CommandError` if there is none."""
     connection = HTTPConnection(*where, timeout=TIMEOUT)
     try:
@@ -56,18 +58,18 @@
         answer = connection.getresponse()
         return answer.status, json.loads(answer.read())
     except (OSError, ValueError, HTTPException) as problem:
-        raise Problem(f"{where[0]}:{where[1]}: {problem or type(problem).__name__}") from None
+        raise CommandError(f"{where[0]}:{where[1]}: {problem or type(problem).__name__}") from None
     finally:
         connection.close()
 
 
-def ask_all(places: Iterable[Place], path: str) -> dict[Place, tuple[int, Any]]:
+def send_requests(places: Iterable[Address], path: str) -> dict[Address, tuple[int, Any]]:
     """Status and body by address; status 0 and the reason where there is no answer."""
 
-    def fetch(where: Place) -> tuple[int, Any]:
+    def fetch(where: Address) -> tuple[int, Any]:
         try:
-            return ask(where, path)
-        except Problem as problem:
+            return send_request(where, path)
+        except CommandError as problem:
             return 0, str(problem)
 
     addresses = list(places)
@@ -75,16 +77,16 @@
         return dict(zip(addresses, pool.map(fetch, addresses)))
 
 
-def everybody(at: str) -> dict[Place, Any]:
+def fetch_statuses(at: str) -> dict[Address, Any]:
     """The status of each process, found through the directories of all that answer, or the reason for none.
 
     Raises `CommandError` if the first process does not answer.
     """
-    first = place(at)
-    status, body = ask(first, "/status")
+    first = resolve_address(at)
+    status, body = send_request(first, "/status")
     if status != 200:
-        raise Problem(f"{first[0]}:{first[1]}: {body}")
-    found: dict[Place, Any] = {first: body}
+        raise CommandError(f"{first[0]}:{first[1]}: {body}")
+    found: dict[Address, Any] = {first: body}
     # the first process under its address in the directory
     same = body["ip"], body["operators"]
     while True:
@@ -101,14 +103,14 @@
         )
         if not new:
             return found
-        for where, (status, answer) in ask_all(sorted(new), "/status").items():
+        for where, (status, answer) in send_requests(sorted(new), "/status").items():
             found[where] = answer if status == 200 else str(answer)
 
 
 # ---- output
 
 
-def table(title: str, rows: list[dict[str, Any]]) -> None:
+def print_table(title: str, rows: list[dict[str, Any]]) -> None:
     """Prints rows of equal keys; nothing if there are none."""
     if not rows:
         return
@@ -137,19 +139,19 @@
     return "-" if value is None or value == "" else str(value)
 
 
-def told(value: Any, as_json: bool) -> bool:
+def print_json(value: Any, as_json: bool) -> bool:
     """Prints the value as JSON if `as_json`; returns `as_json`."""
     if as_json:
         print(json.dumps(value, indent=1))
     return as_json
 
 
-def day(incarnation: int) -> str:
+def start_time(incarnation: int) -> str:
     """The start time of a process incarnation, by the clock of its machine (UTC)."""
     return time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(incarnation / 1000.0))
 
 
-def facts(value: dict[str, Any]) -> None:
+def print_fields(value: dict[str, Any]) -> None:
     for key, one in value.items():
         print(f"{key.replace('_', ' ')}: {format_cell(one)}")
 
@@ -157,12 +159,12 @@
 # ---- files
 
 
-def given(file: str) -> str:
+def read_file(file: str) -> str:
     """The text of a file; raises `CommandError` if it cannot be read or is not UTF-8."""
     try:
         return Path(file).read_bytes().decode("utf-8")
     except OSError as problem:
-        raise Problem(f"{file}: {problem.strerror or problem}") from None
+        raise CommandError(f"{file}: {problem.strerror or problem}") from None
     except UnicodeDecodeError as problem:
         line = problem.object[: problem.start].count(b"\n") + 1
-        raise Problem(f"{file}:{line}: not valid UTF-8") from None
+        raise CommandError(f"{file}:{line}: not valid UTF-8") from None
--- a/opalwick/post/beats.py
+++ b/opalwick/post/beats.py
@@ -9,7 +9,7 @@
 
 from returns.result import Failure, Result, Success
 
-from opalwick.post.settings import endpoint
+from opalwick.post.settings import parse_endpoint
 
 # fields of the body, as openapi/post.yaml has them; `id` may be repeated there
 NEEDED = ("svc", "address", "capacity", "state", "calls")
@@ -60,7 +60,7 @@
     if not svc:
         return Failure("svc is empty")
     address = given["address"]
-    place = endpoint(address) if type(address) is str else None
+    place = parse_endpoint(address) if type(address) is str else None
     if place is None:
         return Failure("address must be IPv4:port")
     capacity, calls, chill_ms = given["capacity"], given["calls"], given.get("chill_ms", 0)
--- a/opalwick/post/commands.py
+++ b/opalwick/post/commands.py
@@ -15,13 +15,25 @@
 
 from cyclopts import App, CycloptsError
 
-from opalwick.post.asking import At, Json, Place, Problem, ask_all, day, everybody, facts, given, table, told
-from opalwick.post.asking import ask as ask
+from opalwick.post.asking import (
+    At,
+    Json,
+    Address,
+    CommandError,
+    send_requests,
+    start_time,
+    fetch_statuses,
+    print_fields,
+    read_file,
+    print_table,
+    print_json,
+)
+from opalwick.post.asking import send_request as send_request
 from opalwick.post.maintenance.commands import maintenance
-from opalwick.post.settings import Faulty, parse
+from opalwick.post.settings import InvalidFile, parse
 
 MAX_ERRORS = 100  # of a configuration that are reported
-NO, FAULTY = 1, 2
+NEGATIVE, INVALID = 1, 2
 
 app = App(
     name="opalwick post",
@@ -42,7 +54,7 @@
 )
 
 
-def merged(answers: dict[Place, Any]) -> dict[str, Any]:
+def combined_status(answers: dict[Address, Any]) -> dict[str, Any]:
     """Combines the statuses of all processes; `look` lists what needs attention."""
     statuses = sorted(
         (one for one in answers.values() if isinstance(one, dict)),
@@ -159,7 +171,7 @@
 # ---- files
 
 
-def kind(text: str) -> str:
+def file_kind(text: str) -> str:
     """The kind of a file by its content: JSON, TOML or lines key=value."""
     if text.lstrip().startswith("{"):
         return "json"
@@ -244,14 +256,14 @@
     """
     from opalwick.post import plan
 
-    text = given(file)
-    match kind(text):
+    text = read_file(file)
+    match file_kind(text):
         case "toml":
-            roles = plan.deploy(text, file)
+            roles = plan.parse_deploy(text, file)
             print(f"{file}: a deploy file: {', '.join(f'{r.name} on {r.on}' for r in roles)}")
         case "json":
             if errors := configuration_errors(text, file):
-                raise Problem("\n".join(errors))
+                raise CommandError("\n".join(errors))
             document = json.loads(text)
             print(
                 f"{file}: configuration {document['gen']}: {len(document['routing'])} routes, "
@@ -270,23 +282,23 @@
 @app.command
 def status(*, at: At = "", json: Json = False) -> int:
     """Shows the processes and their state, found through the directories of the processes that answer."""
-    found = merged(everybody(at))
-    if told(found, json):
-        return NO if found["look"] else 0
-    table("processes", [node | {"life": day(node["life"])} for node in found["nodes"]])
+    found = combined_status(fetch_statuses(at))
+    if print_json(found, json):
+        return NEGATIVE if found["look"] else 0
+    print_table("processes", [node | {"life": start_time(node["life"])} for node in found["nodes"]])
     if (first := found["primary"]) is not None:
         print(
             f"primary: {first['node']}, epoch {first['epoch']}, configuration {first['conf']}, members "
             f"{', '.join(first['view']['members'])}, voters {', '.join(first['view']['voters'])}\n"
         )
-    table("stores", found["depots"])
-    table("gateways", found["counters"])
-    table("dispatchers", [{"service": name, **desk} for name, desk in sorted(found["desks"].items())])
-    table("rate limits", [{"service": name, **one} for name, one in sorted(found["ceilings"].items())])
+    print_table("stores", found["depots"])
+    print_table("gateways", found["counters"])
+    print_table("dispatchers", [{"service": name, **desk} for name, desk in sorted(found["desks"].items())])
+    print_table("rate limits", [{"service": name, **one} for name, one in sorted(found["ceilings"].items())])
     print(f"oldest undelivered message: due for {found['oldest_due']} s")
     for line in found["look"]:
         print(f"attention: {line}")
-    return NO if found["look"] else 0
+    return NEGATIVE if found["look"] else 0
 
 
 @app.command
@@ -298,24 +310,26 @@
     id
         its X-Msg-Id; or its X-Request-Id, while a gateway holds it
     """
-    answers = ask_all(everybody(at), f"/message/{quote(id, safe='')}")
+    answers = send_requests(fetch_statuses(at), f"/message/{quote(id, safe='')}")
     found = [answer for status, answer in answers.values() if status == 200]
-    if not told(found, json):
+    if not print_json(found, json):
         for one in found:
-            facts(one)
+            print_fields(one)
             print()
         for status, answer in answers.values():
             if status == 0:
                 print(f"no answer from {answer}")
         if not found:
             print("no process that answers has it")
-    return 0 if found else NO
+    return 0 if found else NEGATIVE
 
 
-def of_role(role: str, at: str) -> list[Place]:
-    found = [where for where, one in everybody(at).items() if isinstance(one, dict) and one["role"] == role]
+def addresses_of_role(role: str, at: str) -> list[Address]:
+    found = [
+        where for where, one in fetch_statuses(at).items() if isinstance(one, dict) and one["role"] == role
+    ]
     if not found:
-        raise Problem(f"no {role} answers")
+        raise CommandError(f"no {role} answers")
     return found
 
 
@@ -330,14 +344,16 @@
     after
         only ids after this one
     """
-    answers = ask_all(of_role("depot", at), f"/dead?route={quote(route)}&after={quote(after)}")
+    answers = send_requests(
+        addresses_of_role("depot", at), f"/dead?route={quote(route)}&after={quote(after)}"
+    )
     pages = [answer for status, answer in answers.values() if status == 200]
     found = {one["id"]: one for page in pages for one in page["dead"]}
     # ids beyond the end of the shortest page may be on a later page of that store
     last = min((page["last"] for page in pages if page["more"]), default="")
     shown = [found[id] for id in sorted(found) if not last or id <= last]
-    if not told({"dead": shown, "after": last}, json):
-        table(
+    if not print_json({"dead": shown, "after": last}, json):
+        print_table(
             "dead messages",
             [
                 {
@@ -363,28 +379,32 @@
     id
         its id
     """
-    answers = ask_all(of_role("depot", at), f"/dead/{quote(id, safe='')}")
+    answers = send_requests(addresses_of_role("depot", at), f"/dead/{quote(id, safe='')}")
     found = next((answer for status, answer in answers.values() if status == 200), None)
     if found is None:
         print("no store that answers has it as a dead message")
-        return NO
-    if not told(found, json):
-        facts(found)
+        return NEGATIVE
+    if not print_json(found, json):
+        print_fields(found)
     return 0
 
 
-def in_force(at: str) -> dict[str, Any]:
+def configuration_in_force(at: str) -> dict[str, Any]:
     """The configuration in force, or the newest stored; raises `CommandError` if no controller answers."""
-    answers = [answer for status, answer in ask_all(of_role("office", at), "/conf").values() if status == 200]
+    answers = [
+        answer
+        for status, answer in send_requests(addresses_of_role("office", at), "/conf").values()
+        if status == 200
+    ]
     if not answers:
-        raise Problem("no controller answers")
+        raise CommandError("no controller answers")
     return max(answers, key=lambda one: (one["in_force"], one["gen"]))
 
 
 @config.command
 def show(*, at: At = "") -> int:
     """Prints the configuration as it was sent; if no primary answers, the newest that a controller stores."""
-    found = in_force(at)
+    found = configuration_in_force(at)
     if not found["in_force"]:
         print(
             f"no primary answers: this is the one stored by {found['node']} ({found['state']})",
@@ -392,7 +412,7 @@
         )
     if found["conf"] is None:
         print("there is no configuration", file=sys.stderr)
-        return NO
+        return NEGATIVE
     print(json.dumps(found["conf"], indent=1))
     return 0
 
@@ -429,13 +449,13 @@
     file
         an operator's configuration (JSON)
     """
-    text = given(file)
+    text = read_file(file)
     if errors := configuration_errors(text, file):
-        raise Problem("\n".join(errors))
-    changes = differences(in_force(at)["conf"] or {}, json.loads(text))
+        raise CommandError("\n".join(errors))
+    changes = differences(configuration_in_force(at)["conf"] or {}, json.loads(text))
     for change in changes:
         print(change)
-    return NO if changes else 0
+    return NEGATIVE if changes else 0
 
 
 @plans.command(name="deploy")
@@ -451,19 +471,21 @@
     """
     from opalwick.post import plan
 
-    roles, text = plan.deploy(given(file), file), given(site)
-    where = plan.site(text, site) if kind(text) == "toml" else plan.told(parse(text, site))
+    roles, text = plan.parse_deploy(read_file(file), file), read_file(site)
+    where = (
+        plan.parse_site(text, site) if file_kind(text) == "toml" else plan.site_of_settings(parse(text, site))
+    )
     if where.assumed:
         print(
             f"{site} is a settings file: one machine of each class is assumed in each of "
             f"{len(where.zones)} zones"
         )
-    lines = plan.plan(roles, where)
-    table(
+    lines = plan.requirements(roles, where)
+    print_table(
         "plan",
         [
             {
-                "": "ok" if line.ok else "SHORT",
+                "": "ok" if line.met else "SHORT",
                 "what": line.what,
                 "has": line.has,
                 "needs": line.needs,
@@ -472,7 +494,7 @@
             for line in lines
         ],
     )
-    return 0 if all(line.ok for line in lines) else NO
+    return 0 if all(line.met for line in lines) else NEGATIVE
 
 
 @app.command
@@ -491,21 +513,21 @@
     from opalwick.post.runs import Cause, Event, read_events, repeats
 
     if not logs:
-        raise Problem("no log file is given")
+        raise CommandError("no log file is given")
     events = list[Event]()
     for name in logs:
         try:
             with open(name, errors="replace") as log:
                 events += read_events(log, Path(name).stem)
         except OSError as problem:
-            raise Problem(f"{name}: {problem.strerror}") from problem
+            raise CommandError(f"{name}: {problem.strerror}") from problem
     found = repeats(events)
     for cause in Cause:
         of_cause = [repeat for repeat in found if repeat.cause is cause]
         print(f"{len(of_cause)} {cause.value}")
         for repeat in of_cause[:most]:
             print(f"    {repeat}")
-    return NO if any(repeat.cause is Cause.READ_SUCCESS for repeat in found) else 0
+    return NEGATIVE if any(repeat.cause is Cause.READ_SUCCESS for repeat in found) else 0
 
 
 @app.command
@@ -517,13 +539,13 @@
     trace
         JSON lines such as docs/operate/post-trace.jsonl
     """
-    from opalwick.post.replay import BadTrace, play
+    from opalwick.post.replay import InvalidTrace, play
 
     try:
-        for step in play(given(trace).split("\n"), trace):
+        for step in play(read_file(trace).split("\n"), trace):
             print(json.dumps(step))
-    except BadTrace as problem:
-        raise Problem(str(problem)) from None
+    except InvalidTrace as problem:
+        raise CommandError(str(problem)) from None
     return 0
 
 
@@ -531,17 +553,17 @@
     try:
         code = app(arguments, exit_on_error=False, print_error=True, result_action="return_value")
     except CycloptsError:  # already printed
-        return FAULTY
-    except (Problem, Faulty) as problem:
+        return INVALID
+    except (CommandError, InvalidFile) as problem:
         for line in str(problem).split("\n"):
             print(f"opalwick: {line}", file=sys.stderr)
-        return FAULTY
+        return INVALID
     except ModuleNotFoundError as problem:
         print(
             f"opalwick: {problem.name} is missing: pip install 'opalwick[post]', or -r requirements-post.txt",
             file=sys.stderr,
         )
-        return FAULTY
+        return INVALID
     except BrokenPipeError:  # the reader of the output has ended
         sys.stderr.close()
         return 0
--- a/opalwick/post/configuration.py
+++ b/opalwick/post/configuration.py
@@ -12,67 +12,67 @@
 from mashumaro.codecs.basic import BasicDecoder
 from returns.result import Failure, Result, Success
 
-from opalwick.post.settings import endpoint
+from opalwick.post.settings import parse_endpoint
 from opalwick.post.strict import (
-    Strict,
-    Wrong,
-    above,
-    by,
-    decoded,
-    each,
-    filled,
+    StrictConfig,
+    InvalidValue,
+    positive,
+    read_by,
+    decode,
+    list_of,
+    non_empty,
     from_json,
-    from_one,
-    one,
+    at_least_one,
+    object_of,
     text,
 )
 
 
 def _stem(value: Any) -> str:
     if not text(value).startswith("/"):
-        raise Wrong("must begin with '/'")
+        raise InvalidValue("must begin with '/'")
     return str(value)
 
 
 def _static(value: Any) -> str | None:
-    if value is not None and endpoint(text(value), by_number=False) is None:
-        raise Wrong(f"must be host:port or null, not {value!r}")
+    if value is not None and parse_endpoint(text(value), by_number=False) is None:
+        raise InvalidValue(f"must be host:port or null, not {value!r}")
     return value
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    name: str = by(filled)
-    vhost: str = by(filled)
-    stem: str = by(_stem)
-    svc: str = by(filled)
-    limit_ms: float = by(above)
+    name: str = read_by(non_empty)
+    vhost: str = read_by(non_empty)
+    stem: str = read_by(_stem)
+    svc: str = read_by(non_empty)
+    limit_ms: float = read_by(positive)
     type: str = "deferred"
     target_ms: float = 80.0
     prio: int = 0
-    tries: int = by(from_one, default=3)
+    tries: int = read_by(at_least_one, default=3)
     fifo: bool = False
     retain_s: float = 90.0
     notify: bool = False
     start_ms: float = 1200.0
 
-    class Config(Strict):
+    class Config(StrictConfig):
         pass
 
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    name: str = by(filled)
-    probe: str = by(_stem, default="/healthz")
+    name: str = read_by(non_empty)
+    probe: str = read_by(_stem, default="/healthz")
     max_conns: int = 64
     proto: str = "h1"
     tls: bool = False
     rate_per_s: float = 0.0  # 0: no rate limit
     dedup: bool = False
     poll: bool = False
-    static: str | None = by(_static, default=None)
+    static: str | None = read_by(_static, default=None)
 
-    class Config(Strict):
+    class Config(StrictConfig):
         pass
 
 
@@ -83,25 +83,25 @@
     head_ms: float = 3000.0
     idle_ms: float = 15000.0
 
-    class Config(Strict):
+    class Config(StrictConfig):
         pass
 
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
     gen: int
-    routing: list[Route] = by(each(Route))
-    backends: list[Service] = by(each(Service))
-    caps: Caps = by(one(Caps), default=Caps())
+    routing: list[Route] = read_by(list_of(Route))
+    backends: list[Service] = read_by(list_of(Service))
+    caps: Caps = read_by(object_of(Caps), default=Caps())
 
-    class Config(Strict):
+    class Config(StrictConfig):
         pass
 
 
 _CONFIGURATION = BasicDecoder(Configuration)
 
 
-def _repeats(values: Iterable[Any]) -> tuple[int, int] | None:
+def find_duplicate(values: Iterable[Any]) -> tuple[int, int] | None:
     """The positions of the first value that repeats an earlier one, the earlier one first."""
     seen: dict[Any, int] = {}
     for i, value in enumerate(values):
@@ -114,15 +114,15 @@
     """Parses and validates a configuration. A Failure is one sentence that names the invalid field;
     such a configuration must not come into force.
     """
-    return from_json(body, lambda value: decoded(_CONFIGURATION, value, "")).bind(_check_references)
+    return from_json(body, lambda value: decode(_CONFIGURATION, value, "")).bind(_check_references)
 
 
 def _check_references(configuration: Configuration) -> Result[Configuration, str]:
     """Checks references and uniqueness across the parts."""
     for name, items in (("routing", configuration.routing), ("backends", configuration.backends)):
-        if pair := _repeats(item.name for item in items):  # type: ignore[attr-defined]
+        if pair := find_duplicate(item.name for item in items):  # type: ignore[attr-defined]
             return Failure(f"{name}[{pair[0]}] and {name}[{pair[1]}] have the same name")
-    if pair := _repeats((route.vhost.casefold(), route.stem) for route in configuration.routing):
+    if pair := find_duplicate((route.vhost.casefold(), route.stem) for route in configuration.routing):
         return Failure(f"routing[{pair[0]}] and routing[{pair[1]}] have the same vhost and stem")
     known = {service.name for service in configuration.backends}
     for i, route in enumerate(configuration.routing):
--- a/opalwick/post/counter/role.py
+++ b/opalwick/post/counter/role.py
@@ -77,7 +77,7 @@
         super().__init__(settings, life, now)
         seed = crc32(f"{self.node}/{life}".encode())
         self.replica_count = settings.survive.boxes + 1
-        self.intake = Intake(self.zone, self.replica_count, accepts, settings.survive.spread)
+        self.intake = Intake(self.zone, self.replica_count, accepts, settings.survive.across_zones)
         self.rounds = Rounds(self.node, settings, seed, now, self.may_send)
         self.ceilings = Ceilings(self.node, life)
         self.window_shares = WindowShares(self.rounds)
@@ -311,7 +311,7 @@
         watched = self.nodes("depot")
         if self.guard.policy is None:  # with a policy, a message may have to be stored in any country
             watched = linked_stores(
-                watched, self.node, self.zone, self.replica_count, self.settings.survive.spread
+                watched, self.node, self.zone, self.replica_count, self.settings.survive.across_zones
             )
         for store in watched:
             self.want(store.ip)
--- a/opalwick/post/counter/status.py
+++ b/opalwick/post/counter/status.py
@@ -10,7 +10,7 @@
 from opalwick.post.counter.item import Item
 from opalwick.post.counter.role import HELD_MEMORY_SHARE, Gateway
 from opalwick.post.names import kept_by
-from opalwick.post.operators import since
+from opalwick.post.operators import elapsed
 
 # figures that tell of now; all others count since the start
 NOW = frozenset(("held", "ending", "duties"))
@@ -103,7 +103,7 @@
                 "zone": d.zone,
                 "age": role.now - d.heard_at,
                 "leaving": d.leaving,
-                "heard_here": since(role.now, role.confirmed_receipt.get(d.node)),
+                "heard_here": elapsed(role.now, role.confirmed_receipt.get(d.node)),
                 "sure": d.node in role.confirmed_owners,
             }
             for d in role.intake.depots.values()
--- a/opalwick/post/depot/role.py
+++ b/opalwick/post/depot/role.py
@@ -38,7 +38,7 @@
             settings.bounds.state,
             ROOM * settings.disk_mb * 1e6 if settings.disk_mb else math.inf,
             settings.survive.boxes + 1,
-            settings.survive.spread,
+            settings.survive.across_zones,
         )
         self.keeping.trace, self.keeping.event = self.trace, self.event
         self.guard = Guard(self.zone, settings, self.directory, self.event)
--- a/opalwick/post/home/commands.py
+++ b/opalwick/post/home/commands.py
@@ -8,16 +8,27 @@
 
 from cyclopts import App
 
-from opalwick.post.commands import NO, At, Json, Problem, ask_all, everybody, facts, given, table, told
+from opalwick.post.commands import (
+    NEGATIVE,
+    At,
+    CommandError,
+    Json,
+    fetch_statuses,
+    print_fields,
+    print_json,
+    print_table,
+    read_file,
+    send_requests,
+)
 
 home = App(name="home", help="Where partners' work may be, and where it is.")
 
 
 def answers(at: str) -> list[dict[str, Any]]:
     """What each process that answers says of homes."""
-    found = [said for status, said in ask_all(everybody(at), "/home").values() if status == 200]
+    found = [said for status, said in send_requests(fetch_statuses(at), "/home").values() if status == 200]
     if not found:
-        raise Problem("nobody answers")
+        raise CommandError("nobody answers")
     return found
 
 
@@ -81,19 +92,23 @@
     Exit code 1: something is not at home, or somebody goes by another policy.
     """
     found = picture(answers(at))
-    if told(found, json):
-        return NO if found["look"] else 0
+    if print_json(found, json):
+        return NEGATIVE if found["look"] else 0
     print(f"policy {found['policy']}" if found["policy"] else "there is no policy: work may be anywhere")
     if found["said"] is not None:
         print(written.dumps(found["said"], indent=1))
-    table("zones", [{"zone": zone, "country": country} for zone, country in sorted(found["zones"].items())])
-    table("processes", found["processes"])
-    table("waiting", found["partners"])
-    table("copies and runs", found["list"])
-    table("signed", [{"depot": node, "sha256": digest} for node, digest in sorted(found["signed"].items())])
+    print_table(
+        "zones", [{"zone": zone, "country": country} for zone, country in sorted(found["zones"].items())]
+    )
+    print_table("processes", found["processes"])
+    print_table("waiting", found["partners"])
+    print_table("copies and runs", found["list"])
+    print_table(
+        "signed", [{"depot": node, "sha256": digest} for node, digest in sorted(found["signed"].items())]
+    )
     for line in found["look"]:
         print(f"look: {line}")
-    return NO if found["look"] else 0
+    return NEGATIVE if found["look"] else 0
 
 
 @home.command
@@ -112,8 +127,8 @@
     from opalwick.post.home.reading import check as read
     from opalwick.post.settings import parse
 
-    zones = parse(given(settings), settings).zones if settings else None
-    match read(given(file).encode(), zones):
+    zones = parse(read_file(settings), settings).zones if settings else None
+    match read(read_file(file).encode(), zones):
         case Success(found):
             print(
                 f"{file}: policy {found.gen}: {len(found.partners)} partners in {len(found.countries)} "
@@ -121,7 +136,7 @@
             )
             return 0
         case failure:
-            raise Problem(f"{file}: {failure.failure()}")
+            raise CommandError(f"{file}: {failure.failure()}")
 
 
 @home.command
@@ -143,27 +158,27 @@
             "waiting": [row for row in found["partners"] if row["partner"].partition(" ")[2] == who],
             "list": [row for row in found["list"] if row["home"] == rule["home"]],
         }
-        if not told(said, json):
-            facts(
+        if not print_json(said, json):
+            print_fields(
                 {
                     "home": rule["home"],
                     "zones": said["countries"],
                     "while home is short": rule.get("short", "wait"),
                 }
             )
-            table("waiting", said["waiting"])
-            table("copies and runs of its country", said["list"])
+            print_table("waiting", said["waiting"])
+            print_table("copies and runs of its country", said["list"])
         return 0
-    replies = ask_all(everybody(at), f"/message/{quote(who, safe='')}")
+    replies = send_requests(fetch_statuses(at), f"/message/{quote(who, safe='')}")
     seen = [one for status, one in replies.values() if status == 200]
-    if not told(seen, json):
+    if not print_json(seen, json):
         for one in seen:
             place = next((p["country"] for p in found["processes"] if p["node"] == one["node"]), "")
             may = one.get("home") or ("any country" if "home" in one else "not kept once it has ended")
-            facts(
+            print_fields(
                 {"node": one["node"], "in": place, "may be in": may, "state": one["state"], "why": one["why"]}
             )
             print()
         if not seen:
             print("no partner has that name, and nobody that answers knows such a message")
-    return 0 if seen else NO
+    return 0 if seen else NEGATIVE
--- a/opalwick/post/home/reading.py
+++ b/opalwick/post/home/reading.py
@@ -12,9 +12,18 @@
 from mashumaro.codecs.basic import BasicDecoder
 from returns.result import Failure, Result, Success
 
-from opalwick.post.configuration import _repeats
-from opalwick.post.settings import endpoint
-from opalwick.post.strict import Strict, Wrong, above, by, decoded, each, filled, from_json
+from opalwick.post.configuration import find_duplicate
+from opalwick.post.settings import parse_endpoint
+from opalwick.post.strict import (
+    StrictConfig,
+    InvalidValue,
+    positive,
+    read_by,
+    decode,
+    list_of,
+    non_empty,
+    from_json,
+)
 from opalwick.post.wire_pb2 import Country, Endpoint, Home, Keeper, Node, Partner, Zone
 
 WAIT = 60.0  # s that a message is expected to wait at home at most, if nothing is said: two thirds of 90 s
@@ -22,81 +31,81 @@
 
 def _names(value: Any) -> list[str]:
     if type(value) is not list or not value:
-        raise Wrong("must be a list of at least one")
-    return [filled(one) for one in value]
+        raise InvalidValue("must be a list of at least one")
+    return [non_empty(one) for one in value]
 
 
 def _short(value: Any) -> str:
     if value not in ("wait", "refuse"):
-        raise Wrong("must be 'wait' or 'refuse'")
+        raise InvalidValue("must be 'wait' or 'refuse'")
     return str(value)
 
 
 def _optional(value: Any) -> str | None:
-    return None if value is None else filled(value)
+    return None if value is None else non_empty(value)
 
 
 def _digest(value: Any) -> str:
-    if len(text := filled(value)) != 64 or set(text) - set("0123456789abcdef"):
-        raise Wrong("must be a sha256 in 64 small hexadecimal digits")
+    if len(text := non_empty(value)) != 64 or set(text) - set("0123456789abcdef"):
+        raise InvalidValue("must be a sha256 in 64 small hexadecimal digits")
     return text
 
 
 def _address(value: Any) -> str:
-    if endpoint(filled(value), by_number=False) is None:
-        raise Wrong(f"must be host:port, not {value!r}")
+    if parse_endpoint(non_empty(value), by_number=False) is None:
+        raise InvalidValue(f"must be host:port, not {value!r}")
     return str(value)
 
 
 @dataclass(frozen=True, slots=True)
 class _Country:
-    name: str = by(filled)
-    regions: list[str] = by(_names)
+    name: str = read_by(non_empty)
+    regions: list[str] = read_by(_names)
 
-    class Config(Strict):
+    class Config(StrictConfig):
         pass
 
 
 @dataclass(frozen=True, slots=True)
 class _Partner:
-    home: str = by(filled)
-    host: str | None = by(_optional, default=None)
-    route: str | None = by(_optional, default=None)
-    service: str | None = by(_optional, default=None)
-    short: str = by(_short, default="wait")
-    wait_s: float = by(above, default=WAIT)
-
-    class Config(Strict):
+    home: str = read_by(non_empty)
+    host: str | None = read_by(_optional, default=None)
+    route: str | None = read_by(_optional, default=None)
+    service: str | None = read_by(_optional, default=None)
+    short: str = read_by(_short, default="wait")
+    wait_s: float = read_by(positive, default=WAIT)
+
+    class Config(StrictConfig):
         pass
 
 
 @dataclass(frozen=True, slots=True)
 class _Endpoint:
-    address: str = by(_address)
-    region: str = by(filled)
+    address: str = read_by(_address)
+    region: str = read_by(non_empty)
 
-    class Config(Strict):
+    class Config(StrictConfig):
         pass
 
 
 @dataclass(frozen=True, slots=True)
 class _Keeper:
-    name: str = by(filled)
-    sha256: str = by(_digest)
+    name: str = read_by(non_empty)
+    sha256: str = read_by(_digest)
 
-    class Config(Strict):
+    class Config(StrictConfig):
         pass
 
 
 @dataclass(frozen=True, slots=True)
 class _Policy:
     gen: int
-    countries: list[_Country] = by(each(_Country))
-    partners: list[_Partner] = by(each(_Partner))
-    endpoints: list[_Endpoint] = by(each(_Endpoint), default=())
-    keepers: list[_Keeper] = by(each(_Keeper), default=())
+    countries: list[_Country] = read_by(list_of(_Country))
+    partners: list[_Partner] = read_by(list_of(_Partner))
+    endpoints: list[_Endpoint] = read_by(list_of(_Endpoint), default=())
+    keepers: list[_Keeper] = read_by(list_of(_Keeper), default=())
 
-    class Config(Strict):
+    class Config(StrictConfig):
         pass
 
 
@@ -110,7 +119,7 @@
 
 def check(body: bytes, zones: dict[str, str] | None = None) -> Result[Home, str]:
     """A Failure is one sentence that names the field. `zones`: each zone's region, where they are known."""
-    return from_json(body, lambda given: decoded(_WHOLE, given, "")).bind(
+    return from_json(body, lambda given: decode(_WHOLE, given, "")).bind(
         lambda read: _home(read, body, zones)
     )
 
@@ -151,7 +160,7 @@
         ("keepers", [k.name for k in read.keepers]),
         ("endpoints", [e.address for e in read.endpoints]),
     ):
-        if two := _repeats(ones):
+        if two := find_duplicate(ones):
             return f"{name}[{two[0]}] and {name}[{two[1]}] have the same name"
     of: dict[str, str] = {}
     for i, country in enumerate(read.countries):
@@ -169,7 +178,7 @@
             return f"partners[{i}] must have one of host, route and service"
         if p.home not in names:
             return f"partners[{i}].home names an unknown country {p.home!r}"
-    if two := _repeats((p.host and p.host.lower(), p.route, p.service) for p in read.partners):
+    if two := find_duplicate((p.host and p.host.lower(), p.route, p.service) for p in read.partners):
         return f"partners[{two[0]}] and partners[{two[1]}] are the same"
     return ""
 
--- a/opalwick/post/link.py
+++ b/opalwick/post/link.py
@@ -18,8 +18,8 @@
 from gevent.event import Event
 
 from opalwick.post import events
-from opalwick.post.operators import Look, Metrics, Operators, place
-from opalwick.post.settings import Faulty, read
+from opalwick.post.operators import DiskReader, MetricsEndpoint, OperatorServer, operators_address
+from opalwick.post.settings import InvalidFile, read
 from opalwick.post.station import Station
 from opalwick.post.wire_pb2 import Envelope, Hello
 from opalwick.transport.connection import Address, listening
@@ -163,14 +163,14 @@
     stop: Event
     again: Event
     path: str
-    metrics: Metrics | None = None
+    metrics: MetricsEndpoint | None = None
     seen: tuple[int, int] = (0, 0)
 
 
 class Shell:
     """Runs one role: its links, its time. What else a role needs of the world, a subclass brings."""
 
-    look: Look | None = None  # how operators' calls read the disk, where there is one
+    look: DiskReader | None = None  # how operators' calls read the disk, where there is one
 
     def __init__(self, role: Station, process: Process) -> None:
         self.role, self.process, self.stop = role, process, process.stop
@@ -297,7 +297,7 @@
             seen = found
             try:
                 settings = read(self.process.path)
-            except Faulty as problem:  # it goes on with what it has
+            except InvalidFile as problem:  # it goes on with what it has
                 events.say(905, problem=str(problem))
                 continue
             self.role.clock(time.monotonic())
@@ -308,9 +308,11 @@
     # ---- running
 
     def begin(self) -> None:
-        operators = Operators(self.role, place(self.role.settings), self.look)
+        operators = OperatorServer(self.role, operators_address(self.role.settings), self.look)
         if (metrics := self.process.metrics) is not None:
-            told = Operators(self.role, (self.role.ip, metrics.port), self.look, metrics_path=metrics.path)
+            told = OperatorServer(
+                self.role, (self.role.ip, metrics.port), self.look, metrics_path=metrics.path
+            )
             self.forever(told.accept)
         for work in (
             self.listen,
--- a/opalwick/post/maintenance/commands.py
+++ b/opalwick/post/maintenance/commands.py
@@ -9,8 +9,18 @@
 
 from cyclopts import App, Parameter
 
-from opalwick.post.asking import At, Json, Place, Problem, ask, everybody, given, table, told
-from opalwick.post.settings import endpoint
+from opalwick.post.asking import (
+    At,
+    Json,
+    Address,
+    CommandError,
+    send_request,
+    fetch_statuses,
+    read_file,
+    print_table,
+    print_json,
+)
+from opalwick.post.settings import parse_endpoint
 
 NO = 1
 Record = Annotated[str, Parameter(help="Keeps what is seen there, a JSON line each time.")]
@@ -27,20 +37,20 @@
 
     from opalwick.post.maintenance.racks import parse
 
-    found = parse(given(file), file)
+    found = parse(read_file(file), file)
     if not isinstance(found, Success):
-        raise Problem(str(found.failure()))
+        raise CommandError(str(found.failure()))
     return found.unwrap()
 
 
-def fleet(answers: dict[Place, Any]) -> Any:
+def fleet(answers: dict[Address, Any]) -> Any:
     """What processes say of themselves, as the planner is told it."""
     from opalwick.post.maintenance.fleet import Fleet, Machine, Unit
 
     said = [one for one in answers.values() if isinstance(one, dict)]
     office = next((one for one in said if one["role"] == "office" and one["active"]), None)
     if office is None:
-        raise Problem("no active primary answers")
+        raise CommandError("no active primary answers")
     units = tuple(
         Unit(w["id"], w["svc"], w["zone"], w["address"].rpartition(":")[0], w["capacity"])
         for w in office["workers"]
@@ -57,31 +67,31 @@
     return Fleet(units, machines, len(office["view"]["voters"]), demand)
 
 
-def offices(answers: dict[Place, Any]) -> list[Place]:
+def offices(answers: dict[Address, Any]) -> list[Address]:
     """Where they are called."""
     found = [
-        endpoint(one.get("ctl", ""))
+        parse_endpoint(one.get("ctl", ""))
         for one in answers.values()
         if isinstance(one, dict) and one["role"] == "office"
     ]
     return [place for place in found if place is not None]
 
 
-def order(places: list[Place], method: str, path: str, body: bytes | None = None) -> tuple[int, Any]:
+def order(places: list[Address], method: str, path: str, body: bytes | None = None) -> tuple[int, Any]:
     """To the first that answers clearly: each passes it on to the primary."""
     last: tuple[int, Any] = 0, "no office answers"
     for where in places:
         try:
-            last = ask(where, path, method, body)
-        except Problem as problem:
+            last = send_request(where, path, method, body)
+        except CommandError as problem:
             last = 0, str(problem)
         if last[0] not in (0, 503):
             return last
-    raise Problem(f"{path}: {last[1]}")
+    raise CommandError(f"{path}: {last[1]}")
 
 
 def ordered(at: str, what: str, body: bytes | None = None) -> int:
-    status, said = order(offices(everybody(at)), "POST", f"/maintenance/{what}", body)
+    status, said = order(offices(fetch_statuses(at)), "POST", f"/maintenance/{what}", body)
     if status == 200:
         return 0
     print(said.get("err", said) if isinstance(said, dict) else said)
@@ -99,10 +109,10 @@
     """
     from opalwick.post.maintenance.planner import Impossible, Planner
 
-    planner = Planner(declared(file), fleet(everybody(at)))
+    planner = Planner(declared(file), fleet(fetch_statuses(at)))
     found = planner.plan()
     if isinstance(found, Impossible):
-        if not told(
+        if not print_json(
             {
                 "why": found.why,
                 "sure": found.sure,
@@ -111,21 +121,23 @@
             json,
         ):
             print(found.why if found.sure else f"{found.why}: none was found, one may exist")
-            table(
+            print_table(
                 "what stands in the way",
                 [{"rack": rack, "need": str(one)} for rack, why in found.stands.items() for one in why],
             )
         return NO
-    if told({"steps": found.steps, "seconds": found.seconds, "loss": found.loss, "fair": found.fair}, json):
+    if print_json(
+        {"steps": found.steps, "seconds": found.seconds, "loss": found.loss, "fair": found.fair}, json
+    ):
         return 0
-    table(
+    print_table(
         "steps",
         [
             {"step": i + 1, "racks": list(step), "away": planner.seconds([step])}
             for i, step in enumerate(found.steps)
         ],
     )
-    table(
+    print_table(
         "seconds away, over slots and weight",
         [
             {"tenant": t, "planned": round(loss, 1), "least": round(found.fair[t], 1)}
@@ -145,7 +157,7 @@
         what is declared (TOML or JSON)
     """
     body = json.dumps(declared(file).json()).encode()
-    status, said = order(offices(everybody(at)), "PUT", "/maintenance", body)
+    status, said = order(offices(fetch_statuses(at)), "PUT", "/maintenance", body)
     if status == 200:
         return 0
     print(said.get("err", said) if isinstance(said, dict) else said)
@@ -182,10 +194,10 @@
     return ordered(at, "back", json.dumps({"rack": rack}).encode())
 
 
-def current(places: list[Place]) -> dict[str, Any]:
+def current(places: list[Address]) -> dict[str, Any]:
     status, said = order(places, "GET", "/maintenance")
     if status != 200:
-        raise Problem(said["err"] if isinstance(said, dict) else str(said))
+        raise CommandError(said["err"] if isinstance(said, dict) else str(said))
     return dict(said)
 
 
@@ -207,7 +219,7 @@
     from rich.progress import BarColumn, Progress, TextColumn
 
     console = Console(highlight=False, soft_wrap=True)
-    before, places, silent = "", offices(everybody(at)), 0.0
+    before, places, silent = "", offices(fetch_statuses(at)), 0.0
     with Progress(
         TextColumn("{task.description}"),
         BarColumn(),
@@ -219,7 +231,7 @@
         while True:
             try:
                 found, silent = current(places), 0.0
-            except Problem:  # the window may have taken down who was asked
+            except CommandError:  # the window may have taken down who was asked
                 if (silent := silent + EVERY) > PATIENCE:
                     raise
                 time.sleep(EVERY)
@@ -251,10 +263,10 @@
     from opalwick.post.maintenance.report import page, parts
 
     samples = read(record) if record else []
-    found = samples[-1] if samples else current(offices(everybody(at)))
+    found = samples[-1] if samples else current(offices(fetch_statuses(at)))
     if out:
         Path(out).write_text(page(found, samples))
-    if told(
+    if print_json(
         {
             "window": found["window"],
             "phase": found["phase"],
@@ -266,8 +278,8 @@
     ):
         return 0
     print(line(found))
-    table("shares of the outage", parts(found))
-    table(
+    print_table("shares of the outage", parts(found))
+    print_table(
         "steps",
         [
             {
@@ -284,9 +296,9 @@
 
 def read(file: str) -> list[dict[str, Any]]:
     found = []
-    for number, text in enumerate(given(file).splitlines(), 1):
+    for number, text in enumerate(read_file(file).splitlines(), 1):
         try:
             found.append(dict(json.loads(text)))
         except (ValueError, TypeError):
-            raise Problem(f"{file}:{number}: this line is no record of a window") from None
+            raise CommandError(f"{file}:{number}: this line is no record of a window") from None
     return found
--- a/opalwick/post/maintenance/racks.py
+++ b/opalwick/post/maintenance/racks.py
@@ -18,36 +18,36 @@
 
 from opalwick.lines import line_of
 from opalwick.post.strict import (
-    Strict,
-    Wrong,
-    above,
-    by,
-    decoded,
-    each,
-    filled,
+    StrictConfig,
+    InvalidValue,
+    positive,
+    read_by,
+    decode,
+    list_of,
+    non_empty,
     from_json,
-    from_one,
-    one,
+    at_least_one,
+    object_of,
     text,
-    whole,
+    integer,
 )
 
 
 def _share(value: Any) -> float:
     if type(value) not in (int, float) or not 0.0 <= value <= 1.0:
-        raise Wrong("must be a number from 0 to 1")
+        raise InvalidValue("must be a number from 0 to 1")
     return float(value)
 
 
 def _names(value: Any) -> tuple[str, ...]:
     if type(value) is not list:
-        raise Wrong("must be a list")
+        raise InvalidValue("must be a list")
     found = []
     for i, name in enumerate(value):
         try:
-            found.append(filled(name))
-        except Wrong as wrong:
-            raise Wrong(wrong.what, f"[{i}]") from None
+            found.append(non_empty(name))
+        except InvalidValue as wrong:
+            raise InvalidValue(wrong.problem, f"[{i}]") from None
     return tuple(found)
 
 
@@ -57,23 +57,23 @@
         try:
             found.append(str(ipaddress.IPv4Network(name)))
         except ValueError as problem:
-            raise Wrong(f"must be a range such as 10.1.2.0/24: {problem}", f"[{i}]") from None
+            raise InvalidValue(f"must be a range such as 10.1.2.0/24: {problem}", f"[{i}]") from None
     return tuple(found)
 
 
 def _partners(value: Any) -> dict[str, str]:
     if type(value) is not dict:
-        raise Wrong("must be an object: a partner by each route's name")
-    return {filled(route): filled(partner) for route, partner in value.items()}
+        raise InvalidValue("must be an object: a partner by each route's name")
+    return {non_empty(route): non_empty(partner) for route, partner in value.items()}
 
 
 def _weights(value: Any) -> dict[str, float]:
     if type(value) is not dict:
-        raise Wrong("must be an object: a weight by each partner")
-    return {filled(partner): above(weight) for partner, weight in value.items()}
+        raise InvalidValue("must be an object: a weight by each partner")
+    return {non_empty(partner): positive(weight) for partner, weight in value.items()}
 
 
-class _Known(Strict):
+class _Known(StrictConfig):
     """A word that is misspelt must not pass for one that is left out."""
 
     forbid_extra_keys = True
@@ -83,13 +83,13 @@
 class Rack:
     """Machines of the system by name; workers by their addresses, their zone or their ids."""
 
-    name: str = by(filled)
-    longest_s: float = by(above)  # that it may be away
-    machines: tuple[str, ...] = by(_names, default=())
-    nets: tuple[str, ...] = by(_nets, default=())
-    zones: tuple[str, ...] = by(_names, default=())
-    workers: tuple[str, ...] = by(_names, default=())
-    beside: tuple[str, ...] = by(_names, default=())  # racks that may be down with it; empty: any
+    name: str = read_by(non_empty)
+    longest_s: float = read_by(positive)  # that it may be away
+    machines: tuple[str, ...] = read_by(_names, default=())
+    nets: tuple[str, ...] = read_by(_nets, default=())
+    zones: tuple[str, ...] = read_by(_names, default=())
+    workers: tuple[str, ...] = read_by(_names, default=())
+    beside: tuple[str, ...] = read_by(_names, default=())  # racks that may be down with it; empty: any
 
     class Config(_Known):
         pass
@@ -108,12 +108,12 @@
 class Need:
     """Of a service: live slots as a share of the present demand, workers, zones with one."""
 
-    service: str = by(filled)
-    share: float = by(_share, default=1.0)
-    least: int = by(whole, default=1)
-    zones: int = by(whole, default=1)
-    tenant: str = by(text, default="")  # empty: the service's own name
-    weight: float = by(above, default=1.0)  # of the tenant: what it may lose against the others
+    service: str = read_by(non_empty)
+    share: float = read_by(_share, default=1.0)
+    least: int = read_by(integer, default=1)
+    zones: int = read_by(integer, default=1)
+    tenant: str = read_by(text, default="")  # empty: the service's own name
+    weight: float = read_by(positive, default=1.0)  # of the tenant: what it may lose against the others
 
     class Config(_Known):
         pass
@@ -123,9 +123,9 @@
 class Own:
     """Of the system itself. Offices always keep their majority."""
 
-    copies: int = by(from_one, default=2)  # disks that a message is on: survive.boxes + 1
-    spare: int = by(whole, default=0)  # depots beyond these
-    counters: int = by(from_one, default=1)
+    copies: int = read_by(at_least_one, default=2)  # disks that a message is on: survive.boxes + 1
+    spare: int = read_by(integer, default=0)  # depots beyond these
+    counters: int = read_by(at_least_one, default=1)
 
     class Config(_Known):
         pass
@@ -135,9 +135,9 @@
 class Shares:
     """Of what is left of a service while it is short, among partners."""
 
-    service: str = by(filled)
-    routes: dict[str, str] = by(_partners)  # partner by route; another route is its own partner
-    weights: dict[str, float] = by(_weights, default_factory=dict)  # 1 where none is given
+    service: str = read_by(non_empty)
+    routes: dict[str, str] = read_by(_partners)  # partner by route; another route is its own partner
+    weights: dict[str, float] = read_by(_weights, default_factory=dict)  # 1 where none is given
 
     class Config(_Known):
         pass
@@ -145,13 +145,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Declaration:
-    name: str = by(filled)
-    longest_s: float = by(above)  # of the whole window
-    racks: list[Rack] = by(each(Rack))
-    needs: list[Need] = by(each(Need), default_factory=list)
-    own: Own = by(one(Own), default=Own())
-    together: int = by(from_one, default=1)  # racks that are down at once, at most
-    shares: list[Shares] = by(each(Shares), default_factory=list)
+    name: str = read_by(non_empty)
+    longest_s: float = read_by(positive)  # of the whole window
+    racks: list[Rack] = read_by(list_of(Rack))
+    needs: list[Need] = read_by(list_of(Need), default_factory=list)
+    own: Own = read_by(object_of(Own), default=Own())
+    together: int = read_by(at_least_one, default=1)  # racks that are down at once, at most
+    shares: list[Shares] = read_by(list_of(Shares), default_factory=list)
 
     class Config(_Known):
         pass
@@ -185,7 +185,7 @@
 
 def _checked(found: Declaration) -> None:
     if not found.racks:
-        raise Wrong("no rack is there", "racks")
+        raise InvalidValue("no rack is there", "racks")
     names = {rack.name for rack in found.racks}
     for what, key in (("name", "name"), ("machine", "machines"), ("worker", "workers"), ("zone", "zones")):
         rows: list[tuple[str, Any]] = []
@@ -197,7 +197,7 @@
                 else [(f"racks[{i}].{key}[{j}]", one) for j, one in enumerate(value)]
             )
         if two := _twice(rows):
-            raise Wrong(f"the {what} {two[2]!r} stands at {two[0]} too", two[1])
+            raise InvalidValue(f"the {what} {two[2]!r} stands at {two[0]} too", two[1])
     nets = [
         (f"racks[{i}].nets[{j}]", ipaddress.IPv4Network(net))
         for i, rack in enumerate(found.racks)
@@ -206,22 +206,26 @@
     for n, (way, net) in enumerate(nets):
         for before, other in nets[:n]:
             if net.overlaps(other):
-                raise Wrong(f"{net} overlaps {other} at {before}", way)
+                raise InvalidValue(f"{net} overlaps {other} at {before}", way)
     for i, rack in enumerate(found.racks):
         if not (rack.machines or rack.rules):
-            raise Wrong("nothing stands in it: machines, nets, zones or workers are due", f"racks[{i}]")
+            raise InvalidValue(
+                "nothing stands in it: machines, nets, zones or workers are due", f"racks[{i}]"
+            )
         if rack.longest_s > found.longest_s:
-            raise Wrong(f"is longer than the window's own {found.longest_s:g}", f"racks[{i}].longest_s")
+            raise InvalidValue(
+                f"is longer than the window's own {found.longest_s:g}", f"racks[{i}].longest_s"
+            )
         for j, beside in enumerate(rack.beside):
             if beside not in names or beside == rack.name:
-                raise Wrong(f"{beside!r} is no other rack", f"racks[{i}].beside[{j}]")
+                raise InvalidValue(f"{beside!r} is no other rack", f"racks[{i}].beside[{j}]")
     for key in ("needs", "shares"):
         if two := _twice((f"{key}[{i}].service", one.service) for i, one in enumerate(getattr(found, key))):
-            raise Wrong(f"{two[2]!r} stands at {two[0]} too", two[1])
+            raise InvalidValue(f"{two[2]!r} stands at {two[0]} too", two[1])
 
 
 def _read(given: Any) -> Declaration:
-    found: Declaration = decoded(_WHOLE, given, "")
+    found: Declaration = decode(_WHOLE, given, "")
     _checked(found)
     return found
 
@@ -242,7 +246,7 @@
         return Failure(f"{name}:{line[1] if line else len(text.splitlines())}: not TOML: {problem}")
     try:
         return Success(_read(given))
-    except Wrong as wrong:
-        way = [int(i) if i else key for key, i in re.findall(r"([^.\[\]]+)|\[(\d+)\]", wrong.where)]
-        shown = wrong.where.lstrip(".") or "the file"
-        return Failure(f"{name}:{line_of(text, way)}: {shown}: {wrong.what}")
+    except InvalidValue as wrong:
+        way = [int(i) if i else key for key, i in re.findall(r"([^.\[\]]+)|\[(\d+)\]", wrong.path)]
+        shown = wrong.path.lstrip(".") or "the file"
+        return Failure(f"{name}:{line_of(text, way)}: {shown}: {wrong.problem}")
--- a/opalwick/post/office/status.py
+++ b/opalwick/post/office/status.py
@@ -7,7 +7,7 @@
 
 from opalwick.post.home.policy import in_force
 from opalwick.post.office.role import Office
-from opalwick.post.operators import since
+from opalwick.post.operators import elapsed
 from opalwick.post.wire_pb2 import Conf
 
 NOW = frozenset(("epoch", "gen", "voters", "workers", "nodes", "duties"))
@@ -38,8 +38,8 @@
         "promised": v.promised,
         "primary": v.primary,
         "view": {"primary": v.view.primary, "members": list(v.view.members), "voters": v.voters},
-        "hears_primary": since(role.now, v.beat_at),
-        "voters_heard": {ip: since(role.now, at) for ip, at in sorted(v.heard_at.items())},
+        "hears_primary": elapsed(role.now, v.beat_at),
+        "voters_heard": {ip: elapsed(role.now, at) for ip, at in sorted(v.heard_at.items())},
         "conf": max(0, v.known_gen),
         "conf_here": max(0, v.read_key(v.conf)[0]),
         "changes": len(v.queue),
@@ -57,7 +57,7 @@
                 "capacity": w.capacity,
                 "state": worker_state(w),
                 "calls": w.calls,
-                "age": since(role.now, registry.heard_at.get(w.id)),
+                "age": elapsed(role.now, registry.heard_at.get(w.id)),
             }
             for w in role.directory.workers.values()
         ],
--- a/opalwick/post/operators.py
+++ b/opalwick/post/operators.py
@@ -32,25 +32,25 @@
 from opalwick.transport.limits import within
 from opalwick.transport.pulse import Pulse
 
-MOST = 6  # simultaneous connections; at the limit the one that has been idle longest is closed
-AGAIN = 5.0  # s between attempts to bind the address
+MAX_CONNECTIONS = 6  # simultaneous connections; at the limit the one that has been idle longest is closed
+BIND_RETRY = 5.0  # s between attempts to bind the address
 _ODD = re.compile(r"[^a-zA-Z0-9_]")
 JSON, TEXT = "application/json", "text/plain; version=0.0.4; charset=utf-8"
 
 # a metric for Prometheus: name, whether it is a counter, description, and values with their labels
 Metric = tuple[str, bool, str, list[tuple[dict[str, str], float]]]
 # runs a function that reads the disk in the disk's thread
-Look = Callable[[Callable[[Any], Any]], Any]
+DiskReader = Callable[[Callable[[Any], Any]], Any]
 
 
-class Metrics(NamedTuple):
+class MetricsEndpoint(NamedTuple):
     """Where a process serves its metrics: a port of its machine, and a path."""
 
     port: int
     path: str
 
     @classmethod
-    def parse(cls, text: str) -> Metrics:
+    def parse(cls, text: str) -> MetricsEndpoint:
         """Parses `PORT/PATH`, the form of a role's `metrics` in deploy/system.toml; raises ValueError."""
         port, slash, path = text.partition("/")
         if not slash or not path or not port.isdecimal() or not 0 < int(port) < 65536:
@@ -58,32 +58,32 @@
         return cls(int(port), f"/{path}")
 
 
-def place(settings: Settings) -> Address | None:
+def operators_address(settings: Settings) -> Address | None:
     """The address of the operators' server; None if the process has only one port."""
     first, last = settings.ports
     return (settings.ip, first + 1) if first < last else None
 
 
-def since(now: float, at: float | None) -> float | None:
+def elapsed(now: float, at: float | None) -> float | None:
     """Seconds since `at`; None if it has never happened."""
     return now - at if at is not None and at > -1e8 else None
 
 
-def tidy(value: Any) -> Any:
+def json_value(value: Any) -> Any:
     """As a JSON value: floats rounded to 3 decimals, infinity and NaN as null."""
     if isinstance(value, dict):
-        return {str(key): tidy(one) for key, one in value.items()}
+        return {str(key): json_value(one) for key, one in value.items()}
     if isinstance(value, (list, tuple, set, frozenset)):
-        return [tidy(one) for one in value]
+        return [json_value(one) for one in value]
     if isinstance(value, float):
         return round(value, 3) if math.isfinite(value) else None
     return value
 
 
-def common(role: Station) -> dict[str, Any]:
+def common_status(role: Station) -> dict[str, Any]:
     """The part of the status that all roles have."""
     usage = resource.getrusage(resource.RUSAGE_SELF)
-    conf, own = role.directory.conf, place(role.settings)
+    conf, own = role.directory.conf, operators_address(role.settings)
     nodes = {role.node: (role.role, role.zone, role.ip, role.life, False)} | {
         n.node: (n.role, n.zone, n.ip, n.life, n.gone)
         for n in role.directory.nodes.values()
@@ -123,7 +123,7 @@
     }
 
 
-def query(text: bytes, *known: str) -> dict[str, str]:
+def parse_query(text: bytes, *known: str) -> dict[str, str]:
     """The fields of a query string; raises Malformed if one is unknown or repeated."""
     try:
         pairs = parse_qsl(text.decode("ascii"), keep_blank_values=True, errors="strict", max_num_fields=16)
@@ -137,7 +137,7 @@
     return found
 
 
-class Operators:
+class OperatorServer:
     """The server: accepts connections and answers calls."""
 
     closing = False  # connections are closed only when the process ends
@@ -146,7 +146,7 @@
         self,
         role: Station,
         place: Address | None,
-        read_disk: Look | None = None,
+        read_disk: DiskReader | None = None,
         clock: Callable[[], float] = time.monotonic,
         metrics_path: str = "",
     ) -> None:
@@ -154,10 +154,13 @@
         only metrics are served, at that path.
         """
         self.metrics_path = metrics_path
-        self.role, self.place, self.read_disk, self.clock = role, place, read_disk, clock
+        self.role, self.address, self.read_disk, self.clock = role, place, read_disk, clock
         self.pulse = Pulse(clock())
         self.limits = replace(
-            within(64, role.settings.mem_mb, MOST, 15.0, 0.3, 60.0, 3.0), clients=MOST, kept=MOST, spare=1
+            within(64, role.settings.mem_mb, MAX_CONNECTIONS, 15.0, 0.3, 60.0, 3.0),
+            clients=MAX_CONNECTIONS,
+            kept=MAX_CONNECTIONS,
+            spare=1,
         )
         self.door: Any = None
         self.registry: Any = None  # of the Prometheus library, created by the first call for metrics
@@ -166,28 +169,28 @@
         """Binds the address and accepts connections; runs in a greenlet of its own."""
         failed = False
         while self.door is None:
-            if self.place is None:
+            if self.address is None:
                 gevent.sleep(3600.0)  # the process has no port for this server
                 continue
             try:
-                listener = listening(self.place, 16)
+                listener = listening(self.address, 16)
             except OSError as problem:
                 if not failed:
-                    events.say(906, place="%s:%d" % self.place, problem=str(problem))
+                    events.say(906, place="%s:%d" % self.address, problem=str(problem))
                 failed = True
-                gevent.sleep(AGAIN)
+                gevent.sleep(BIND_RETRY)
                 continue
-            self.place = listener.getsockname()
-            self.door = Door(listener, self.limits, self.pulse, self.conversation, lambda: MOST)
+            self.address = listener.getsockname()
+            self.door = Door(listener, self.limits, self.pulse, self.conversation, lambda: MAX_CONNECTIONS)
         self.door.accept()
 
     def conversation(self, connection: Connection, full: bool) -> Conversation:
-        return Calling(connection, self.limits, self, full)
+        return OperatorConnection(connection, self.limits, self, full)
 
     # ---- calls
 
     @property
-    def told(self) -> Any:
+    def status_module(self) -> Any:
         """The status module of this role; those of other roles are not imported."""
         return import_module(f"opalwick.post.{self.role.role}.status")
 
@@ -203,7 +206,7 @@
             return 500, json.dumps({"err": f"internal error: {problem!r}"}).encode(), JSON
         if isinstance(result, bytes):
             return 200, result, TEXT
-        return 200, json.dumps(tidy(result)).encode() + b"\n", JSON
+        return 200, json.dumps(json_value(result)).encode() + b"\n", JSON
 
     def dispatch(self, message: Message) -> Any:
         path, _, query_string = message.target.partition(b"?")
@@ -222,12 +225,12 @@
             raise Malformed(400, "the name in the path is not ASCII") from None
         match first, bool(name):
             case b"status", False:
-                query(query_string)
-                return common(self.role) | self.told.status(self.role)
+                parse_query(query_string)
+                return common_status(self.role) | self.status_module.status(self.role)
             case b"message", True:
-                if not hasattr(self.told, "message"):
+                if not hasattr(self.status_module, "message"):
                     raise Malformed(404, f"a {self.role.role} has no messages: call a gateway or a store")
-                found = self.told.message(self.role, name)
+                found = self.status_module.message(self.role, name)
                 if found is None:
                     raise Malformed(404, "this process has no such message")
                 return {"node": self.role.node, "role": self.role.role} | found
@@ -235,17 +238,19 @@
                 if self.read_disk is None:
                     raise Malformed(404, f"a {self.role.role} stores no messages: call a store")
                 if name:
-                    if (found := self.told.dead_one(self.role, self.read_disk, name)) is None:
+                    if (found := self.status_module.dead_one(self.role, self.read_disk, name)) is None:
                         raise Malformed(404, "this store has no dead message of that name")
                     return found
-                return self.told.dead(self.role, self.read_disk, **query(query_string, "route", "after"))
+                return self.status_module.dead(
+                    self.role, self.read_disk, **parse_query(query_string, "route", "after")
+                )
             case b"conf", False:
-                if not hasattr(self.told, "conf"):
+                if not hasattr(self.status_module, "conf"):
                     raise Malformed(404, f"a {self.role.role} stores no configuration: call a controller")
-                return self.told.conf(self.role)
+                return self.status_module.conf(self.role)
             case b"home", False:
-                query(query_string)
-                return {"node": self.role.node, "role": self.role.role} | self.told.home(
+                parse_query(query_string)
+                return {"node": self.role.node, "role": self.role.role} | self.status_module.home(
                     self.role, self.read_disk
                 )
             case b"metrics", False:
@@ -270,7 +275,7 @@
         """Called by the Prometheus library at each scrape."""
         from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
-        for name, is_counter, text, rows in self.figures():
+        for name, is_counter, text, rows in self.samples():
             names = sorted({label for labels, _ in rows for label in labels})
             kind = CounterMetricFamily if is_counter else GaugeMetricFamily
             family = kind(f"opalwick_post_{_ODD.sub('_', name)}", text, labels=names)
@@ -278,8 +283,8 @@
                 family.add_metric([labels.get(label, "") for label in names], float(value))
             yield family
 
-    def figures(self) -> Iterator[Metric]:
-        role, status_module = self.role, self.told
+    def samples(self) -> Iterator[Metric]:
+        role, status_module = self.role, self.status_module
         yield (
             "process",
             False,
@@ -314,7 +319,7 @@
         yield from status_module.metrics(role)
 
 
-class Calling(Conversation):
+class OperatorConnection(Conversation):
     """A connection of an operator."""
 
     house: Any
--- a/opalwick/post/plan.py
+++ b/opalwick/post/plan.py
@@ -13,12 +13,12 @@
 from typing import Any, NamedTuple
 
 from opalwick.post.office.views import MOST
-from opalwick.post.operators import Metrics
-from opalwick.post.settings import Faulty, Settings, Survive
+from opalwick.post.operators import MetricsEndpoint
+from opalwick.post.settings import InvalidFile, Settings, Survive
 
 CLASSES = ("edge", "disk", "core")
 SERVES = ("edge", "disk", "ctl")
-HELPERS = ("env", "npx", "sh", "bash", "dash", "exec", "nohup", "nice", "sudo")
+WRAPPERS = ("env", "npx", "sh", "bash", "dash", "exec", "nohup", "nice", "sudo")
 # of each program: the class of machines it needs, and what it must serve
 PROGRAMS = {
     "carrier counter": ("edge", "edge"),
@@ -57,7 +57,7 @@
     assumed: bool = False
 
 
-class Line(NamedTuple):
+class Requirement(NamedTuple):
     """A requirement of the plan: how many there are, and how many are needed."""
 
     what: str
@@ -66,7 +66,7 @@
     why: str
 
     @property
-    def ok(self) -> bool:
+    def met(self) -> bool:
         return self.has >= self.needs
 
 
@@ -83,7 +83,7 @@
             self.given: dict[str, Any] = tomllib.loads(text)
         except tomllib.TOMLDecodeError as problem:
             found = re.search(r"line (\d+)", str(problem))
-            raise Faulty(f"{name}:{found[1] if found else len(self.lines)}: {problem}") from None
+            raise InvalidFile(f"{name}:{found[1] if found else len(self.lines)}: {problem}") from None
 
     def line(self, role: str, key: str) -> int:
         """The line of that key, else of its table, else 0."""
@@ -117,7 +117,7 @@
         if not isinstance(run, str) or not run.split():
             self.add_error(name, "run", "must be a program with its arguments")
             run = ""
-        elif run.split()[0].rpartition("/")[2] in HELPERS or re.search(r"[|&;<>$`*]", run):
+        elif run.split()[0].rpartition("/")[2] in WRAPPERS or re.search(r"[|&;<>$`*]", run):
             self.add_error(name, "run", f"must not need a shell or a wrapper program, as {run!r} does")
         if on not in CLASSES:
             self.add_error(name, "on", f"must be one of {', '.join(CLASSES)}, not {on!r}")
@@ -135,7 +135,7 @@
             count = 1
         if (metrics := given.get("metrics")) is not None:
             try:
-                Metrics.parse(str(metrics))
+                MetricsEndpoint.parse(str(metrics))
             except ValueError as problem:
                 self.add_error(name, "metrics", str(problem))
         if type(apart) is not bool:
@@ -190,11 +190,11 @@
             if not any(role.program == program for role in roles):
                 self.add_error("", "roles", f"no role runs {program!r}")
         if self.errors:
-            raise Faulty("\n".join(error for _, error in sorted(self.errors)))
+            raise InvalidFile("\n".join(error for _, error in sorted(self.errors)))
         return roles
 
 
-def deploy(text: str, name: str) -> list[Role]:
+def parse_deploy(text: str, name: str) -> list[Role]:
     """Parses a deploy file; raises `InvalidFile` with every error, and its line where there is one."""
     return _Deploy(text, name).read()
 
@@ -202,7 +202,7 @@
 # ---- the site
 
 
-def site(text: str, name: str) -> Site:
+def parse_site(text: str, name: str) -> Site:
     """Parses a site file of the bench."""
     try:
         given = tomllib.loads(text)
@@ -216,13 +216,13 @@
             counts[group["zone"]] = counts.get(group["zone"], 0) + int(group["count"])
     except tomllib.TOMLDecodeError as problem:
         line = re.search(r"line (\d+)", str(problem))
-        raise Faulty(f"{name}:{line[1] if line else 1}: {problem}") from None
+        raise InvalidFile(f"{name}:{line[1] if line else 1}: {problem}") from None
     except (KeyError, TypeError, ValueError, AttributeError) as problem:
-        raise Faulty(f"{name}: not a site file: {type(problem).__name__} {problem}") from None
+        raise InvalidFile(f"{name}: not a site file: {type(problem).__name__} {problem}") from None
     return parsed
 
 
-def told(settings: Settings) -> Site:
+def site_of_settings(settings: Settings) -> Site:
     """Of a settings file: one machine of each class in each zone is assumed."""
     return Site(
         dict(settings.zones),
@@ -235,7 +235,7 @@
 # ---- requirements
 
 
-def most(counts: dict[str, int], groups: dict[str, str], lost: int) -> int:
+def worst_loss(counts: dict[str, int], groups: dict[str, str], lost: int) -> int:
     """The most that the loss of `lost` groups of zones takes away; `counts` is by zone."""
     sums: dict[str, int] = {}
     for zone, count in counts.items():
@@ -243,7 +243,7 @@
     return sum(sorted(sums.values(), reverse=True)[:lost])
 
 
-def placed(roles: list[Role], program: str, site: Site) -> dict[str, int]:
+def processes_by_zone(roles: list[Role], program: str, site: Site) -> dict[str, int]:
     """How many processes of that program run in each zone."""
     counts: dict[str, int] = {}
     for role in roles:
@@ -253,27 +253,28 @@
     return {zone: count for zone, count in counts.items() if count}
 
 
-def plan(roles: list[Role], site: Site) -> list[Line]:
+def requirements(roles: list[Role], site: Site) -> list[Requirement]:
     """The requirements of every loss that `survive` allows, at its worst place."""
     s, replicas = site.survive, site.survive.boxes + 1
     stores, controllers, gateways = (
-        placed(roles, program, site) for program in ("carrier depot", "postmaster", "carrier counter")
+        processes_by_zone(roles, program, site)
+        for program in ("carrier depot", "postmaster", "carrier counter")
     )
     voters = min(MOST, sum(controllers.values()))
     single = {zone: zone for zone in site.zones}
     spread = min(replicas, len(stores))  # the least number of zones that the replicas of a message are in
     lines = [
-        Line("gateways", sum(gateways.values()), 1, "clients connect to gateways only"),
-        Line(
+        Requirement("gateways", sum(gateways.values()), 1, "clients connect to gateways only"),
+        Requirement(
             "stores", sum(stores.values()), replicas, f"replicas of a message: survive.boxes + 1 = {replicas}"
         ),
-        Line(
+        Requirement(
             "zones with stores",
             len(stores),
-            min(replicas, len(site.zones)) if s.spread else 1,
+            min(replicas, len(site.zones)) if s.across_zones else 1,
             "the replicas of a message are in different zones if zones may be lost",
         ),
-        Line(
+        Requirement(
             "controllers that store the configuration",
             voters,
             replicas,
@@ -291,12 +292,12 @@
         if groups is None:
             lost_stores, lost_voters, lost_zones = lost, lost, 0
         else:
-            lost_stores = most(stores, groups, lost)
-            lost_voters = min(voters, most(controllers, groups, lost))
+            lost_stores = worst_loss(stores, groups, lost)
+            lost_voters = min(voters, worst_loss(controllers, groups, lost))
             # a zone has at most one replica if there are enough zones
-            lost_zones = most(dict.fromkeys(stores, 1), groups, lost)
+            lost_zones = worst_loss(dict.fromkeys(stores, 1), groups, lost)
             lines.append(
-                Line(
+                Requirement(
                     "zones that have a replica of a message",
                     spread,
                     lost_zones + 1,
@@ -304,7 +305,7 @@
                 )
             )
             lines.append(
-                Line(
+                Requirement(
                     "disks that have the configuration",
                     min(replicas, voters),
                     lost_voters + 1,
@@ -312,13 +313,13 @@
                 )
             )
         lines += [
-            Line(
+            Requirement(
                 "stores left",
                 max(0, sum(stores.values()) - lost_stores),
                 replicas,
                 f"{cause}: messages are still accepted, on {replicas} disks",
             ),
-            Line(
+            Requirement(
                 "voters left",
                 max(0, voters - lost_voters),
                 voters // 2 + 1,
--- a/opalwick/post/replay.py
+++ b/opalwick/post/replay.py
@@ -32,22 +32,22 @@
 }
 
 
-class BadTrace(Exception):
+class InvalidTrace(Exception):
     """The trace cannot be replayed: `FILE:LINE: what is wrong`."""
 
 
-def plain(value: Any) -> Any:
+def to_json(value: Any) -> Any:
     """The value as JSON types."""
     if isinstance(value, Message):
         return MessageToDict(value, preserving_proto_field_name=True)
     if isinstance(value, tuple) and hasattr(value, "_asdict"):
-        return {key: plain(one) for key, one in value._asdict().items()}
+        return {key: to_json(one) for key, one in value._asdict().items()}
     if isinstance(value, dict):
-        return {str(key): plain(one) for key, one in value.items()}
+        return {str(key): to_json(one) for key, one in value.items()}
     if isinstance(value, (list, tuple)):
-        return [plain(one) for one in value]
+        return [to_json(one) for one in value]
     if isinstance(value, (set, frozenset)):
-        return sorted(map(plain, value))
+        return sorted(map(to_json, value))
     if isinstance(value, bytes):
         return base64.b64encode(value).decode()
     if isinstance(value, Enum):
@@ -122,18 +122,18 @@
             )
             module, class_name = CORES[kind]
         except json.JSONDecodeError as problem:
-            raise BadTrace(f"{where}: not JSON: {problem.msg}") from None
+            raise InvalidTrace(f"{where}: not JSON: {problem.msg}") from None
         except KeyError as problem:
             key = problem.args[0]
-            raise BadTrace(
+            raise InvalidTrace(
                 f"{where}: {key}: missing"
                 if key in ("at", "core", "input")
                 else f"{where}: core: unknown {key!r}; known are {', '.join(CORES)}"
             ) from None
         except (TypeError, ValueError) as problem:
-            raise BadTrace(f"{where}: at: must be a number of seconds: {problem}") from None
+            raise InvalidTrace(f"{where}: at: must be a number of seconds: {problem}") from None
         if not isinstance(fields, list):
-            raise BadTrace(f"{where}: fields: must be a list")
+            raise InvalidTrace(f"{where}: fields: must be a list")
         name_of_core = step.get("name", kind)
         try:
             if input_name == "new":
@@ -141,11 +141,13 @@
                 cores[name_of_core], returned = maker(*arguments(maker, fields, None)), None
             else:
                 if name_of_core not in cores:
-                    raise BadTrace(f"{where}: {name_of_core!r} does not exist: its first input must be 'new'")
+                    raise InvalidTrace(
+                        f"{where}: {name_of_core!r} does not exist: its first input must be 'new'"
+                    )
                 core = cores[name_of_core]
                 method = getattr(core, input_name, None)
                 if input_name.startswith("_") or not inspect.ismethod(method):
-                    raise BadTrace(f"{where}: input: {kind} has no {input_name!r}")
+                    raise InvalidTrace(f"{where}: input: {kind} has no {input_name!r}")
                 # cores without `clock` have the time as an attribute or as an argument of the input
                 if hasattr(core, "clock"):
                     core.clock(at)
@@ -154,10 +156,10 @@
                 returned = method(*arguments(method, fields, core))
             effects = getattr(cores[name_of_core], "effects", None)
             left = effects() if effects is not None else ()
-        except BadTrace:
+        except InvalidTrace:
             raise
         except Exception as problem:  # noqa: BLE001 - any exception of a core is due to the trace
-            raise BadTrace(
+            raise InvalidTrace(
                 f"{where}: {name_of_core} {input_name}: {type(problem).__name__}: {problem}"
             ) from None
         yield {
@@ -165,12 +167,12 @@
             "at": at,
             "core": name_of_core,
             "input": input_name,
-            "returned": plain(returned),
-            "left": [plain(one) for one in left] if any(left) else [],
+            "returned": to_json(returned),
+            "left": [to_json(one) for one in left] if any(left) else [],
         }
 
 
-def recorded(
+def record(
     core: Any, kind: str, now: Callable[[], float], write: Callable[[str], None], inputs: tuple[str, ...]
 ) -> None:
     """Writes a line for each further call of these inputs, but not for calls that the core makes itself."""
@@ -181,7 +183,9 @@
             nonlocal nested
             if nested:
                 return method(*fields)
-            write(json.dumps({"at": now(), "core": kind, "input": input_name, "fields": plain(list(fields))}))
+            write(
+                json.dumps({"at": now(), "core": kind, "input": input_name, "fields": to_json(list(fields))})
+            )
             nested = True
             try:
                 return method(*fields)
--- a/opalwick/post/settings.py
+++ b/opalwick/post/settings.py
@@ -18,7 +18,7 @@
 _ENDPOINT = re.compile(r"([A-Za-z0-9_-]+(?:[.][A-Za-z0-9_-]+)*):([0-9]{1,5})")
 
 
-class Faulty(Exception):
+class InvalidFile(Exception):
     """The file cannot be used. One line for each error: `FILE:LINE: KEY: what is wrong`."""
 
 
@@ -31,7 +31,7 @@
     regions: int = 0
 
     @property
-    def spread(self) -> bool:
+    def across_zones(self) -> bool:
         """Whether replicas are placed in different zones. If none may be lost, one zone saves traffic."""
         return bool(self.zones or self.regions)
 
@@ -111,7 +111,7 @@
     return True
 
 
-def endpoint(text: str, by_number: bool = True) -> tuple[str, int] | None:
+def parse_endpoint(text: str, by_number: bool = True) -> tuple[str, int] | None:
     """Splits `IPv4:port`, or `host:port` if not `by_number`; None if `text` has another form."""
     matched = _ENDPOINT.fullmatch(text)
     if (
@@ -205,7 +205,7 @@
         return value
 
     def endpoint(self, key: str, value: str) -> tuple[str, int]:
-        matched = endpoint(value)
+        matched = parse_endpoint(value)
         if matched is None:
             self.add_error(key, f"must be IPv4:PORT, not {value!r}")
             return "", 0
@@ -270,7 +270,7 @@
         config_mode=r.text("config_mode", "highest"),
     )
     if r.errors:
-        raise Faulty("\n".join(error for _, error in sorted(r.errors, key=lambda error: error[0])))
+        raise InvalidFile("\n".join(error for _, error in sorted(r.errors, key=lambda error: error[0])))
     return settings
 
 
@@ -280,10 +280,10 @@
         with open(path, "rb") as file:
             data = file.read()
     except OSError as e:
-        raise Faulty(f"{path}: {e.strerror or e}") from None
+        raise InvalidFile(f"{path}: {e.strerror or e}") from None
     try:
         text = data.decode("utf-8")
     except UnicodeDecodeError as e:
         line = len(re.findall(rb"\r\n|\r|\n", data[: e.start])) + 1
-        raise Faulty(f"{path}:{line}: not valid UTF-8") from None
+        raise InvalidFile(f"{path}:{line}: not valid UTF-8") from None
     return parse(text, path)
--- a/tests/test_post_commands.py
+++ b/tests/test_post_commands.py
@@ -18,11 +18,11 @@
 from opalwick.commands import app
 from opalwick.post import commands, plan, replay
 from opalwick.post.__main__ import split_options
-from opalwick.post.commands import ask, differences, merged, run
+from opalwick.post.commands import combined_status, differences, run, send_request
 from opalwick.post.counter.intake import Intake
 from opalwick.post.depot.disk import Disk
-from opalwick.post.operators import Metrics, Operators
-from opalwick.post.settings import Faulty
+from opalwick.post.operators import MetricsEndpoint, OperatorServer
+from opalwick.post.settings import InvalidFile
 from opalwick.post.wire_pb2 import Conf, End, Keep, Letter, News, Route, Service, Worker
 from opalwick.protocol.http import Message
 
@@ -193,8 +193,8 @@
     ],
 )
 def test_a_plan_reports_unmet_requirements(counts: Any, lost: Any, unmet: list[Any]) -> None:
-    lines = plan.plan(plan.deploy(DEPLOY, "d"), plan.site(site(counts, **lost), "s"))
-    assert [(line.what, line.has, line.needs) for line in lines if not line.ok] == unmet
+    lines = plan.requirements(plan.parse_deploy(DEPLOY, "d"), plan.parse_site(site(counts, **lost), "s"))
+    assert [(line.what, line.has, line.needs) for line in lines if not line.met] == unmet
 
 
 def test_plan_and_its_exit_code(tmp_path: Path, capsys: Any) -> None:
@@ -204,8 +204,8 @@
     command = ["plan", "deploy", str(HERE / "deploy" / "system.toml")]
     assert (run([*command, str(site_file)]), run([*command, str(settings)])) == (1, 0)
     assert re.search(r"SHORT +stores left +1 +2", capsys.readouterr().out)
-    with pytest.raises(Faulty, match="s: not a site file: KeyError 'zones'"):
-        plan.site("a = 1", "s")
+    with pytest.raises(InvalidFile, match="s: not a site file: KeyError 'zones'"):
+        plan.parse_site("a = 1", "s")
 
 
 # ---- traces
@@ -220,11 +220,11 @@
     assert [step["returned"] for step in steps if step["input"] == "lease"] == [["ceiling"], [], ["ceiling"]]
     lines = ['{"at": 0, "core": "intake", "input": "new", "fields": ["a", 1, 8]}']
     core = Intake("a", 1, 8)
-    replay.recorded(core, "intake", lambda: 0.5, lines.append, ("depot_up", "offered", "kept"))
+    replay.record(core, "intake", lambda: 0.5, lines.append, ("depot_up", "offered", "kept"))
     core.clock(0.5)
     core.depot_up("d1", "a")
     core.offered("call", Letter(mid="m", body=b"x"), False)
-    live = [replay.plain(one) for one in core.effects()]
+    live = [replay.to_json(one) for one in core.effects()]
     replayed = list(replay.play(lines))
     assert len(replayed) == 3 and replayed[-1]["left"] == live
 
@@ -243,7 +243,7 @@
 )
 def test_an_invalid_trace(line: str, why: str) -> None:
     first = '{"at": 0, "core": "intake", "input": "new", "fields": ["a", 1, 8]}'
-    with pytest.raises(replay.BadTrace, match=f"^{re.escape(why)}"):
+    with pytest.raises(replay.InvalidTrace, match=f"^{re.escape(why)}"):
         list(replay.play([first, line], "t"))
 
 
@@ -274,7 +274,7 @@
 def answers(process: Any, path: str, read_disk: Any = None) -> tuple[int, Any]:
     message = Message(0.0)
     message.method, message.target = b"GET", path.encode()
-    status, body, kind = Operators(process, None, read_disk, lambda: 1.0).answer(message)
+    status, body, kind = OperatorServer(process, None, read_disk, lambda: 1.0).answer(message)
     return status, json.loads(body) if kind == "application/json" else body.decode()
 
 
@@ -349,13 +349,15 @@
     gateway, _, controller = statuses.values()
     gateway["why_not"] = []
     controller |= {"active": True, "blank": False, "conf": 7}
-    assert merged(statuses)["look"] == ["depot-1 has not caught up: it waits for the settling time"]
+    assert combined_status(statuses)["look"] == ["depot-1 has not caught up: it waits for the settling time"]
     other = json.loads(json.dumps(gateway)) | {"node": "counter-2", "conf": 6, "why_not": ["it is to end"]}
     other["desks"]["s1"] |= {"firsts": 5, "queue": 2, "workers": []}
     gateway["desks"]["s1"]["workers"][0]["state"] = "silent"
     gateway["ceilings"]["s1"]["here"] = other["ceilings"]["s1"]["here"] = True
     gateway["directory"].append({"node": "gone", "role": "depot", "zone": "b", "ip": "10.0.0.9", "life": 1})
-    found = merged(statuses | {("10.0.0.8", 7301): other, ("10.0.0.9", 7301): "10.0.0.9:7301: refused"})
+    found = combined_status(
+        statuses | {("10.0.0.8", 7301): other, ("10.0.0.9", 7301): "10.0.0.9:7301: refused"}
+    )
     assert found["look"] == [
         "gone (depot, b) does not answer: 10.0.0.9:7301: refused",
         "counter-2 is at configuration 6, others are at 7",
@@ -388,12 +390,12 @@
         ("depot", *store),
         ("office", made("office"), None),
     ):
-        operators = Operators(process, ("127.0.0.1", 0), read_disk)
+        operators = OperatorServer(process, ("127.0.0.1", 0), read_disk)
         server = gevent.spawn(operators.accept)
         gevent.sleep(0)
 
         def call(path: str, operators: Any = operators) -> tuple[int, Any]:
-            return gevent.get_hub().threadpool.apply(ask, (operators.place, path))
+            return gevent.get_hub().threadpool.apply(send_request, (operators.address, path))
 
         status, body = call("/status")
         own = schemas[f"{role.capitalize()}Status"]["allOf"][1]
@@ -417,8 +419,8 @@
         assert "process_resident_memory_bytes" in metrics and "opalwick_post_link_age_seconds" in metrics
         server.kill()
         operators.door.listener.close()
-    with pytest.raises(commands.Problem, match=r"127.0.0.1:\d+: "):
-        ask(operators.place, "/status")
+    with pytest.raises(commands.CommandError, match=r"127.0.0.1:\d+: "):
+        send_request(operators.address, "/status")
 
 
 def trace(process: str, number: int, at: float, **fields: Any) -> str:
@@ -431,7 +433,7 @@
     """The platform reads the field, the process reads the option: both must have the same value."""
     for role in tomllib.loads(DEPLOY)["roles"].values():
         _, options = split_options(role["run"].split("opalwick.post ")[1].split())
-        assert options.metrics == Metrics.parse(role["metrics"])
+        assert options.metrics == MetricsEndpoint.parse(role["metrics"])
 
 
 @pytest.mark.parametrize(
--- a/tests/test_post_home.py
+++ b/tests/test_post_home.py
@@ -420,5 +420,5 @@
     file.write_text(json.dumps(GOOD))
     assert commands.check(str(file)) == 0 and isinstance(check(file.read_bytes()), Success)
     file.write_text("{}")
-    with pytest.raises(commands.Problem, match="gen is missing"):
+    with pytest.raises(commands.CommandError, match="gen is missing"):
         commands.check(str(file))
--- a/tests/test_post_maintenance.py
+++ b/tests/test_post_maintenance.py
@@ -530,7 +530,7 @@
     said += [status("depot", f"depot-{i}", settled=True) for i in range(3)]
     said += [status("counter", f"counter-{i}", desks={"gate": {"queue": 0, "jobs": 1}}) for i in range(3)]
     answers = {("h", i): one for i, one in enumerate(said)}
-    monkeypatch.setattr(window_commands, "everybody", lambda at: answers)
+    monkeypatch.setattr(window_commands, "fetch_statuses", lambda at: answers)
     file = tmp_path / "w.toml"
     file.write_text(FILE)
     assert run(["maintenance", "plan", str(file), "--json"]) == 0
--- a/tests/test_post_settings.py
+++ b/tests/test_post_settings.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from opalwick.post.settings import Bounds, Faulty, Survive, parse, read
+from opalwick.post.settings import Bounds, InvalidFile, Survive, parse, read
 
 MINIMAL = "node=n1\nrole=post\nip=10.1.0.25\naz=maipu\nport_range=7240,7255\n"
 EDGE = (
@@ -84,17 +84,17 @@
     ],
 )
 def test_every_error_is_reported(text, errors):
-    with pytest.raises(Faulty) as raised:
+    with pytest.raises(InvalidFile) as raised:
         parse(text, "f")
     assert str(raised.value).split("\n") == errors
 
 
 def test_unreadable_file(tmp_path):
     path = tmp_path / "settings.conf"
-    with pytest.raises(Faulty, match=r"settings\.conf: No such file"):
+    with pytest.raises(InvalidFile, match=r"settings\.conf: No such file"):
         read(str(path))
     path.write_bytes(EDGE.encode() + b"\xff\n")
-    with pytest.raises(Faulty, match=r"settings\.conf:19: not valid UTF-8"):
+    with pytest.raises(InvalidFile, match=r"settings\.conf:19: not valid UTF-8"):
         read(str(path))
 
 
@@ -106,7 +106,7 @@
 from opalwick.post import __main__ as program, settings
 def read(path):
     os.kill(os.getpid(), signal.{signal_name})
-    raise settings.Faulty("the file is read after that")
+    raise settings.InvalidFile("the file is read after that")
 settings.read = read
 sys.exit(program.main(["carrier", "counter"]))
 """
