--- a/tests/post_cluster.py
+++ b/tests/post_cluster.py
@@ -75,24 +75,24 @@
         self.out: dict[str, list[Start]] = defaultdict(list)  # by message: deliveries in progress
         self.began: dict[str, list[str]] = defaultdict(list)  # by message: the gateways that have sent it
         for number in range(1, depots + 1):
-            self.start_depot(f"d{number}", number)
+            self.start_store(f"d{number}", number)
         for number in range(1, counters + 1):
-            self.start_counter(f"c{number}", 10 + number)
+            self.start_gateway(f"c{number}", 10 + number)
         self.run(4.0)
 
     # ---- processes and links
 
-    def start_depot(self, node: str, number: int) -> None:
+    def start_store(self, node: str, number: int) -> None:
         store = Depot(settings(node, "depot", number), int(self.now), self.now, f"disk of {node}")
         self.join(node, store)
 
-    def start_counter(self, node: str, number: int) -> None:
+    def start_gateway(self, node: str, number: int) -> None:
         gateway = Gateway(settings(node, "counter", number), int(self.now), self.now, 512)
         gateway.heard(OFFICE, "news", News(conf=CONF, workers=[WORKER], whole=True))
         gateway.confirmed = True
         self.join(node, gateway)
 
-    def introduce(self) -> None:
+    def announce_stores(self) -> None:
         """Sends the gateways the list of stores, as controllers do."""
         stores = [role for role in self.roles.values() if role.role == "depot"]
         news = News(
@@ -117,7 +117,7 @@
             self.roles[near].joined(self.ends[near, far])
             self.settle(near)
 
-    def part(self, one: str, other: str) -> None:
+    def disconnect(self, one: str, other: str) -> None:
         """Breaks the link; unread messages are lost."""
         for near, far in ((one, other), (other, one)):
             if (end := self.ends.pop((near, far), None)) is not None:
@@ -131,7 +131,7 @@
         """Ends the process, with all its links."""
         for near, far in list(self.ends):
             if near == node:
-                self.part(near, far)
+                self.disconnect(near, far)
         del self.roles[node]
 
     # ---- effects of a step
@@ -209,7 +209,7 @@
         if keepalives < len(messages):  # effects of keepalives alone wait for the next tick
             self.settle(node)
 
-    def pulses(self) -> None:
+    def send_keepalives(self) -> None:
         for (near, _), end in list(self.ends.items()):
             self.roles[near].clock(self.now)
             end.say("pulse", self.roles[near].beat(end))
@@ -224,7 +224,7 @@
                 self.roles[node].tick()
                 self.settle(node)
             if round(self.now / STEP) % round(PULSE / STEP) == 0:
-                self.pulses()
+                self.send_keepalives()
             self.read()
 
     # ---- clients
--- a/tests/post_helper.py
+++ b/tests/post_helper.py
@@ -18,11 +18,11 @@
 from opalwick.post.wire_pb2 import Conf, Envelope, Letter
 
 
-def word(kind: str, text: str) -> Any:
+def peer_message(kind: str, text: str) -> Any:
     return fill(getattr(Envelope(), kind), text)
 
 
-def letter(text: str) -> Letter:
+def client_message(text: str) -> Letter:
     mid, *fields = text.split()
     defaults = ["holders=d1,d2"] * ("holders=" not in text) + ["until=90"] * ("until=" not in text)
     return fill(Letter(mid=mid), " ".join(fields + defaults))
@@ -87,7 +87,7 @@
                 if act is not None:
                     act(who, *rest)
                 else:
-                    self.hear(who, what, word(what, *rest or [""]))
+                    self.hear(who, what, peer_message(what, *rest or [""]))
                 self.settle()
         return "\n".join(self.lines)
 
@@ -126,7 +126,7 @@
     def hear(self, who: str, kind: str, message: Any) -> None: ...
 
 
-class Net:
+class Network:
     """A simulated network in virtual time: messages arrive in order after a random delay, or are lost."""
 
     def __init__(self, seed: int, late: tuple[float, float], lost: float = 0.0) -> None:
@@ -141,7 +141,7 @@
     def draw(self, span: tuple[float, float]) -> float:
         return span[0] + (span[1] - span[0]) * self.random.random() ** 3  # short delays are more frequent
 
-    def carry(self, a: str, b: str, do: Callable[..., None], *arguments: Any) -> None:
+    def transmit(self, a: str, b: str, do: Callable[..., None], *arguments: Any) -> None:
         if frozenset((a, b)) not in self.cuts and self.random.random() >= self.lost:
             when = self.last[a, b] = max(self.last.get((a, b), 0.0), self.now + self.draw(self.late))
             self.at(when, do, *arguments)
@@ -166,7 +166,7 @@
 }  # by kind of message: the input of the views, if its name differs
 
 
-class Offices(Net, Player):
+class Controllers(Network, Player):
     """Controllers on a simulated network; the first three of `count` are the seeds in the settings.
 
     A disk has what was synced last. A crash loses the rest, and the messages that depend on it.
@@ -186,7 +186,7 @@
         copies: int = 2,
     ) -> None:
         Player.__init__(self)
-        Net.__init__(self, seed, late, lost)
+        Network.__init__(self, seed, late, lost)
         self.names, self.sync, self.copies = [f"o{n + 1}" for n in range(count)], sync, copies
         self.seeds, self.first = self.names[:3], set(self.names)
         self.views: dict[str, Views] = {}
@@ -235,16 +235,16 @@
             newest = Conf.FromString(self.views[me].newest())
         if gen > newest.gen:
             numbers.follow(conf, newest)
-        self.hears(me, self.lives[me], "put", len(self.calls) - 1, conf.SerializeToString())
+        self.apply_input(me, self.lives[me], "put", len(self.calls) - 1, conf.SerializeToString())
 
     def do_read(self, me: str) -> None:
         me = self.primary() or "o1" if me == "p" else me
         self.calls.append(("read", -1, self.newest, b""))
-        self.hears(me, self.lives[me], "read", len(self.calls) - 1)
+        self.apply_input(me, self.lives[me], "read", len(self.calls) - 1)
 
     # ---- effects
 
-    def hears(self, me: str, life: int, what: str, *arguments: Any) -> None:
+    def apply_input(self, me: str, life: int, what: str, *arguments: Any) -> None:
         if life == self.lives[me] and (v := self.views.get(me)) is not None:
             v.now = self.now
             v.linked = {other for other in self.views if frozenset((me, other)) not in self.cuts} - {me}
@@ -253,7 +253,7 @@
 
     def tick(self, me: str, life: int) -> None:
         if life == self.lives[me]:
-            self.hears(me, life, "tick", self.now)
+            self.apply_input(me, life, "tick", self.now)
             self.at(self.now + 0.05, self.tick, me, life)
 
     def send_message(self, me: str, to: str, kind: str, message: Any) -> None:
@@ -263,7 +263,7 @@
         if to == me:
             getattr(self.views[me], INPUTS.get(kind, kind))(me, message)
         else:
-            self.carry(me, to, self.hears, to, self.lives[to], kind, me, message)
+            self.transmit(me, to, self.apply_input, to, self.lives[to], kind, me, message)
 
     def follow_up(self, me: str) -> None:
         v, waits = self.views[me], self.saves[me]
--- a/tests/test_post_ceilings.py
+++ b/tests/test_post_ceilings.py
@@ -5,14 +5,14 @@
 from collections import deque
 
 import pytest
-from post_helper import Net
+from post_helper import Network
 
 from opalwick.post.counter.ceilings import MAX_HOLDERS, Ceilings
 from opalwick.post.office.duties import Duties
 from opalwick.post.wire_pb2 import Leased, Permit, Permitted
 
 
-class Leases(Net):
+class Leases(Network):
     """Three voters and three gateways that all need permits for one service. It checks that no two gateways
     hold the lease at once.
     """
@@ -48,7 +48,7 @@
         messages, granted = self.gateways[me].effects()
         for to, kind, content in messages:
             for node in self.voters if to == "offices" else [to]:
-                self.carry(me, node, self.hear, me, node, kind, content)
+                self.transmit(me, node, self.hear, me, node, kind, content)
             if kind == "lease" and content.duties and self.holder != me:
                 self.note(f"{me} asks" if content.call else f"{me} gives back")
         for _, count in granted:
@@ -72,12 +72,12 @@
             granted = voter.lease(self.now, f"{sender}/1", list(content.duties), content.span)
             if content.call:
                 reply = Leased(call=content.call, granted=granted, held=voter.holders(self.now))
-                self.carry(me, sender, self.hear, me, sender, "leased", reply)
+                self.transmit(me, sender, self.hear, me, sender, "leased", reply)
             return
         c = self.gateways[me]
         c.now = self.now
         if kind == "permit":
-            self.carry(me, sender, self.hear, me, sender, "permitted", c.permit(sender, content))
+            self.transmit(me, sender, self.hear, me, sender, "permitted", c.permit(sender, content))
         elif kind == "permitted":
             c.answered(content)
         else:
--- a/tests/test_post_keeping.py
+++ b/tests/test_post_keeping.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from post_helper import Player, letter, word
+from post_helper import Player, client_message, peer_message
 
 from opalwick.post.depot.keeping import LAPSE, STILL, Keeping
 from opalwick.post.depot.records import Fetch, Write
@@ -34,7 +34,7 @@
 
     def do_pulses(self, who: str, text: str) -> None:
         """It says this with each pulse from now on."""
-        self.pulses[who] = word("pulse", text)
+        self.pulses[who] = peer_message("pulse", text)
         self.pulse(who)
 
     def do_silent(self, who: str) -> None:
@@ -46,10 +46,10 @@
 
     def do_keep(self, who: str, text: str) -> None:
         parked = " parked" in text
-        self.k.keep(who, Keep(letter=letter(text.replace(" parked", "")), parked=parked))
+        self.k.keep(who, Keep(letter=client_message(text.replace(" parked", "")), parked=parked))
 
     def do_hand(self, who: str, text: str) -> None:
-        self.k.hand(who, Hand(letters=[letter(one) for one in text.split(" and ")]))
+        self.k.hand(who, Hand(letters=[client_message(one) for one in text.split(" and ")]))
 
     def do_disk(self, me: str, what: str) -> None:
         self.stalled = what == "stalls"
--- a/tests/test_post_moving.py
+++ b/tests/test_post_moving.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from post_helper import Net
+from post_helper import Network
 
 from opalwick.post.depot.keeping import Keeping
 from opalwick.post.depot.records import Write
@@ -12,7 +12,7 @@
 ZONES = {"d1": "a", "d2": "b", "d3": "c", "d4": "a"}
 
 
-class Depots(Net):
+class Depots(Network):
     """Depots with disks; `c1` is a counter that is told of its messages and says their ends."""
 
     def __init__(self, names: str = "d1 d2 d3 d4", seed: int = 0) -> None:
@@ -71,7 +71,7 @@
                 if node == "c1":
                     self.told.append((kind, getattr(word, "mid", "")))
                 else:
-                    self.carry(name, node, self.hears, node, name, kind, word)
+                    self.transmit(name, node, self.hears, node, name, kind, word)
             for mid, why in fetches:
                 letter = self.letters[name].get(mid)
                 k.fetched(mid, why, None if letter is None else Letter.FromString(letter.SerializeToString()))
--- a/tests/test_post_names.py
+++ b/tests/test_post_names.py
@@ -20,7 +20,7 @@
 @pytest.fixture(scope="module")
 def cluster() -> Cluster:
     found = Cluster(counters=3, depots=3)
-    found.introduce()
+    found.announce_stores()
     return found
 
 
@@ -112,8 +112,8 @@
     cluster.answer(mid)
     cluster.run(1.0)
     cluster.end("c1")  # whoever gave the name out has gone
-    cluster.start_counter("c1", 11)
-    cluster.introduce()
+    cluster.start_gateway("c1", 11)
+    cluster.announce_stores()
     cluster.run(4.0)
     for node in ("c1", "c2", "c3"):
         told = cluster.ask(node, name)
@@ -126,7 +126,7 @@
 def test_what_the_version_before_has_named_keeps_its_name(monkeypatch: pytest.MonkeyPatch) -> None:
     """Its stores keep a message by the first part of the name; the tags are compared with who keeps it."""
     cluster = Cluster(counters=2, depots=3)
-    cluster.introduce()
+    cluster.announce_stores()
     monkeypatch.setattr("opalwick.post.counter.role.complete_name", lambda letter: "1c.k3f9a2.zz")
     cluster.named("c1", delay=60.0)
     first, second = cluster.holders("1c.k3f9a2.zz")
--- a/tests/test_post_numbers.py
+++ b/tests/test_post_numbers.py
@@ -6,7 +6,7 @@
 from random import Random
 
 import pytest
-from post_helper import Offices
+from post_helper import Controllers
 
 from opalwick.post.directory import GONE_NODES, GONE_WORKERS, Directory
 from opalwick.post.office.numbers import HISTORY, Match, digest, follow, match
@@ -35,8 +35,8 @@
 @pytest.mark.parametrize("seed", range(40))
 def test_two_operators_under_one_number_through_takeovers(seed: int) -> None:
     """Each sends each number with a content of its own, again and again, to any office, while one after the
-    other is started anew, cut off or loses its disk; `Offices` holds each answer against all before."""
-    o = Offices(seed, late=(0.001, 0.1), lost=0.02, sync=(0.001, 0.04))
+    other is started anew, cut off or loses its disk; `Controllers` holds each answer against all before."""
+    o = Controllers(seed, late=(0.001, 0.1), lost=0.02, sync=(0.001, 0.04))
     r, sent = Random(seed), list[str]()
     o.until(1.0)
     for round in range(24):
@@ -57,7 +57,7 @@
 
 def test_a_member_that_was_away_for_a_thousand_changes_has_the_newest_at_once() -> None:
     """What it is sent and has on its disk does not grow with the changes that it missed."""
-    o = Offices(5)
+    o = Controllers(5)
     o.until(1.0)
     sizes, gen = [], 0
     for until in (10, 1000):
@@ -101,7 +101,7 @@
 def test_an_office_that_ends_leaves_nothing_alone(seed: int) -> None:
     """The primary hands over at once, a backup's place is filled; its disk may be gone with it, and a further
     disk may be lost right after."""
-    o = Offices(seed)
+    o = Controllers(seed)
     o.until(1.5)
     for round in range(3):
         o.do_put("p", f"{round + 1} a")
--- a/tests/test_post_rounds.py
+++ b/tests/test_post_rounds.py
@@ -5,7 +5,7 @@
 from random import Random
 
 import pytest
-from post_helper import Player, letter
+from post_helper import Player, client_message
 
 from opalwick.post.counter.item import Item, Start, Stop
 from opalwick.post.counter.role import Gateway
@@ -69,11 +69,11 @@
         mids, svc, *fields = text.split()
         for mid in mids.split(","):
             line = f"{mid} host=a.example target=/{svc}/x gen=1 {' '.join(fields)}"
-            self.rounds.accepted(letter(line), ("d1", "d2"))
+            self.rounds.accepted(client_message(line), ("d1", "d2"))
             self.rounds.tick()
 
     def do_assign(self, depot: str, text: str) -> None:
-        self.rounds.assigned(depot, letter(f"{text} host=a.example target=/plain/x"))
+        self.rounds.assigned(depot, client_message(f"{text} host=a.example target=/plain/x"))
 
     def do_will(self, mids: str, outcomes: str) -> None:
         self.outcomes |= {mid: outcomes.split() for mid in mids.split(",")}
--- a/tests/test_post_twice.py
+++ b/tests/test_post_twice.py
@@ -20,9 +20,9 @@
     it lacked that message. The stores assigned it to another gateway, and both gateways delivered it.
     """
     cluster = Cluster(counters=2, depots=2)
-    cluster.start_counter("c3", 13)
+    cluster.start_gateway("c3", 13)
     cluster.read()  # the stores have received c3's heartbeat, and have not echoed it yet
-    cluster.pulses()
+    cluster.send_keepalives()
     cluster.read("c3")  # the first echo: a heartbeat, which has no effect before the next tick
     call = cluster.offer("c3")
     cluster.read()
@@ -43,7 +43,7 @@
     first, second = cluster.holders(mid)
     for node in ("c1", "c3"):  # the two choose different counters
         cluster.roles[second].keeping.counters[node].given = 19
-    cluster.part(first, second)
+    cluster.disconnect(first, second)
     started = list(cluster.began[mid])
     if not moved:
         # with its delivery in flight: each store assigns the message to another gateway at once
@@ -67,12 +67,12 @@
     cluster.run(0.1)
     assert cluster.began[mid] == ["c1"]
     first, second = cluster.holders(mid)
-    cluster.part("c1", second)
+    cluster.disconnect("c1", second)
     cluster.answer(mid)
     cluster.read()
     cluster.end("c1")
     if again:
-        cluster.start_counter("c1", 11)
+        cluster.start_gateway("c1", 11)
     cluster.run(4.0)
     cluster.roles[first].leave()
     cluster.run(0.5)
@@ -87,8 +87,8 @@
     mid = cluster.accepted("c1", delay=4.0)
     first, second = cluster.holders(mid)
     cluster.run(3.9)
-    cluster.start_counter("c3", 13)
-    cluster.part("c3", second)
+    cluster.start_gateway("c3", 13)
+    cluster.disconnect("c3", second)
     gateway, message = (
         cluster.roles["c3"],
         Letter(mid=mid, host=b"h", target=b"/x", holders=[first, second], until=9.0),
@@ -101,7 +101,7 @@
     cluster.read()
     assert item.awaited == set()
     item.awaited = {second}
-    cluster.part("c3", second)
+    cluster.disconnect("c3", second)
     cluster.run(0.4)
     assert not gateway.awaits(second, item)  # it is unreachable
 
--- a/tests/test_post_views.py
+++ b/tests/test_post_views.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from post_helper import Offices
+from post_helper import Controllers
 
 from opalwick.post.wire_pb2 import Canvass, Install, View, Write
 
@@ -11,22 +11,22 @@
 DEAD_ENDS = (56, 148, 176)
 
 
-def calm() -> Offices:
+def calm() -> Controllers:
     """o1 is the primary, o2 its backup, which is whose vote came first."""
     for seed in range(9):
-        o = Offices(seed)
+        o = Controllers(seed)
         o.play("1.00 o1 put 5 a\n1.50 o1 read")
         if o.primary() == "o1" and list(o.views["o1"].view.members) == ["o1", "o2"]:
             return o
     raise AssertionError("o1 is never the primary with o2")
 
 
-def history(seed: int, joins: bool = False, count: int = 3, copies: int = 2) -> Offices:
+def history(seed: int, joins: bool = False, count: int = 3, copies: int = 2) -> Controllers:
     """Puts, reads, crashes, cuts and lost disks, as many as are borne; at its end all are there again.
 
     `joins`: one is cut off, and a fourth starts meanwhile.
     """
-    o = Offices(seed, late=(0.001, 0.2), lost=0.02, sync=(0.001, 0.08), count=count, copies=copies)
+    o = Controllers(seed, late=(0.001, 0.2), lost=0.02, sync=(0.001, 0.08), count=count, copies=copies)
     r, gen, disks, when = o.random, 0, copies - 1, 0.3
     while count > 3 and any(len(v.voters) < count or v.view.before for v in o.views.values()):
         o.until(o.now + 0.1)
@@ -69,7 +69,7 @@
     return o
 
 
-def ended_well(o: Offices, tries: int = 8) -> bool:
+def ended_well(o: Controllers, tries: int = 8) -> bool:
     """Within 2.5 s some office answers a read, which the player compares with all before."""
     for _ in range(tries):
         if me := o.primary():
@@ -82,7 +82,7 @@
 
 def test_a_day_of_offices(snapshot) -> None:
     """A number with two contents, an older one, a primary that dies, returns and is cut off, a lost disk."""
-    o = Offices()
+    o = Controllers()
     assert (
         o.play("""
         1.00 o1 put 5 a
@@ -128,9 +128,9 @@
     assert changed > 50
 
 
-def moved(seed: int) -> Offices:
+def moved(seed: int) -> Controllers:
     """One is replaced by an empty one at another address, and again, with puts; then another is lost."""
-    o = Offices(seed, late=(0.001, 0.05), lost=0.01, sync=(0.001, 0.03))
+    o = Controllers(seed, late=(0.001, 0.05), lost=0.01, sync=(0.001, 0.03))
     r, gen = o.random, 0
     o.until(1.0 + r.random())
     for new in ("o4", "o5", "o6")[: r.randint(1, 3)]:
@@ -220,7 +220,7 @@
 def test_another_takes_over_within_two_and_a_half_seconds(what: str) -> None:
     """With two of three up, and slow links and disks; and the old one is fenced."""
     for seed in range(12):
-        o = Offices(seed, late=(0.001, 0.05), sync=(0.001, 0.1))
+        o = Controllers(seed, late=(0.001, 0.05), sync=(0.001, 0.1))
         o.until(2.0 + o.random.random())
         old, fenced = o.primary(), "cut" in what
         o.do_put(old, "5 a")
@@ -297,7 +297,7 @@
 
 def test_with_two_losses_to_bear_all_of_a_large_core_vote() -> None:
     """Nothing is taken before; then two lose their disks at once while all others lose power."""
-    o = Offices(count=8, copies=3)
+    o = Controllers(count=8, copies=3)
     o.do_crash("o6")
     o.play("0.50 p put 4 z\n4.00 p put 5 a\n4.50 o1 crash wiped; o2 crash wiped")
     assert [answer[2:] for answer in o.answers] == [(4, 503), (5, 200)]
@@ -311,7 +311,7 @@
 
 
 def test_nothing_is_taken_while_a_majority_would_not_outlive_the_losses() -> None:
-    o = Offices(count=4, copies=3)
+    o = Controllers(count=4, copies=3)
     o.play("3.00 p put 5 a\n8.50 p put 6 b\n8.60 o4 crash")  # then there is nobody else: better than nothing
     assert [answer[2:] for answer in o.answers] == [(5, 503), (6, 200)]
 
@@ -326,13 +326,13 @@
     assert answers > 60
 
 
-class Pulsing(Offices):
+class Pulsing(Controllers):
     """They also tell each other whether they hear a primary, as the roles' pulses do."""
 
-    def hears(self, me: str, life: int, what: str, *told: object) -> None:
+    def apply_input(self, me: str, life: int, what: str, *told: object) -> None:
         if me in self.views:
             self.views[me].unsettled = {name for name, v in self.views.items() if not v.settled}
-        super().hears(me, life, what, *told)
+        super().apply_input(me, life, what, *told)
 
 
 @pytest.mark.parametrize("count", [5, 8])
