--- a/opalwick/post/commands.py
+++ b/opalwick/post/commands.py
@@ -16,17 +16,17 @@
 from cyclopts import App, CycloptsError
 
 from opalwick.post.asking import (
-    At,
-    Json,
     Address,
+    At,
     CommandError,
-    send_requests,
-    start_time,
+    Json,
     fetch_statuses,
     print_fields,
-    read_file,
-    print_table,
     print_json,
+    print_table,
+    read_file,
+    send_requests,
+    start_time,
 )
 from opalwick.post.asking import send_request as send_request
 from opalwick.post.maintenance.commands import maintenance
@@ -211,7 +211,12 @@
 def replace_invalid(document: dict[str, Any], path: list[str], why: str, serial: int) -> None:
     """Puts a valid value at `path`, so that the next error can be found."""
     top, *rest = path
-    valid = {"name": f"valid-{serial}", "stem": f"/valid-{serial}/", "vhost": "valid", "limit_ms": 1}
+    valid = {
+        "name": f"placeholder-{serial}",
+        "stem": f"/placeholder-{serial}/",
+        "vhost": "placeholder",
+        "limit_ms": 1,
+    }
     if "have the same" in why:  # the second of the two, which is named last
         found = re.findall(r"(routing|backends)\[(\d+)\]", why)[-1]
         document[found[0]][int(found[1])]["name" if "same name" in why else "stem"] = (
@@ -241,8 +246,11 @@
     for one in backends if isinstance(backends, list) else []:
         if isinstance(one, dict) and isinstance(one.get("name"), str) and one["name"]:
             return str(one["name"])
-    document["backends"] = [*(backends if isinstance(backends, list) else []), {"name": f"valid-{serial}"}]
-    return f"valid-{serial}"
+    document["backends"] = [
+        *(backends if isinstance(backends, list) else []),
+        {"name": f"placeholder-{serial}"},
+    ]
+    return f"placeholder-{serial}"
 
 
 @app.command
--- a/opalwick/post/configuration.py
+++ b/opalwick/post/configuration.py
@@ -14,16 +14,16 @@
 
 from opalwick.post.settings import parse_endpoint
 from opalwick.post.strict import (
-    StrictConfig,
     InvalidValue,
-    positive,
-    read_by,
+    StrictConfig,
+    at_least_one,
     decode,
+    from_json,
     list_of,
     non_empty,
-    from_json,
-    at_least_one,
     object_of,
+    positive,
+    read_by,
     text,
 )
 
--- a/opalwick/post/home/reading.py
+++ b/opalwick/post/home/reading.py
@@ -15,14 +15,14 @@
 from opalwick.post.configuration import find_duplicate
 from opalwick.post.settings import parse_endpoint
 from opalwick.post.strict import (
-    StrictConfig,
     InvalidValue,
-    positive,
-    read_by,
+    StrictConfig,
     decode,
+    from_json,
     list_of,
     non_empty,
-    from_json,
+    positive,
+    read_by,
 )
 from opalwick.post.wire_pb2 import Country, Endpoint, Home, Keeper, Node, Partner, Zone
 
--- a/opalwick/post/maintenance/commands.py
+++ b/opalwick/post/maintenance/commands.py
@@ -10,15 +10,15 @@
 from cyclopts import App, Parameter
 
 from opalwick.post.asking import (
-    At,
-    Json,
     Address,
+    At,
     CommandError,
-    send_request,
+    Json,
     fetch_statuses,
-    read_file,
-    print_table,
     print_json,
+    print_table,
+    read_file,
+    send_request,
 )
 from opalwick.post.settings import parse_endpoint
 
--- a/opalwick/post/maintenance/racks.py
+++ b/opalwick/post/maintenance/racks.py
@@ -18,18 +18,18 @@
 
 from opalwick.lines import line_of
 from opalwick.post.strict import (
-    StrictConfig,
     InvalidValue,
-    positive,
-    read_by,
+    StrictConfig,
+    at_least_one,
     decode,
+    from_json,
+    integer,
     list_of,
     non_empty,
-    from_json,
-    at_least_one,
     object_of,
+    positive,
+    read_by,
     text,
-    integer,
 )
 
 
