--- a/opalwick/post/beats.py
+++ b/opalwick/post/beats.py
@@ -12,7 +12,7 @@
 
 from returns.result import Failure, Result, Success
 
-from opalwick.post.settings import endpoint
+from opalwick.post.settings import parse_endpoint
 
 # fields of the body, as in openapi/post.yaml; `id` may be repeated in it
 REQUIRED = ("svc", "address", "capacity", "state", "calls")
@@ -65,7 +65,7 @@
     if not svc:
         return Failure("svc is empty")
     address = fields["address"]
-    place = endpoint(address) if type(address) is str else None
+    place = parse_endpoint(address) if type(address) is str else None
     if place is None:
         return Failure("address must be IPv4:port")
     capacity, calls, chill_ms = fields["capacity"], fields["calls"], fields.get("chill_ms", 0)
--- a/opalwick/post/configuration.py
+++ b/opalwick/post/configuration.py
@@ -1,6 +1,6 @@
-"""The operator's configuration: what is acknowledged must be kept, so it is read whole and strictly first.
+"""The operator's configuration, validated in full before it is acknowledged: from then on it must be kept.
 
-The fields are named as in the body. Times are in milliseconds, `retain_s` in seconds.
+Fields have the names of the body. Times are in milliseconds, `retain_s` in seconds.
 """
 
 from __future__ import annotations
@@ -12,67 +12,67 @@
 from mashumaro.codecs.basic import BasicDecoder
 from returns.result import Failure, Result, Success
 
-from opalwick.post.settings import endpoint
+from opalwick.post.settings import parse_endpoint
 from opalwick.post.strict import (
-    Strict,
-    Wrong,
-    above,
-    by,
-    decoded,
-    each,
-    filled,
+    InvalidValue,
+    StrictConfig,
+    at_least_one,
+    decode,
     from_json,
-    from_one,
-    one,
+    list_of,
+    non_empty,
+    object_of,
+    positive,
+    read_by,
     text,
 )
 
 
 def _stem(value: Any) -> str:
     if not text(value).startswith("/"):
-        raise Wrong("must begin with '/'")
+        raise InvalidValue("must begin with '/'")
     return str(value)
 
 
 def _static(value: Any) -> str | None:
-    if value is not None and endpoint(text(value), by_number=False) is None:
-        raise Wrong(f"must be host:port or null, not {value!r}")
+    if value is not None and parse_endpoint(text(value), by_number=False) is None:
+        raise InvalidValue(f"must be host:port or null, not {value!r}")
     return value
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    name: str = by(filled)
-    vhost: str = by(filled)
-    stem: str = by(_stem)
-    svc: str = by(filled)
-    limit_ms: float = by(above)
+    name: str = read_by(non_empty)
+    vhost: str = read_by(non_empty)
+    stem: str = read_by(_stem)
+    svc: str = read_by(non_empty)
+    limit_ms: float = read_by(positive)
     type: str = "deferred"
     target_ms: float = 80.0
     prio: int = 0
-    tries: int = by(from_one, default=3)
+    tries: int = read_by(at_least_one, default=3)
     fifo: bool = False
     retain_s: float = 90.0
     notify: bool = False
     start_ms: float = 1200.0
 
-    class Config(Strict):
+    class Config(StrictConfig):
         pass
 
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    name: str = by(filled)
-    probe: str = by(_stem, default="/healthz")
+    name: str = read_by(non_empty)
+    probe: str = read_by(_stem, default="/healthz")
     max_conns: int = 64
     proto: str = "h1"
     tls: bool = False
-    rate_per_s: float = 0.0  # 0: no ceiling
+    rate_per_s: float = 0.0  # 0: no rate limit
     dedup: bool = False
     poll: bool = False
-    static: str | None = by(_static, default=None)
+    static: str | None = read_by(_static, default=None)
 
-    class Config(Strict):
+    class Config(StrictConfig):
         pass
 
 
@@ -83,25 +83,26 @@
     head_ms: float = 3000.0
     idle_ms: float = 15000.0
 
-    class Config(Strict):
+    class Config(StrictConfig):
         pass
 
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
     gen: int
-    routing: list[Route] = by(each(Route))
-    backends: list[Service] = by(each(Service))
-    caps: Caps = by(one(Caps), default=Caps())
+    routing: list[Route] = read_by(list_of(Route))
+    backends: list[Service] = read_by(list_of(Service))
+    caps: Caps = read_by(object_of(Caps), default=Caps())
 
-    class Config(Strict):
+    class Config(StrictConfig):
         pass
 
 
-_WHOLE = BasicDecoder(Configuration)
+_CONFIGURATION = BasicDecoder(Configuration)
 
 
-def _repeats(values: Iterable[Any]) -> tuple[int, int] | None:
+def find_duplicate(values: Iterable[Any]) -> tuple[int, int] | None:
+    """The positions of the first value that repeats an earlier one, the earlier one first."""
     seen: dict[Any, int] = {}
     for i, value in enumerate(values):
         if (before := seen.setdefault(value, i)) != i:
@@ -110,19 +111,21 @@
 
 
 def check(body: bytes) -> Result[Configuration, str]:
-    """A Failure is one sentence that names the field; what it names must not come into force."""
-    return from_json(body, lambda given: decoded(_WHOLE, given, "")).bind(_fits)
-
-
-def _fits(read: Configuration) -> Result[Configuration, str]:
-    """Whether its parts fit together."""
-    for name, kind in (("routing", read.routing), ("backends", read.backends)):
-        if two := _repeats(one.name for one in kind):  # type: ignore[attr-defined]
-            return Failure(f"{name}[{two[0]}] and {name}[{two[1]}] have the same name")
-    if two := _repeats((route.vhost.casefold(), route.stem) for route in read.routing):
-        return Failure(f"routing[{two[0]}] and routing[{two[1]}] have the same vhost and stem")
-    known = {service.name for service in read.backends}
-    for i, route in enumerate(read.routing):
+    """Parses and validates a configuration. A Failure is one sentence that names the invalid field;
+    such a configuration must not come into force.
+    """
+    return from_json(body, lambda value: decode(_CONFIGURATION, value, "")).bind(_check_references)
+
+
+def _check_references(configuration: Configuration) -> Result[Configuration, str]:
+    """Checks references and uniqueness across the parts."""
+    for name, items in (("routing", configuration.routing), ("backends", configuration.backends)):
+        if pair := find_duplicate(item.name for item in items):  # type: ignore[attr-defined]
+            return Failure(f"{name}[{pair[0]}] and {name}[{pair[1]}] have the same name")
+    if pair := find_duplicate((route.vhost.casefold(), route.stem) for route in configuration.routing):
+        return Failure(f"routing[{pair[0]}] and routing[{pair[1]}] have the same vhost and stem")
+    known = {service.name for service in configuration.backends}
+    for i, route in enumerate(configuration.routing):
         if route.svc not in known:
             return Failure(f"routing[{i}].svc names an unknown service {route.svc!r}")
-    return Success(read)
+    return Success(configuration)
--- a/opalwick/post/counter/status.py
+++ b/opalwick/post/counter/status.py
@@ -10,7 +10,7 @@
 from opalwick.post.counter.item import Item
 from opalwick.post.counter.role import HELD_MEMORY_SHARE, Gateway
 from opalwick.post.names import message_id
-from opalwick.post.operators import since
+from opalwick.post.operators import elapsed
 
 # figures that are current values; all others are counts since the start
 NOW = frozenset(("held", "ending", "duties"))
@@ -109,7 +109,7 @@
                 "zone": d.zone,
                 "age": role.now - d.last_heartbeat,
                 "leaving": d.leaving,
-                "heard_here": since(role.now, role.confirmed_receipt.get(d.node)),
+                "heard_here": elapsed(role.now, role.confirmed_receipt.get(d.node)),
                 "sure": d.node in role.confirmed_owners,
             }
             for d in role.intake.stores.values()
--- a/opalwick/post/depot/role.py
+++ b/opalwick/post/depot/role.py
@@ -44,7 +44,7 @@
             settings.bounds.state,
             ROOM * settings.disk_mb * 1e6 if settings.disk_mb else math.inf,
             settings.survive.boxes + 1,
-            settings.survive.spread,
+            settings.survive.across_zones,
         )
         self.store.trace, self.store.event = self.trace, self.event
         self.guard = Guard(self.zone, settings, self.directory, self.event)
--- a/opalwick/post/home/commands.py
+++ b/opalwick/post/home/commands.py
@@ -10,16 +10,29 @@
 
 from cyclopts import App
 
-from opalwick.post.commands import NO, At, Json, Problem, ask_all, everybody, facts, given, table, told
+from opalwick.post.commands import (
+    NEGATIVE,
+    At,
+    CommandError,
+    Json,
+    fetch_statuses,
+    print_fields,
+    print_json,
+    print_table,
+    read_file,
+    send_requests,
+)
 
 home = App(name="home", help="Where partners' messages may be, and where they are.")
 
 
 def reports(at: str) -> list[dict[str, Any]]:
     """The residency report of each process that answers. Raises Problem if none does."""
-    reports = [report for status, report in ask_all(everybody(at), "/home").values() if status == 200]
+    reports = [
+        report for status, report in send_requests(fetch_statuses(at), "/home").values() if status == 200
+    ]
     if not reports:
-        raise Problem("no process answers")
+        raise CommandError("no process answers")
     return reports
 
 
@@ -85,19 +98,23 @@
     Exit code 1: something is not at home, or a process applies another policy.
     """
     report = combined(reports(at))
-    if told(report, json):
-        return NO if report["look"] else 0
+    if print_json(report, json):
+        return NEGATIVE if report["look"] else 0
     print(f"policy {report['policy']}" if report["policy"] else "no policy: messages may be anywhere")
     if report["said"] is not None:
         print(written.dumps(report["said"], indent=1))
-    table("zones", [{"zone": zone, "country": country} for zone, country in sorted(report["zones"].items())])
-    table("processes", report["processes"])
-    table("waiting", report["partners"])
-    table("copies and runs", report["list"])
-    table("signed", [{"depot": node, "sha256": digest} for node, digest in sorted(report["signed"].items())])
+    print_table(
+        "zones", [{"zone": zone, "country": country} for zone, country in sorted(report["zones"].items())]
+    )
+    print_table("processes", report["processes"])
+    print_table("waiting", report["partners"])
+    print_table("copies and runs", report["list"])
+    print_table(
+        "signed", [{"depot": node, "sha256": digest} for node, digest in sorted(report["signed"].items())]
+    )
     for line in report["look"]:
         print(f"look: {line}")
-    return NO if report["look"] else 0
+    return NEGATIVE if report["look"] else 0
 
 
 @home.command
@@ -116,8 +133,8 @@
     from opalwick.post.home.reading import check as read
     from opalwick.post.settings import parse
 
-    zones = parse(given(settings), settings).zones if settings else None
-    match read(given(file).encode(), zones):
+    zones = parse(read_file(settings), settings).zones if settings else None
+    match read(read_file(file).encode(), zones):
         case Success(found):
             print(
                 f"{file}: policy {found.gen}: {len(found.partners)} partners in {len(found.countries)} "
@@ -125,7 +142,7 @@
             )
             return 0
         case failure:
-            raise Problem(f"{file}: {failure.failure()}")
+            raise CommandError(f"{file}: {failure.failure()}")
 
 
 @home.command
@@ -147,27 +164,27 @@
             "waiting": [row for row in report["partners"] if row["partner"].partition(" ")[2] == who],
             "list": [row for row in report["list"] if row["home"] == rule["home"]],
         }
-        if not told(summary, json):
-            facts(
+        if not print_json(summary, json):
+            print_fields(
                 {
                     "home": rule["home"],
                     "zones": summary["countries"],
                     "without capacity at home": rule.get("short", "wait"),
                 }
             )
-            table("waiting", summary["waiting"])
-            table("copies and runs of its country", summary["list"])
+            print_table("waiting", summary["waiting"])
+            print_table("copies and runs of its country", summary["list"])
         return 0
-    replies = ask_all(everybody(at), f"/message/{quote(who, safe='')}")
+    replies = send_requests(fetch_statuses(at), f"/message/{quote(who, safe='')}")
     seen = [one for status, one in replies.values() if status == 200]
-    if not told(seen, json):
+    if not print_json(seen, json):
         for one in seen:
             place = next((p["country"] for p in report["processes"] if p["node"] == one["node"]), "")
             may = one.get("home") or ("any country" if "home" in one else "unknown, as it has ended")
-            facts(
+            print_fields(
                 {"node": one["node"], "in": place, "may be in": may, "state": one["state"], "why": one["why"]}
             )
             print()
         if not seen:
             print("no partner has that name, and no process that answers has such a message")
-    return 0 if seen else NO
+    return 0 if seen else NEGATIVE
--- a/opalwick/post/link.py
+++ b/opalwick/post/link.py
@@ -19,8 +19,8 @@
 from gevent.event import Event
 
 from opalwick.post import events
-from opalwick.post.operators import Look, Metrics, Operators, place
-from opalwick.post.settings import Faulty, read
+from opalwick.post.operators import DiskReader, MetricsEndpoint, OperatorServer, operators_address
+from opalwick.post.settings import InvalidFile, read
 from opalwick.post.station import RoleBase
 from opalwick.post.wire_pb2 import Envelope, Hello
 from opalwick.transport.connection import Address, listening
@@ -165,14 +165,14 @@
     stop: Event  # the process is to shut down
     reload: Event  # the settings are to be read again
     path: str  # of the settings file
-    metrics: Metrics | None = None
+    metrics: MetricsEndpoint | None = None
     seen: tuple[int, int] = (0, 0)  # the file's stamp before it was read, to detect later changes
 
 
 class Shell:
     """Runs one role: its links and timers. Subclasses add the other I/O of their role."""
 
-    look: Look | None = None  # reads the disk for operators' calls, in roles that have one
+    look: DiskReader | None = None  # reads the disk for operators' calls, in roles that have one
 
     def __init__(self, role: RoleBase, process: Process) -> None:
         self.role, self.process, self.stop = role, process, process.stop
@@ -299,7 +299,7 @@
             seen = found
             try:
                 settings = read(self.process.path)
-            except Faulty as problem:  # the settings in force stay
+            except InvalidFile as problem:  # the settings in force stay
                 events.emit(905, problem=str(problem))
                 continue
             self.role.clock(time.monotonic())
@@ -311,9 +311,11 @@
 
     def start_greenlets(self) -> None:
         """Starts the greenlets that all roles have."""
-        operators = Operators(self.role, place(self.role.settings), self.look)
+        operators = OperatorServer(self.role, operators_address(self.role.settings), self.look)
         if (metrics := self.process.metrics) is not None:
-            scraped = Operators(self.role, (self.role.ip, metrics.port), self.look, metrics_path=metrics.path)
+            scraped = OperatorServer(
+                self.role, (self.role.ip, metrics.port), self.look, metrics_path=metrics.path
+            )
             self.keep_running(scraped.accept)
         for work in (
             self.listen,
--- a/opalwick/post/maintenance/racks.py
+++ b/opalwick/post/maintenance/racks.py
@@ -18,36 +18,36 @@
 
 from opalwick.lines import line_of
 from opalwick.post.strict import (
-    Strict,
-    Wrong,
-    above,
-    by,
-    decoded,
-    each,
-    filled,
+    InvalidValue,
+    StrictConfig,
+    at_least_one,
+    decode,
     from_json,
-    from_one,
-    one,
+    integer,
+    list_of,
+    non_empty,
+    object_of,
+    positive,
+    read_by,
     text,
-    whole,
 )
 
 
 def _share(value: Any) -> float:
     if type(value) not in (int, float) or not 0.0 <= value <= 1.0:
-        raise Wrong("must be a number from 0 to 1")
+        raise InvalidValue("must be a number from 0 to 1")
     return float(value)
 
 
 def _names(value: Any) -> tuple[str, ...]:
     if type(value) is not list:
-        raise Wrong("must be a list")
+        raise InvalidValue("must be a list")
     found = []
     for i, name in enumerate(value):
         try:
-            found.append(filled(name))
-        except Wrong as wrong:
-            raise Wrong(wrong.what, f"[{i}]") from None
+            found.append(non_empty(name))
+        except InvalidValue as wrong:
+            raise InvalidValue(wrong.problem, f"[{i}]") from None
     return tuple(found)
 
 
@@ -57,23 +57,23 @@
         try:
             found.append(str(ipaddress.IPv4Network(name)))
         except ValueError as problem:
-            raise Wrong(f"must be a range such as 10.1.2.0/24: {problem}", f"[{i}]") from None
+            raise InvalidValue(f"must be a range such as 10.1.2.0/24: {problem}", f"[{i}]") from None
     return tuple(found)
 
 
 def _partners(value: Any) -> dict[str, str]:
     if type(value) is not dict:
-        raise Wrong("must be an object that maps route names to partners")
-    return {filled(route): filled(partner) for route, partner in value.items()}
+        raise InvalidValue("must be an object that maps route names to partners")
+    return {non_empty(route): non_empty(partner) for route, partner in value.items()}
 
 
 def _weights(value: Any) -> dict[str, float]:
     if type(value) is not dict:
-        raise Wrong("must be an object that maps partners to weights")
-    return {filled(partner): above(weight) for partner, weight in value.items()}
+        raise InvalidValue("must be an object that maps partners to weights")
+    return {non_empty(partner): positive(weight) for partner, weight in value.items()}
 
 
-class _NoExtraKeys(Strict):
+class _NoExtraKeys(StrictConfig):
     """Rejects unknown keys, so that a misspelt key is not taken for an omitted one."""
 
     forbid_extra_keys = True
@@ -83,13 +83,15 @@
 class Rack:
     """A rack: machines of the system by name; workers by address range, zone or id."""
 
-    name: str = by(filled)
-    longest_s: float = by(above)  # s that it may be away at most
-    machines: tuple[str, ...] = by(_names, default=())
-    nets: tuple[str, ...] = by(_nets, default=())
-    zones: tuple[str, ...] = by(_names, default=())
-    workers: tuple[str, ...] = by(_names, default=())
-    beside: tuple[str, ...] = by(_names, default=())  # racks that may be down at the same time; empty: any
+    name: str = read_by(non_empty)
+    longest_s: float = read_by(positive)  # s that it may be away at most
+    machines: tuple[str, ...] = read_by(_names, default=())
+    nets: tuple[str, ...] = read_by(_nets, default=())
+    zones: tuple[str, ...] = read_by(_names, default=())
+    workers: tuple[str, ...] = read_by(_names, default=())
+    beside: tuple[str, ...] = read_by(
+        _names, default=()
+    )  # racks that may be down at the same time; empty: any
 
     class Config(_NoExtraKeys):
         pass
@@ -108,12 +110,14 @@
 class Need:
     """Minimum of a service: live slots as a share of current demand, workers, zones that have a worker."""
 
-    service: str = by(filled)
-    share: float = by(_share, default=1.0)
-    least: int = by(whole, default=1)
-    zones: int = by(whole, default=1)
-    tenant: str = by(text, default="")  # empty: the name of the service
-    weight: float = by(above, default=1.0)  # weight of the tenant: the loss it may have relative to others
+    service: str = read_by(non_empty)
+    share: float = read_by(_share, default=1.0)
+    least: int = read_by(integer, default=1)
+    zones: int = read_by(integer, default=1)
+    tenant: str = read_by(text, default="")  # empty: the name of the service
+    weight: float = read_by(
+        positive, default=1.0
+    )  # weight of the tenant: the loss it may have relative to others
 
     class Config(_NoExtraKeys):
         pass
@@ -123,9 +127,9 @@
 class SystemNeeds:
     """Minimum of the system itself. Controllers always keep their majority."""
 
-    copies: int = by(from_one, default=2)  # replicas of a message: survive.boxes + 1
-    spare: int = by(whole, default=0)  # stores beyond these
-    counters: int = by(from_one, default=1)  # gateways
+    copies: int = read_by(at_least_one, default=2)  # replicas of a message: survive.boxes + 1
+    spare: int = read_by(integer, default=0)  # stores beyond these
+    counters: int = read_by(at_least_one, default=1)  # gateways
 
     class Config(_NoExtraKeys):
         pass
@@ -135,9 +139,11 @@
 class Shares:
     """The shares of partners in a service while its capacity is short."""
 
-    service: str = by(filled)
-    routes: dict[str, str] = by(_partners)  # partner by route; a route that is not listed is its own partner
-    weights: dict[str, float] = by(_weights, default_factory=dict)  # by partner; the default is 1
+    service: str = read_by(non_empty)
+    routes: dict[str, str] = read_by(
+        _partners
+    )  # partner by route; a route that is not listed is its own partner
+    weights: dict[str, float] = read_by(_weights, default_factory=dict)  # by partner; the default is 1
 
     class Config(_NoExtraKeys):
         pass
@@ -147,13 +153,13 @@
 class Declaration:
     """A maintenance window as declared."""
 
-    name: str = by(filled)
-    longest_s: float = by(above)  # s, duration of the whole window
-    racks: list[Rack] = by(each(Rack))
-    needs: list[Need] = by(each(Need), default_factory=list)
-    own: SystemNeeds = by(one(SystemNeeds), default=SystemNeeds())
-    together: int = by(from_one, default=1)  # racks that may be down at the same time
-    shares: list[Shares] = by(each(Shares), default_factory=list)
+    name: str = read_by(non_empty)
+    longest_s: float = read_by(positive)  # s, duration of the whole window
+    racks: list[Rack] = read_by(list_of(Rack))
+    needs: list[Need] = read_by(list_of(Need), default_factory=list)
+    own: SystemNeeds = read_by(object_of(SystemNeeds), default=SystemNeeds())
+    together: int = read_by(at_least_one, default=1)  # racks that may be down at the same time
+    shares: list[Shares] = read_by(list_of(Shares), default_factory=list)
 
     class Config(_NoExtraKeys):
         pass
@@ -189,7 +195,7 @@
 
 def _validate(found: Declaration) -> None:
     if not found.racks:
-        raise Wrong("must have at least one rack", "racks")
+        raise InvalidValue("must have at least one rack", "racks")
     names = {rack.name for rack in found.racks}
     for what, key in (("name", "name"), ("machine", "machines"), ("worker", "workers"), ("zone", "zones")):
         rows: list[tuple[str, Any]] = []
@@ -201,7 +207,7 @@
                 else [(f"racks[{i}].{key}[{j}]", one) for j, one in enumerate(value)]
             )
         if duplicate := _duplicate(rows):
-            raise Wrong(f"the {what} {duplicate[2]!r} is at {duplicate[0]} too", duplicate[1])
+            raise InvalidValue(f"the {what} {duplicate[2]!r} is at {duplicate[0]} too", duplicate[1])
     nets = [
         (f"racks[{i}].nets[{j}]", ipaddress.IPv4Network(net))
         for i, rack in enumerate(found.racks)
@@ -210,24 +216,26 @@
     for n, (path, net) in enumerate(nets):
         for before, other in nets[:n]:
             if net.overlaps(other):
-                raise Wrong(f"{net} overlaps {other} at {before}", path)
+                raise InvalidValue(f"{net} overlaps {other} at {before}", path)
     for i, rack in enumerate(found.racks):
         if not (rack.machines or rack.rules):
-            raise Wrong("is empty: needs machines, nets, zones or workers", f"racks[{i}]")
+            raise InvalidValue("is empty: needs machines, nets, zones or workers", f"racks[{i}]")
         if rack.longest_s > found.longest_s:
-            raise Wrong(f"is longer than the window's own {found.longest_s:g}", f"racks[{i}].longest_s")
+            raise InvalidValue(
+                f"is longer than the window's own {found.longest_s:g}", f"racks[{i}].longest_s"
+            )
         for j, beside in enumerate(rack.beside):
             if beside not in names or beside == rack.name:
-                raise Wrong(f"{beside!r} is not the name of another rack", f"racks[{i}].beside[{j}]")
+                raise InvalidValue(f"{beside!r} is not the name of another rack", f"racks[{i}].beside[{j}]")
     for key in ("needs", "shares"):
         if duplicate := _duplicate(
             (f"{key}[{i}].service", one.service) for i, one in enumerate(getattr(found, key))
         ):
-            raise Wrong(f"{duplicate[2]!r} is at {duplicate[0]} too", duplicate[1])
+            raise InvalidValue(f"{duplicate[2]!r} is at {duplicate[0]} too", duplicate[1])
 
 
 def _read(given: Any) -> Declaration:
-    found: Declaration = decoded(_WHOLE, given, "")
+    found: Declaration = decode(_WHOLE, given, "")
     _validate(found)
     return found
 
@@ -248,7 +256,7 @@
         return Failure(f"{name}:{line[1] if line else len(text.splitlines())}: not TOML: {problem}")
     try:
         return Success(_read(given))
-    except Wrong as wrong:
-        path = [int(i) if i else key for key, i in re.findall(r"([^.\[\]]+)|\[(\d+)\]", wrong.where)]
-        shown = wrong.where.lstrip(".") or "the file"
-        return Failure(f"{name}:{line_of(text, path)}: {shown}: {wrong.what}")
+    except InvalidValue as wrong:
+        path = [int(i) if i else key for key, i in re.findall(r"([^.\[\]]+)|\[(\d+)\]", wrong.path)]
+        shown = wrong.path.lstrip(".") or "the file"
+        return Failure(f"{name}:{line_of(text, path)}: {shown}: {wrong.problem}")
--- a/tests/test_post_keeping.py
+++ b/tests/test_post_keeping.py
@@ -5,7 +5,7 @@
 from __future__ import annotations
 
 import pytest
-from post_helper import Player, letter, word
+from post_helper import Player, client_message, peer_message
 
 from opalwick.post.depot.keeping import LAPSE, STALL, MessageStore
 from opalwick.post.depot.records import Fetch, Write
@@ -42,7 +42,7 @@
 
     def do_pulses(self, node: str, text: str) -> None:
         """It sends this with each heartbeat from now on."""
-        self.pulses[node] = word("pulse", text)
+        self.pulses[node] = peer_message("pulse", text)
         self.pulse(node)
 
     def do_silent(self, node: str) -> None:
@@ -54,10 +54,10 @@
 
     def do_keep(self, node: str, text: str) -> None:
         parked = " parked" in text
-        self.k.keep(node, Keep(letter=letter(text.replace(" parked", "")), parked=parked))
+        self.k.keep(node, Keep(letter=client_message(text.replace(" parked", "")), parked=parked))
 
     def do_hand(self, node: str, text: str) -> None:
-        self.k.hand(node, Hand(letters=[letter(one) for one in text.split(" and ")]))
+        self.k.hand(node, Hand(letters=[client_message(one) for one in text.split(" and ")]))
 
     def do_disk(self, me: str, what: str) -> None:
         self.stalled = what == "stalls"
--- a/tests/test_post_maintenance.py
+++ b/tests/test_post_maintenance.py
@@ -81,7 +81,7 @@
             'nets = ["10.2.0.0/33"]',
             "night.toml:12: racks[1].nets[0]: must be a range",
         ),
-        ("least = 2", "leats = 2", "night.toml:19: needs[0].leats: is no field here"),
+        ("least = 2", "leats = 2", "night.toml:19: needs[0].leats: is not a known field"),
         ("least = 2", "least = -2", "night.toml:19: needs[0].least: must not be below 0"),
         (
             'name = "b"',
@@ -538,7 +538,7 @@
     said += [status("depot", f"depot-{i}", settled=True) for i in range(3)]
     said += [status("counter", f"counter-{i}", desks={"gate": {"queue": 0, "jobs": 1}}) for i in range(3)]
     answers = {("h", i): one for i, one in enumerate(said)}
-    monkeypatch.setattr(window_commands, "everybody", lambda at: answers)
+    monkeypatch.setattr(window_commands, "fetch_statuses", lambda at: answers)
     file = tmp_path / "w.toml"
     file.write_text(FILE)
     assert run(["maintenance", "plan", str(file), "--json"]) == 0
--- a/tests/test_post_moving.py
+++ b/tests/test_post_moving.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from post_helper import Net
+from post_helper import Network
 
 from opalwick.post.depot.keeping import MessageStore
 from opalwick.post.depot.records import Write
@@ -12,7 +12,7 @@
 ZONES = {"d1": "a", "d2": "b", "d3": "c", "d4": "a"}
 
 
-class Stores(Net):
+class Stores(Network):
     """Stores with disks; `c1` is a gateway that receives reports on its messages and sends their ends."""
 
     def __init__(self, names: str = "d1 d2 d3 d4", seed: int = 0) -> None:
@@ -71,7 +71,7 @@
                 if node == "c1":
                     self.told.append((kind, getattr(msg, "mid", "")))
                 else:
-                    self.carry(name, node, self.hears, node, name, kind, msg)
+                    self.transmit(name, node, self.hears, node, name, kind, msg)
             for mid, why in fetches:
                 letter = self.letters[name].get(mid)
                 k.fetched(mid, why, None if letter is None else Letter.FromString(letter.SerializeToString()))
--- a/tests/test_post_numbers.py
+++ b/tests/test_post_numbers.py
@@ -6,7 +6,7 @@
 from random import Random
 
 import pytest
-from post_helper import Offices
+from post_helper import Controllers
 
 from opalwick.post.directory import MAX_GONE_NODES, MAX_GONE_WORKERS, Directory
 from opalwick.post.office.numbers import HISTORY, Match, digest, follow, match
@@ -35,8 +35,8 @@
 @pytest.mark.parametrize("seed", range(40))
 def test_two_operators_under_one_number_through_takeovers(seed: int) -> None:
     """Both repeatedly send each number with their own content to any controller, while controllers restart or
-    lose their disks one after the other; `Offices` checks each answer against all earlier ones."""
-    o = Offices(seed, late=(0.001, 0.1), lost=0.02, sync=(0.001, 0.04))
+    lose their disks one after the other; `Controllers` checks each answer against all earlier ones."""
+    o = Controllers(seed, late=(0.001, 0.1), lost=0.02, sync=(0.001, 0.04))
     r, sent = Random(seed), list[str]()
     o.until(1.0)
     for round in range(24):
@@ -57,7 +57,7 @@
 
 def test_a_member_that_was_away_for_a_thousand_changes_has_the_newest_at_once() -> None:
     """The state sent to it and stored on its disk does not grow with the number of missed changes."""
-    o = Offices(5)
+    o = Controllers(5)
     o.until(1.0)
     sizes, gen = [], 0
     for until in (10, 1000):
@@ -103,7 +103,7 @@
 def test_an_office_that_ends_leaves_nothing_alone(seed: int) -> None:
     """The primary hands over and a leaving backup is replaced before the process ends, so that its disk and
     a further disk may be lost right after."""
-    o = Offices(seed)
+    o = Controllers(seed)
     o.until(1.5)
     for round in range(3):
         o.do_put("p", f"{round + 1} a")
--- a/tests/test_post_views.py
+++ b/tests/test_post_views.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from post_helper import Offices
+from post_helper import Controllers
 
 from opalwick.post.wire_pb2 import Canvass, Install, View, Write
 
@@ -12,23 +12,23 @@
 NO_PRIMARY_SEEDS = (56, 148, 176)
 
 
-def stable_cluster() -> Offices:
+def stable_cluster() -> Controllers:
     """A cluster with o1 as the primary and o2 as its backup; the backup is whose vote arrived first."""
     for seed in range(9):
-        o = Offices(seed)
+        o = Controllers(seed)
         o.play("1.00 o1 put 5 a\n1.50 o1 read")
         if o.primary() == "o1" and list(o.views["o1"].view.members) == ["o1", "o2"]:
             return o
     raise AssertionError("o1 is never the primary with o2")
 
 
-def history(seed: int, joins: bool = False, count: int = 3, copies: int = 2) -> Offices:
+def history(seed: int, joins: bool = False, count: int = 3, copies: int = 2) -> Controllers:
     """Random puts, reads, crashes, partitions and as many lost disks as are tolerated; at the end all run
     again.
 
     `joins`: one controller is partitioned while a fourth starts.
     """
-    o = Offices(seed, late=(0.001, 0.2), lost=0.02, sync=(0.001, 0.08), count=count, copies=copies)
+    o = Controllers(seed, late=(0.001, 0.2), lost=0.02, sync=(0.001, 0.08), count=count, copies=copies)
     r, gen, disks, when = o.random, 0, copies - 1, 0.3
     while count > 3 and any(len(v.voters) < count or v.view.before for v in o.views.values()):
         o.until(o.now + 0.1)
@@ -71,7 +71,7 @@
     return o
 
 
-def recovers(o: Offices, tries: int = 8) -> bool:
+def recovers(o: Controllers, tries: int = 8) -> bool:
     """Whether a controller answers a read within 2.5 s; `Offices` checks the answer against earlier ones."""
     for _ in range(tries):
         if me := o.primary():
@@ -86,7 +86,7 @@
     """Covers a number with two contents, an older number, a primary that fails, returns and is partitioned,
     and a lost disk.
     """
-    o = Offices()
+    o = Controllers()
     assert (
         o.play("""
         1.00 o1 put 5 a
@@ -135,9 +135,9 @@
     assert changed > 50
 
 
-def after_replacements(seed: int) -> Offices:
+def after_replacements(seed: int) -> Controllers:
     """Controllers are replaced one to three times by empty ones at other addresses, with puts in between."""
-    o = Offices(seed, late=(0.001, 0.05), lost=0.01, sync=(0.001, 0.03))
+    o = Controllers(seed, late=(0.001, 0.05), lost=0.01, sync=(0.001, 0.03))
     r, gen = o.random, 0
     o.until(1.0 + r.random())
     for new in ("o4", "o5", "o6")[: r.randint(1, 3)]:
@@ -229,7 +229,7 @@
 def test_a_new_primary_serves_within_two_and_a_half_seconds(what: str) -> None:
     """Two of three controllers are up, with slow links and disks; the old primary is fenced."""
     for seed in range(12):
-        o = Offices(seed, late=(0.001, 0.05), sync=(0.001, 0.1))
+        o = Controllers(seed, late=(0.001, 0.05), sync=(0.001, 0.1))
         o.until(2.0 + o.random.random())
         old, fenced = o.primary(), "cut" in what
         o.do_put(old, "5 a")
@@ -312,7 +312,7 @@
     """Changes are refused until enough controllers vote; then two lose their disks while all others lose
     power.
     """
-    o = Offices(count=8, copies=3)
+    o = Controllers(count=8, copies=3)
     o.do_crash("o6")
     o.play("0.50 p put 4 z\n4.00 p put 5 a\n4.50 o1 crash wiped; o2 crash wiped")
     assert [answer[2:] for answer in o.answers] == [(4, 503), (5, 200)]
@@ -326,7 +326,7 @@
 
 
 def test_changes_are_refused_while_a_majority_would_not_survive_the_losses() -> None:
-    o = Offices(count=4, copies=3)
+    o = Controllers(count=4, copies=3)
     # no more controllers joined in time, so changes are accepted with fewer voters
     o.play("3.00 p put 5 a\n8.50 p put 6 b\n8.60 o4 crash")
     assert [answer[2:] for answer in o.answers] == [(5, 503), (6, 200)]
@@ -342,13 +342,13 @@
     assert answers > 60
 
 
-class OfficesWithKeepalives(Offices):
+class OfficesWithKeepalives(Controllers):
     """Controllers that also report whether they have a primary, as the roles' keepalives do."""
 
-    def hears(self, me: str, life: int, what: str, *args: object) -> None:
+    def apply_input(self, me: str, life: int, what: str, *args: object) -> None:
         if me in self.views:
             self.views[me].without_primary = {name for name, v in self.views.items() if not v.has_primary}
-        super().hears(me, life, what, *args)
+        super().apply_input(me, life, what, *args)
 
 
 @pytest.mark.parametrize("count", [5, 8])
