--- a/opalwick/post/counter/status.py
+++ b/opalwick/post/counter/status.py
@@ -36,9 +36,9 @@
     """Whether a worker gets messages, and why not."""
     if worker.phase is not Phase.READY:
         return str(worker.phase.name.lower())
-    if worker.shun_until > now:
+    if worker.ejected_until > now:
         return "silent"  # avoided until then
-    return "rests" if worker.rest_until > now else "ready"
+    return "rests" if worker.backoff_until > now else "ready"
 
 
 def desk_status(dispatcher: Dispatcher, now: float) -> dict[str, Any]:
--- a/tests/test_post_home.py
+++ b/tests/test_post_home.py
@@ -238,15 +238,15 @@
     role = process(Gateway)
     role.directory.merge(News(workers=[Worker(id="w1", host="10.0.0.1", port=80, zone="a", calls=1)]))
     role.govern()
-    role.heard_here["d1"], role.sure = 0.0, {"d1"}
+    role.confirmed_receipt["d1"], role.confirmed_owners = 0.0, {"d1"}
     item = Item(letter(home="jo", home_gen=2, until=90.0), ("d1",), 0.0)
     order = Start(item, ("m1", 1), 1, ("10.0.0.1", 80, "w1"), 1.0, False)
-    assert role.still(order)
+    assert role.may_start(order)
     role.directory.merge(News(workers=[Worker(id="w1", host="10.0.0.1", port=80, zone="b", calls=2)]))
     role.govern()
-    assert not role.still(order._replace(number=2))
-    role.ended(order, DeliveryOutcome.DONE, "s", None, False)
-    [(_, _, end)] = [sent for sent in role.rounds.sends if sent[1] == "end"]
+    assert not role.may_start(order._replace(number=2))
+    role.delivery_ended(order, DeliveryOutcome.DONE, "s", None, False)
+    [(_, _, end)] = [sent for sent in role.rounds.outbox if sent[1] == "end"]
     assert (end.complete, end.country) == (True, "jo")
 
 
--- a/tests/test_post_names.py
+++ b/tests/test_post_names.py
@@ -143,5 +143,5 @@
         assert cluster.ask("c2", other, body=True).status in NOT_SHOWN
     assert cluster.ask("c2", name.replace("zz", "zy")).status == 404
     for node in (first, second):  # its replicas have changed: whether the name was ever given is uncertain
-        cluster.roles[node].keeping.entries["1c.k3f9a2.zz"].holders = (first, third)
+        cluster.roles[node].store.entries["1c.k3f9a2.zz"].replicas = (first, third)
     assert cluster.ask("c2", name).status == 503
