--- a/opalwick/lab/verify/answers.py
+++ b/opalwick/lab/verify/answers.py
@@ -10,7 +10,7 @@
 
 from typing import Any, NamedTuple
 
-from opalwick.lab.verify.explorer import Broken, Step
+from opalwick.lab.verify.explorer import PropertyViolation, Transition
 from opalwick.lab.verify.replayed import Replayed
 from opalwick.post.counter.delivery import Delivery
 from opalwick.post.verdict import DeliveryOutcome
@@ -21,14 +21,14 @@
 
 PLACE = ("10.0.0.1", 80, "w1")
 LIMITS = within(64, 64, 16, 15.0, 0.3, 60.0, 3.0)
-LONG = b"x" * 20000  # octets of a long request's body
+LONG_BODY = b"x" * 20000  # octets of a long request's body
 
 
 class Budget(NamedTuple):
     requests: int = 3
 
 
-class Did(NamedTuple):
+class WorkerBehaviour(NamedTuple):
     """What a worker does with a request. `runs`: it has run. `says`: status of its answer, 0: none. `named`:
     the answer repeats the request's id. `framed`: it tells its length. `again`: the answer comes a second
     time, once the connection rests; `crossing`: as the next request is written. `late`: nothing comes until
@@ -38,48 +38,50 @@
 
     name: str
     runs: bool = True
-    says: int = 200
-    named: bool = True
+    status: int = 200
+    echoes_id: bool = True
     framed: bool = True
     again: bool = False
     crossing: bool = False
     late: bool = False
     early: bool = False
     first: bool = False
-    ends: bool = False
-
-
-DOES = (
-    Did("serves"),
-    Did("serves, unnamed", named=False),
-    Did("serves twice", again=True),
-    Did("serves twice, unnamed", named=False, again=True),
-    Did("serves without a length", framed=False, ends=True),
-    Did("fails", says=500),
-    Did("turns away", runs=False, says=503),
-    Did("turns away, unnamed", runs=False, says=503, named=False),
-    Did("turns away twice, unnamed", runs=False, says=503, named=False, again=True),
-    Did("turns away early", runs=False, says=503, early=True),
-    Did("turns away early, unnamed", runs=False, says=503, early=True, named=False),
-    Did("is silent, then late", late=True),
-    Did("is silent, then late, unnamed", late=True, named=False),
-    Did("breaks off", says=0, ends=True),
-    Did("speaks first", first=True),
-    Did("serves twice, crossing", crossing=True),
-    Did("turns away twice, crossing, unnamed", runs=False, says=503, named=False, crossing=True),
+    closes: bool = False
+
+
+BEHAVIOURS = (
+    WorkerBehaviour("serves"),
+    WorkerBehaviour("serves, unnamed", echoes_id=False),
+    WorkerBehaviour("serves twice", again=True),
+    WorkerBehaviour("serves twice, unnamed", echoes_id=False, again=True),
+    WorkerBehaviour("serves without a length", framed=False, closes=True),
+    WorkerBehaviour("fails", status=500),
+    WorkerBehaviour("turns away", runs=False, status=503),
+    WorkerBehaviour("turns away, unnamed", runs=False, status=503, echoes_id=False),
+    WorkerBehaviour("turns away twice, unnamed", runs=False, status=503, echoes_id=False, again=True),
+    WorkerBehaviour("turns away early", runs=False, status=503, early=True),
+    WorkerBehaviour("turns away early, unnamed", runs=False, status=503, early=True, echoes_id=False),
+    WorkerBehaviour("is silent, then late", late=True),
+    WorkerBehaviour("is silent, then late, unnamed", late=True, echoes_id=False),
+    WorkerBehaviour("breaks off", status=0, closes=True),
+    WorkerBehaviour("speaks first", first=True),
+    WorkerBehaviour("serves twice, crossing", crossing=True),
+    WorkerBehaviour(
+        "turns away twice, crossing, unnamed", runs=False, status=503, echoes_id=False, crossing=True
+    ),
 )
 
 
-TURNS_AWAY = Did("turns away", runs=False, says=503, named=False)
+REJECTION = WorkerBehaviour("turns away", runs=False, status=503, echoes_id=False)
 
 
-class Socket:
+class FakeSocket:
     """The worker's end of a connection: what it has said and is not read, and what it was sent."""
 
-    def __init__(self, world: Answers) -> None:
-        self.world, self.unread, self.got, self.ended = world, b"", b"", False
-        self.owed = b""  # said once the next request is written
-        self.second = b""  # said once the connection rests
+    def __init__(self, world: ResponseModel) -> None:
+        self.world, self.unread, self.got, self.closed_by_peer = world, b"", b"", False
+        self.on_next_request = b""  # said once the next request is written
+        self.on_idle = b""  # said once the connection rests
 
     def send(self, data: memoryview) -> int:
         self.got += bytes(data)
@@ -87,7 +89,7 @@
         return len(data)
 
     def recv_into(self, room: memoryview) -> int:
-        if not self.unread and not self.ended:
+        if not self.unread and not self.closed_by_peer:
             raise TimeoutError
         data, self.unread = self.unread[: len(room)], self.unread[len(room) :]
         room[: len(data)] = data
@@ -103,13 +105,13 @@
     def close(self) -> None: ...
 
 
-class Kept(Connection):
+class FakeConnection(Connection):
     """On such a socket; nothing waits."""
 
     __slots__ = ()
 
     def readable(self) -> bool:
-        return self.closed or bool(self.sock.unread) or self.sock.ended
+        return self.closed or bool(self.sock.unread) or self.sock.closed_by_peer
 
     def read(self, within: float | None) -> memoryview:
         if self.closed:
@@ -119,8 +121,8 @@
         return self.inward.held()
 
 
-class Connections(Pool):
-    def __init__(self, world: Answers) -> None:
+class FakePool(Pool):
+    def __init__(self, world: ResponseModel) -> None:
         super().__init__(8, 60.0, LIMITS.ring)
         self.world = world
 
@@ -133,113 +135,126 @@
                 self.world.last = connection
                 return connection
             self.close(connection)
-        connection = self.world.last = Kept(Socket(self.world), self.ring)
+        connection = self.world.last = FakeConnection(FakeSocket(self.world), self.ring)
         connection.address = address
         self.open += 1
         self.open_to[address] += 1
         return connection
 
 
-class Answers(Replayed):
+class ResponseModel(Replayed):
     """Rules: `another's answer`, `said not run`, `beyond a break`, `no end`."""
 
-    def begin(self) -> None:
-        self.pool, self.number, self.does = Connections(self), 0, DOES[0]
+    def initialize(self) -> None:
+        self.pool, self.number, self.behaviour = FakePool(self), 0, BEHAVIOURS[0]
         self.ran: dict[int, bool] = {}
-        self.now_said = False
+        self.responded = False
         self.last: Connection | None = None
 
-    def steps(self) -> list[Step]:
+    def enabled(self) -> list[Transition]:
         return (
-            [(("asks, long" if long else "asks"), did.name) for did in DOES for long in (False, True)]
+            [
+                (("asks, long" if long else "asks"), behaviour.name)
+                for behaviour in BEHAVIOURS
+                for long in (False, True)
+            ]
             if self.budget.requests
             else []
         )
 
     # ---- the worker
 
-    def answer(self, did: Did, number: int) -> bytes:
-        lines = [f"HTTP/1.1 {did.says} X"]
-        lines += [f"X-Request-Id: r{number}"] * did.named
-        lines += [f"X-Seal: s{number}"] * (did.says == 200)
-        lines += ["X-Not-Run: 1"] * (did.says == 503)
-        lines += ["Content-Length: 2"] * did.framed
+    def answer(self, behaviour: WorkerBehaviour, number: int) -> bytes:
+        lines = [f"HTTP/1.1 {behaviour.status} X"]
+        lines += [f"X-Request-Id: r{number}"] * behaviour.echoes_id
+        lines += [f"X-Seal: s{number}"] * (behaviour.status == 200)
+        lines += ["X-Not-Run: 1"] * (behaviour.status == 503)
+        lines += ["Content-Length: 2"] * behaviour.framed
         return "\r\n".join([*lines, "", "ok"]).encode()
 
-    def connected(self, socket: Socket) -> None:
-        if self.does.first:
-            socket.unread += self.answer(TURNS_AWAY, 0)
+    def connected(self, socket: FakeSocket) -> None:
+        if self.behaviour.first:
+            socket.unread += self.answer(REJECTION, 0)
 
-    def sent(self, socket: Socket) -> None:
+    def sent(self, socket: FakeSocket) -> None:
         """Something was written to it."""
-        did, head = self.does, socket.got.partition(b"\r\n\r\n")
-        if not head[1] or self.now_said:
+        behaviour, head = self.behaviour, socket.got.partition(b"\r\n\r\n")
+        if not head[1] or self.responded:
             return
-        socket.unread += socket.owed
-        socket.owed = b""
+        socket.unread += socket.on_next_request
+        socket.on_next_request = b""
         whole = len(head[2]) >= self.size
-        if not whole and not did.early:
+        if not whole and not behaviour.early:
             return
-        self.now_said = True
-        if whole and did.runs:
+        self.responded = True
+        if whole and behaviour.runs:
             self.ran[self.number] = True
-        said = self.answer(did, self.number) if did.says else b""
-        if did.late:
-            socket.owed = said
+        response = self.answer(behaviour, self.number) if behaviour.status else b""
+        if behaviour.late:
+            socket.on_next_request = response
         else:
-            socket.unread += said
-            socket.second = said if did.again else b""
-            socket.owed = said if did.crossing else b""
-            socket.ended = did.ends
+            socket.unread += response
+            socket.on_idle = response if behaviour.again else b""
+            socket.on_next_request = response if behaviour.crossing else b""
+            socket.closed_by_peer = behaviour.closes
 
     # ---- the counter
 
-    def do(self, step: Step) -> None:
+    def apply(self, step: Transition) -> None:
         kind, name = step
         self.budget = self.budget._replace(requests=self.budget.requests - 1)
         self.number += 1
-        self.does = next(did for did in DOES if did.name == name)
-        body = LONG if kind == "asks, long" else b"x"
-        self.size, self.now_said = len(body), False
+        self.behaviour = next(behaviour for behaviour in BEHAVIOURS if behaviour.name == name)
+        body = LONG_BODY if kind == "asks, long" else b"x"
+        self.size, self.responded = len(body), False
         for connection in self.pool.kept.get(PLACE[:2], []):
-            connection.sock.got, connection.sock.unread = b"", connection.sock.unread + connection.sock.second
-            connection.sock.second = b""
-        told: list[Any] = []
+            connection.sock.got, connection.sock.unread = (
+                b"",
+                connection.sock.unread + connection.sock.on_idle,
+            )
+            connection.sock.on_idle = b""
+        outcomes: list[Any] = []
         name = f"r{self.number}"
         letter = Letter(mid=name, rid=name, method=b"POST", target=b"/x", host=b"h", body=body)
         delivery = Delivery(
-            PLACE, letter, 1.0, lambda: True, self.pool, LIMITS, lambda end, kept: told.append(end)
+            PLACE, letter, 1.0, lambda: True, self.pool, LIMITS, lambda end, kept: outcomes.append(end)
         )
         delivery.run()
-        self.judge(told, body is LONG)
+        self.check(outcomes, body is LONG_BODY)
 
-    def judge(self, told: list[Any], long: bool) -> None:
-        if len(told) != 1:
-            raise Broken("no end", f"request {self.number} has {len(told)} ends")
-        verdict, seal, _ = told[0]
+    def check(self, outcomes: list[Any], long: bool) -> None:
+        if len(outcomes) != 1:
+            raise PropertyViolation("no end", f"request {self.number} has {len(outcomes)} ends")
+        outcome, seal, _ = outcomes[0]
         ran = self.ran.get(self.number, False)
-        if verdict is DeliveryOutcome.DONE and not (ran and seal == f"s{self.number}"):
-            raise Broken("another's answer", f"request {self.number} is done by seal {seal!r}")
-        if verdict.ran is True and not ran:
-            raise Broken("another's answer", f"request {self.number} never ran and is {verdict.text}")
-        if verdict.ran is False and ran:
-            raise Broken("said not run", f"request {self.number} ran and is {verdict.text}")
-        if verdict is DeliveryOutcome.FULL and self.does.says != 503:
-            raise Broken("another's answer", f"request {self.number} was taken and is {verdict.text}")
-        did = self.does
+        if outcome is DeliveryOutcome.DONE and not (ran and seal == f"s{self.number}"):
+            raise PropertyViolation("another's answer", f"request {self.number} is done by seal {seal!r}")
+        if outcome.ran is True and not ran:
+            raise PropertyViolation(
+                "another's answer", f"request {self.number} never ran and is {outcome.text}"
+            )
+        if outcome.ran is False and ran:
+            raise PropertyViolation("said not run", f"request {self.number} ran and is {outcome.text}")
+        if outcome is DeliveryOutcome.FULL and self.behaviour.status != 503:
+            raise PropertyViolation(
+                "another's answer", f"request {self.number} was taken and is {outcome.text}"
+            )
+        behaviour = self.behaviour
         broken = (
-            not did.framed
-            or did.ends
-            or did.late
-            or (did.early and long)
-            or verdict is DeliveryOutcome.BROKEN
+            not behaviour.framed
+            or behaviour.closes
+            or behaviour.late
+            or (behaviour.early and long)
+            or outcome is DeliveryOutcome.BROKEN
         )
         if broken and self.last in self.pool.kept.get(PLACE[:2], []):
-            raise Broken("beyond a break", f"the connection of request {self.number} is used again")
+            raise PropertyViolation(
+                "beyond a break", f"the connection of request {self.number} is used again"
+            )
 
     def state(self) -> Any:
         kept = [
-            (c.used, c.sock.unread, c.sock.owed, c.sock.second, c.sock.ended)
+            (c.used, c.sock.unread, c.sock.on_next_request, c.sock.on_idle, c.sock.closed_by_peer)
             for c in self.pool.kept.get(PLACE[:2], [])
         ]
         return self.number, kept
--- a/opalwick/lab/verify/command.py
+++ b/opalwick/lab/verify/command.py
@@ -18,71 +18,71 @@
     return typer.Exit(FAULTY)
 
 
-def told(trace: tuple[tuple[Any, ...], ...]) -> None:
+def print_trace(trace: tuple[tuple[Any, ...], ...]) -> None:
     """A way to a breach, a line a step: who, and what befalls it."""
     for number, (kind, who, *rest) in enumerate(trace, 1):
         typer.echo(f"    {number:3} {who} {kind} {' '.join(map(str, rest))}".rstrip())
 
 
-def explored(names: list[str], share: float) -> tuple[int, list[dict[str, Any]], dict[str, Any]]:
+def run_cases(names: list[str], share: float) -> tuple[int, list[dict[str, Any]], dict[str, Any]]:
     """States, what is broken, and a report of each part."""
-    from opalwick.lab.verify.explorer import explore
+    from opalwick.lab.verify.explorer import search_from
     from opalwick.lab.verify.parts import PARTS
 
-    states, broken, parts = 0, list[dict[str, Any]](), dict[str, Any]()
+    states, violations, parts = 0, list[dict[str, Any]](), dict[str, Any]()
     for name in names:
         cases = []
         for case in PARTS[name]:
-            walk = explore(case.root, int(case.most * share))
-            states += walk.states
-            seen = "all" if walk.whole else f"all up to step {walk.depth}, then no more"
+            result = search_from(case.root, int(case.max_states * share))
+            states += result.states
+            coverage = "all" if result.exhaustive else f"all up to step {result.depth}, then no more"
             typer.echo(
-                f"{name}: {case.name}: {walk.states} states, {walk.transitions} transitions, {seen}, "
-                f"{walk.seconds:.1f} s"
+                f"{name}: {case.name}: {result.states} states, {result.transitions} transitions, {coverage}, "
+                f"{result.seconds:.1f} s"
             )
-            if walk.breach is not None:
-                typer.echo(f"  broken: {walk.breach.rule}: {walk.breach.why}")
-                told(walk.breach.trace)
-                broken.append(
+            if result.violation is not None:
+                typer.echo(f"  broken: {result.violation.rule}: {result.violation.detail}")
+                print_trace(result.violation.trace)
+                violations.append(
                     {
                         "part": name,
                         "case": case.name,
-                        "rule": walk.breach.rule,
-                        "why": walk.breach.why,
-                        "steps": len(walk.breach.trace),
+                        "rule": result.violation.rule,
+                        "why": result.violation.detail,
+                        "steps": len(result.violation.trace),
                     }
                 )
             cases.append(
                 {
                     "case": case.name,
-                    "states": walk.states,
-                    "transitions": walk.transitions,
-                    "depth": walk.depth,
-                    "whole": walk.whole,
-                    "seconds": round(walk.seconds, 2),
+                    "states": result.states,
+                    "transitions": result.transitions,
+                    "depth": result.depth,
+                    "whole": result.exhaustive,
+                    "seconds": round(result.seconds, 2),
                 }
             )
         parts[name] = {"states": sum(case["states"] for case in cases), "cases": cases}
-    return states, broken, parts
+    return states, violations, parts
 
 
-def played(names: list[str]) -> tuple[int, int]:
+def run_mutants(names: list[str]) -> tuple[int, int]:
     """Mutants, and how many were caught."""
-    from opalwick.lab.verify.mutants import MUTANTS, caught
+    from opalwick.lab.verify.mutants import MUTANTS, search_mutant
 
-    all_of = {name: mutant for name, mutant in MUTANTS.items() if mutant.part in names}
+    selected = {name: mutant for name, mutant in MUTANTS.items() if mutant.part in names}
     found = 0
-    for name, mutant in all_of.items():
-        walk = caught(name)
-        if walk.breach is not None and walk.breach.rule in mutant.rules:
+    for name, mutant in selected.items():
+        result = search_mutant(name)
+        if result.violation is not None and result.violation.rule in mutant.rules:
             found += 1
             typer.echo(
-                f"mutant {name}: caught: {walk.breach.rule}, {len(walk.breach.trace)} steps, "
-                f"{walk.states} states"
+                f"mutant {name}: caught: {result.violation.rule}, {len(result.violation.trace)} steps, "
+                f"{result.states} states"
             )
         else:
-            typer.echo(f"mutant {name}: NOT caught in {walk.states} states: {walk.breach}")
-    return len(all_of), found
+            typer.echo(f"mutant {name}: NOT caught in {result.states} states: {result.violation}")
+    return len(selected), found
 
 
 @app.command()
@@ -104,20 +104,20 @@
         raise fail(f"--share {share:g}: more than 0, at most 1000")
     names = [name for name in NAMES if name in (part or NAMES)]
     try:
-        states, broken, parts = explored(names, share)
-        planted, found = played(names) if mutants else (0, 0)
+        states, violations, parts = run_cases(names, share)
+        planted, found = run_mutants(names) if mutants else (0, 0)
     except ModuleNotFoundError as problem:
         raise fail(
             f"{problem.name} is missing: pip install 'opalwick[post]', or -r requirements-post.txt"
         ) from None
     typer.echo(
-        f"{states} states, {len(broken)} broken"
+        f"{states} states, {len(violations)} broken"
         + (f", {found} of {planted} planted faults caught" if mutants else "")
     )
     if as_json:
         typer.echo(
             json.dumps(
-                {"states": states, "broken": broken, "mutants": planted, "caught": found, "parts": parts}
+                {"states": states, "broken": violations, "mutants": planted, "caught": found, "parts": parts}
             )
         )
-    raise typer.Exit(BROKEN if broken or found < planted else 0)
+    raise typer.Exit(BROKEN if violations or found < planted else 0)
--- a/opalwick/lab/verify/depots.py
+++ b/opalwick/lab/verify/depots.py
@@ -14,10 +14,10 @@
 from types import SimpleNamespace
 from typing import Any, NamedTuple
 
-from opalwick.lab.verify.copying import Copier, Seen
-from opalwick.lab.verify.explorer import Broken, Step
-from opalwick.lab.verify.rows import Rows
-from opalwick.lab.verify.words import Said, packed, unpacked
+from opalwick.lab.verify.copying import Copier, Canonicalizer
+from opalwick.lab.verify.explorer import PropertyViolation, Transition
+from opalwick.lab.verify.rows import InMemoryDisk
+from opalwick.lab.verify.words import EncodedMessage, encode, decode
 from opalwick.post.counter.desks import Dispatcher, WaitQueue
 from opalwick.post.counter.item import Start
 from opalwick.post.counter.role import Gateway
@@ -33,7 +33,7 @@
 
 STEP = 0.5  # s: the margin; a lapse is four, a depot that acts is away after three, none stood still for one
 FAR = 4.0  # s: older than this is just old: the longest span in play is SETTLE's double, 3
-COPIES = 2  # survive.boxes + 1
+REPLICAS = 2  # survive.boxes + 1
 RETAIN = 60.0  # s that a message is worth keeping: longer than any history
 CONF = Conf(
     gen=1,
@@ -42,10 +42,10 @@
     routes=[Route(name="r", host="h", stem="/", svc="s", tries=3, retain=RETAIN, limit=1.5, deferred=True)],
 )
 # nothing follows at the one it befalls until something else does
-QUIET = {"stands still", "wakes", "time", "holds up", "lets go", "cut"}
+WITHOUT_EFFECTS = {"stands still", "wakes", "time", "holds up", "lets go", "cut"}
 LOST, JOINED = ("lost", b""), "joined"  # in a link's words: it has ended; it is up, and who is there
 
-Way = tuple[str, str]
+Direction = tuple[str, str]
 
 
 class Budget(NamedTuple):
@@ -64,20 +64,22 @@
     retire: int = 0
     unheard: int = 0  # processes that hear of the retirement later, or start without having heard of it
     together: int = 0  # a process reads all that has come to it before it carries out what follows
-    turns: int = -1  # how often another than the next comes first; -1: all orders are seen
+    reorderings: int = -1  # how often another than the next comes first; -1: all orders are seen
 
-    def less(self, name: str) -> Budget:
+    def spend(self, name: str) -> Budget:
         return self._replace(**{name: getattr(self, name) - 1})
 
 
-class Line:
+class LinkStub:
     """A link, as a role sees it."""
 
-    def __init__(self, peer: Hello, number: int, out: list[tuple[str, int, Said]], now: float) -> None:
+    def __init__(
+        self, peer: Hello, number: int, out: list[tuple[str, int, EncodedMessage]], now: float
+    ) -> None:
         self.peer, self.number, self.out, self.last_received = peer, number, out, now
 
-    def send(self, kind: str, word: Any) -> None:
-        self.out.append((self.peer.node, self.number, packed(kind, word)))
+    def send(self, kind: str, message: Any) -> None:
+        self.out.append((self.peer.node, self.number, encode(kind, message)))
 
 
 class Client:
@@ -117,12 +119,12 @@
     def decay_load_estimates(self) -> None: ...
 
 
-class StillChance:
+class FixedRandom:
     def draw(self) -> float:
         return 0.5
 
 
-class Taking(Gateway):
+class GatewayUnderTest(Gateway):
     last_mid = ""  # of the message that was offered last
 
     def event(self, number: int, **fields: Any) -> None: ...
@@ -132,19 +134,19 @@
         self.last_mid = message.mid
 
 
-class Holding(StoreRole):
+class StoreUnderTest(StoreRole):
     def event(self, number: int, **fields: Any) -> None: ...
 
 
 class Machine:
     """A process, if it runs, its disk, its clients' answers and its deliveries."""
 
-    def __init__(self, me: str, disk: Rows | None) -> None:
+    def __init__(self, me: str, disk: InMemoryDisk | None) -> None:
         self.me, self.disk, self.life = me, disk, 0
         self.role: Any = None
-        self.out: list[tuple[str, int, Said]] = []
+        self.out: list[tuple[str, int, EncodedMessage]] = []
         self.answers: list[int] = []
-        self.flights: list[Start] = []
+        self.deliveries: list[Start] = []
         self.batch: tuple[list[Write], list[Fetch]] | None = None
 
 
@@ -154,24 +156,24 @@
 
 
 SETTINGS = {me: settings(me) for me in ("c1", "c2", "d1", "d2", "d3")}
-SHARED = (Settings, Routes, StillChance)
+SHARED = (Settings, Routes, FixedRandom)
 # bookkeeping, and what never changes
-OUT = ("settings", "chance", "wanted", "heard_at_line", "names", "routes", "directory", "desk_service")
+IGNORED = ("settings", "chance", "wanted", "heard_at_line", "names", "routes", "directory", "desk_service")
 
 
-class Depots:
+class StoreModel:
     """Rules: `early 202`, `early word`, `copies`, `two deliverers`."""
 
     def __init__(self, budget: Budget, depots: tuple[str, ...] = ("d1", "d2")) -> None:
         self.budget, self.now = budget, 0.0
         self.depots, self.counters = depots, ("c1", "c2")
         self.names = (*depots, *self.counters)
-        self.machines = {me: Machine(me, Rows(me) if me in depots else None) for me in self.names}
-        self.links: dict[Way, tuple[Said, ...]] = {}
-        self.numbers: dict[Way, int] = {pair: 0 for pair in self.pairs()}  # of the link between two
-        self.apart: frozenset[Way] = frozenset(self.pairs())  # no link
-        self.cuts: frozenset[Way] = frozenset()
-        self.held: frozenset[Way] = frozenset()
+        self.machines = {me: Machine(me, InMemoryDisk(me) if me in depots else None) for me in self.names}
+        self.links: dict[Direction, tuple[EncodedMessage, ...]] = {}
+        self.numbers: dict[Direction, int] = {pair: 0 for pair in self.pairs()}  # of the link between two
+        self.unlinked: frozenset[Direction] = frozenset(self.pairs())  # no link
+        self.cuts: frozenset[Direction] = frozenset()
+        self.held: frozenset[Direction] = frozenset()
         self.frozen: frozenset[str] = frozenset()
         self.retiring: frozenset[str] = frozenset()
         self.unheard: frozenset[str] = frozenset()  # who has not heard of that yet
@@ -184,18 +186,18 @@
         for me in self.names:
             self.start(me)
 
-    def pairs(self) -> list[Way]:
+    def pairs(self) -> list[Direction]:
         """Who has links with whom; in one order."""
         found = [(a, b) for a in self.depots for b in self.depots if a < b]
         return found + [(c, d) for c in self.counters for d in self.depots]
 
-    def pair(self, a: str, b: str) -> Way:
+    def pair(self, a: str, b: str) -> Direction:
         return (a, b) if (a, b) in self.numbers else (b, a)
 
     # ---- states
 
-    def copy(self) -> Depots:
-        new = Depots.__new__(Depots)
+    def copy(self) -> StoreModel:
+        new = StoreModel.__new__(StoreModel)
         new.__dict__.update(self.__dict__)
         for name in ("machines", "links", "numbers", "marks"):
             setattr(new, name, dict(getattr(self, name)))
@@ -216,13 +218,13 @@
         for me, machine in self.machines.items():
             mark = self.marks.get(me)
             if mark is None or mark[0] is not machine or mark[1] != self.now:
-                text = repr(Seen(self.now, FAR, SHARED, OUT).seen(machine))
+                text = repr(Canonicalizer(self.now, FAR, SHARED, IGNORED).canonical(machine))
                 mark = self.marks[me] = machine, self.now, text
             parts.append(mark[2])
         rest = (
             sorted(self.links.items()),
             sorted(self.numbers.items()),
-            sorted(self.apart),
+            sorted(self.unlinked),
             sorted(self.cuts),
             sorted(self.held),
             sorted(self.frozen),
@@ -240,15 +242,17 @@
 
     # ---- what may happen
 
-    def open(self, sender: str, me: str) -> bool:
+    def is_open(self, sender: str, me: str) -> bool:
         return (sender, me) not in self.held and self.pair(sender, me) not in self.cuts
 
     def runs(self, me: str) -> bool:
         return self.machines[me].role is not None and me not in self.frozen
 
-    def of_itself(self) -> list[Step]:
-        found: list[Step] = [
-            ("hears", way[1], way[0]) for way in sorted(self.links) if self.runs(way[1]) and self.open(*way)
+    def internal_transitions(self) -> list[Transition]:
+        found: list[Transition] = [
+            ("hears", way[1], way[0])
+            for way in sorted(self.links)
+            if self.runs(way[1]) and self.is_open(*way)
         ]
         found += [
             ("synced", me) for me in self.depots if self.runs(me) and self.machines[me].batch is not None
@@ -259,18 +263,18 @@
             ]
         return found
 
-    def steps(self) -> list[Step]:
+    def enabled(self) -> list[Transition]:
         left = self.budget
-        ready = self.of_itself()
-        found = ready if left.turns else ready[:1]
+        ready = self.internal_transitions()
+        found = ready if left.reorderings else ready[:1]
         if left.together:  # all that lies in its sockets, before it looks at what follows
             for me in self.names:
-                senders = [way[0] for way in sorted(self.links) if way[1] == me and self.open(*way)]
+                senders = [way[0] for way in sorted(self.links) if way[1] == me and self.is_open(*way)]
                 if self.runs(me) and sum(len(self.links[one, me]) for one in senders) > 1:
                     found.append(("hears all", me, *senders))
-        if left.time and not any(step[0] == "hears" for step in ready) and (left.turns or not ready):
+        if left.time and not any(step[0] == "hears" for step in ready) and (left.reorderings or not ready):
             found.append(("time", ""))
-        quiet = left.turns != 0 or not ready
+        quiet = left.reorderings != 0 or not ready
         if left.offers and quiet:
             found += [("offers", me) for me in self.counters[:1] if self.runs(me)]
         if left.retire and quiet and not self.retiring:
@@ -280,7 +284,7 @@
         found += [("hears of it", me) for me in sorted(self.unheard) if self.runs(me) and quiet]
         found += [("is taken away", me) for me in sorted(self.complete - self.away)]
         for me in self.counters:
-            if left.ends and quiet and self.runs(me) and self.machines[me].flights:
+            if left.ends and quiet and self.runs(me) and self.machines[me].deliveries:
                 found.append(("has a success", me))
         for me, machine in self.machines.items():
             if me in self.away:
@@ -303,36 +307,36 @@
         for a, b in self.pairs():
             if (a, b) in self.cuts:
                 found.append(("joined", a, b))
-                if (a, b) not in self.apart:
+                if (a, b) not in self.unlinked:
                     found.append(("give each other up", a, b))
             for way in ((a, b), (b, a)):
                 if way in self.held:
                     found.append(("lets go", way[1], way[0]))
-                elif left.hold and a in self.counters and (a, b) not in self.apart:
+                elif left.hold and a in self.counters and (a, b) not in self.unlinked:
                     found.append(("holds up", way[1], way[0]))
-            if (a, b) not in self.cuts | self.apart and (left.cut if a in self.counters else left.split):
+            if (a, b) not in self.cuts | self.unlinked and (left.cut if a in self.counters else left.split):
                 found.append(("cut", a, b))
         return found
 
-    def after(self, step: Step) -> Depots:
+    def successor(self, step: Transition) -> StoreModel:
         kind, me, *rest = step
         new = self.copy()
         new.fresh = []
-        ready = self.of_itself() if self.budget.turns > 0 else []
+        ready = self.internal_transitions() if self.budget.reorderings > 0 else []
         if (
             ready
             and step != ready[0]
             and kind in ("hears", "synced", "sends", "time", "offers", "retires", "has a success")
         ):
-            new.budget = new.budget.less("turns")
+            new.budget = new.budget.spend("reorderings")
         match kind:
             case "hears":
-                new.hears(me, rest[0])
+                new.receive_next(me, rest[0])
             case "hears all":
-                new.budget = new.budget.less("together")
+                new.budget = new.budget.spend("together")
                 for sender in rest:
                     while (sender, me) in new.links:
-                        new.hears(me, sender)
+                        new.receive_next(me, sender)
             case "synced":
                 machine = new.at(me)
                 assert machine.batch is not None
@@ -340,45 +344,45 @@
                 machine.role.clock(new.now)
                 machine.role.synced(*batch, run_batch(machine.disk, 0.0, *batch))  # type: ignore[arg-type]
             case "sends" | "has a success":
-                new.delivers(me, kind)
+                new.deliver(me, kind)
             case "time":
-                new.budget, new.now = new.budget.less("time"), self.now + STEP
+                new.budget, new.now = new.budget.spend("time"), self.now + STEP
                 new.time()
             case "offers":
-                new.budget, new.offered = new.budget.less("offers"), self.offered + 1
+                new.budget, new.offered = new.budget.spend("offers"), self.offered + 1
                 role = new.at(me).role
                 role.clock(new.now)
                 letter = Letter(rid=f"r{new.offered}", host=b"h", method=b"POST", target=b"/", body=b"x")
                 role.offered(Client(new.machines[me].answers), SimpleNamespace(first_at=new.now), letter, 0.0)
             case "retires":
-                new.budget, new.retiring = new.budget.less("retire"), frozenset({me})
-                new.told_all()
+                new.budget, new.retiring = new.budget.spend("retire"), frozenset({me})
+                new.update_directories()
             case "retires, unheard":
-                new.budget = new.budget.less("retire").less("unheard")
+                new.budget = new.budget.spend("retire").spend("unheard")
                 new.retiring, new.unheard = frozenset({me}), frozenset(rest)
-                new.told_all()
+                new.update_directories()
             case "hears of it":
                 new.unheard = self.unheard - {me}
-                new.news(me)
+                new.update_directory(me)
             case "is taken away":
                 new.ends(me, "is taken away")
             case "crashes" | "crashes, written" | "loses its disk":
-                new.budget = new.budget.less("wipe" if kind == "loses its disk" else "crash")
+                new.budget = new.budget.spend("wipe" if kind == "loses its disk" else "crash")
                 new.ends(me, kind)
             case "starts":
                 new.start(me)
             case "starts, unheard":
-                new.budget, new.unheard = new.budget.less("unheard"), self.unheard | {me}
+                new.budget, new.unheard = new.budget.spend("unheard"), self.unheard | {me}
                 new.start(me)
             case "stands still":
-                new.budget, new.frozen = new.budget.less("freeze"), self.frozen | {me}
+                new.budget, new.frozen = new.budget.spend("freeze"), self.frozen | {me}
             case "wakes":
                 new.frozen = self.frozen - {me}
             case "cut":
-                new.budget = new.budget.less("cut" if me in self.counters else "split")
+                new.budget = new.budget.spend("cut" if me in self.counters else "split")
                 new.cuts = self.cuts | {(me, rest[0])}
             case "holds up":
-                new.budget, new.held = new.budget.less("hold"), self.held | {(rest[0], me)}
+                new.budget, new.held = new.budget.spend("hold"), self.held | {(rest[0], me)}
             case "lets go":
                 new.held = self.held - {(rest[0], me)}
             case "give each other up":
@@ -387,59 +391,61 @@
                         a not in self.frozen
                     ):  # what lies in the sockets of one that stands still is read first
                         new.links.pop((b, a), None)
-                new.part(me, rest[0])
+                new.link_down(me, rest[0])
             case "joined":
                 new.cuts = self.cuts - {(me, rest[0])}
-                new.join(me, rest[0])
-        if me and new.machines[me].role is not None and kind not in QUIET:
+                new.link_up(me, rest[0])
+        if me and new.machines[me].role is not None and kind not in WITHOUT_EFFECTS:
             new.settle(me)
-        new.judge()
+        new.check()
         return new
 
     # ---- links
 
-    def part(self, a: str, b: str) -> None:
+    def link_down(self, a: str, b: str) -> None:
         pair = self.pair(a, b)
-        if pair in self.apart or pair not in self.numbers:
+        if pair in self.unlinked or pair not in self.numbers:
             return
-        self.apart |= {pair}
+        self.unlinked |= {pair}
         for me, other in ((a, b), (b, a)):
             if self.machines[me].role is not None:
                 self.links[other, me] = (*self.links.get((other, me), ()), LOST)
 
-    def join(self, a: str, b: str) -> None:
+    def link_up(self, a: str, b: str) -> None:
         """A link comes up, where both run and none is cut off."""
         pair = self.pair(a, b)
         if (
-            pair not in self.apart
+            pair not in self.unlinked
             or pair in self.cuts
             or None in (self.machines[a].role, self.machines[b].role)
         ):
             return
-        self.apart -= {pair}
+        self.unlinked -= {pair}
         self.numbers[pair] += 1
         for me, other in ((a, b), (b, a)):
-            said = JOINED, self.machines[other].role.hello().SerializeToString()
-            self.links[other, me] = (*self.links.get((other, me), ()), said)
+            encoded = JOINED, self.machines[other].role.hello().SerializeToString()
+            self.links[other, me] = (*self.links.get((other, me), ()), encoded)
 
-    def hears(self, me: str, sender: str) -> None:
-        said, *others = self.links.pop((sender, me))
+    def receive_next(self, me: str, sender: str) -> None:
+        encoded, *others = self.links.pop((sender, me))
         if others:
             self.links[sender, me] = tuple(others)
         machine = self.at(me)
         role = machine.role
         role.clock(self.now)
         line = role.link(sender)
-        if said == LOST:
+        if encoded == LOST:
             if line is not None:
                 role.remove_link(line)
-        elif said[0] == JOINED:
+        elif encoded[0] == JOINED:
             role.add_link(
-                Line(Hello.FromString(said[1]), self.numbers[self.pair(me, sender)], machine.out, self.now)
+                LinkStub(
+                    Hello.FromString(encoded[1]), self.numbers[self.pair(me, sender)], machine.out, self.now
+                )
             )
         elif line is not None:
             line.last_received = self.now
-            role.receive(line, said[0], unpacked(said))
+            role.receive(line, encoded[0], decode(encoded))
 
     def time(self) -> None:
         """All look at the time, and say their pulses; those come at once where nothing is before them."""
@@ -459,12 +465,12 @@
                 if line is None or line.number != self.numbers[self.pair(me, other)]:
                     continue
                 line.send("pulse", role.heartbeat(line))
-                if (me, other) not in self.links and self.runs(other) and self.open(me, other):
+                if (me, other) not in self.links and self.runs(other) and self.is_open(me, other):
                     quick.append((me, other))
             self.settle(me)
         for way in quick:
             if len(self.links.get(way, ())) == 1:
-                self.hears(way[1], way[0])
+                self.receive_next(way[1], way[0])
                 self.settle(way[1])
 
     # ---- processes
@@ -476,27 +482,27 @@
         machine.life += 1
         if me in self.depots:
             assert machine.disk is not None
-            role: Any = Holding(SETTINGS[me], machine.life, self.now, machine.disk.id)
+            role: Any = StoreUnderTest(SETTINGS[me], machine.life, self.now, machine.disk.id)
             load(role, machine.disk, 0.0)  # type: ignore[arg-type]
             # as offices tell it: who is there
             role.store.expected = {other for other in self.names if other != me}
         else:
-            role = Taking(SETTINGS[me], machine.life, self.now, 8, bytes)
-            role.rounds.chance = StillChance()
+            role = GatewayUnderTest(SETTINGS[me], machine.life, self.now, 8, bytes)
+            role.rounds.chance = FixedRandom()
             role.confirmed = True
         machine.role = role
         role.clock(self.now)
-        self.news(me)
+        self.update_directory(me)
         for other in self.names:
             if other != me:
-                self.join(*self.pair(me, other))
+                self.link_up(*self.pair(me, other))
 
-    def told_all(self) -> None:
+    def update_directories(self) -> None:
         for me in self.names:
             if self.machines[me].role is not None:
-                self.news(me)
+                self.update_directory(me)
 
-    def news(self, me: str) -> None:
+    def update_directory(self, me: str) -> None:
         role = self.at(me).role
         conf = Conf.FromString(CONF.SerializeToString())
         retiring = frozenset() if me in self.unheard else self.retiring
@@ -517,16 +523,16 @@
             run_batch(machine.disk, 0.0, *machine.batch)  # type: ignore[arg-type]
         elif how == "loses its disk":
             self.wiped += 1
-            machine.disk = Rows(f"{me}-{machine.life}")
+            machine.disk = InMemoryDisk(f"{me}-{machine.life}")
         elif how == "is taken away":  # with its disk, which is no loss: it has said that it is empty
             self.away |= {me}
-            machine.disk = Rows(f"{me}-none")
-        machine.role, machine.batch, machine.flights, machine.answers, machine.out = None, None, [], [], []
+            machine.disk = InMemoryDisk(f"{me}-none")
+        machine.role, machine.batch, machine.deliveries, machine.answers, machine.out = None, None, [], [], []
         self.frozen -= {me}
         for other in self.names:
             if other != me:
                 self.links.pop((other, me), None)
-                self.part(me, other)
+                self.link_down(me, other)
 
     def settle(self, me: str) -> None:
         """What follows is carried out: words go onto their links, what is to be written to the disk."""
@@ -537,28 +543,28 @@
             machine.batch = role.batch()
         out = list(machine.out)
         machine.out.clear()
-        for to, number, said in out:
-            self.judge_word(me, to, machine, said)
+        for to, number, encoded in out:
+            self.check_message(me, to, machine, encoded)
             pair = self.pair(me, to)
-            if number == self.numbers[pair] and pair not in self.apart:
-                self.links[me, to] = (*self.links.get((me, to), ()), said)
+            if number == self.numbers[pair] and pair not in self.unlinked:
+                self.links[me, to] = (*self.links.get((me, to), ()), encoded)
         for status in machine.answers:
-            self.judge_answer(status)
+            self.check_answer(status)
         machine.answers.clear()
 
-    def delivers(self, me: str, kind: str) -> None:
+    def deliver(self, me: str, kind: str) -> None:
         machine = self.at(me)
         role = machine.role
         role.clock(self.now)
         if kind == "has a success":
-            self.budget = self.budget.less("ends")
-            role.delivery_ended(machine.flights.pop(0), DeliveryOutcome.DONE, "seal", None, False)
+            self.budget = self.budget.spend("ends")
+            role.delivery_ended(machine.deliveries.pop(0), DeliveryOutcome.DONE, "seal", None, False)
             return
         order = role.commands.pop(0)
         if isinstance(order, Start):
             if role.may_start(order):
-                self.budget = self.budget.less("sends")
-                machine.flights.append(order)
+                self.budget = self.budget.spend("sends")
+                machine.deliveries.append(order)
             else:
                 role.delivery_ended(order, DeliveryOutcome.NOT_SENT, "", None, False)
 
@@ -576,48 +582,50 @@
     def has_end(machine: Machine, mid: str) -> bool:
         return machine.disk is not None and mid in machine.disk.ends_of
 
-    def judge_word(self, me: str, to: str, machine: Machine, said: Said) -> None:
-        if machine.disk is None or said[0] not in ("kept", "ended"):
+    def check_message(self, me: str, to: str, machine: Machine, encoded: EncodedMessage) -> None:
+        if machine.disk is None or encoded[0] not in ("kept", "ended"):
             return
-        word = unpacked(said)
-        there = word.mid in machine.disk.ends_of or (
-            said[0] == "kept" and word.mid in machine.disk.letters_of
+        message = decode(encoded)
+        there = message.mid in machine.disk.ends_of or (
+            encoded[0] == "kept" and message.mid in machine.disk.letters_of
         )
-        if said[0] == "kept" and word.mid in machine.disk.dropped:
+        if encoded[0] == "kept" and message.mid in machine.disk.dropped:
             # dropped in the batch that it was kept in: who ordered that has given it up, and promises nothing
             role = self.machines[to].role
-            there = there or role is None or (to in self.counters and word.mid not in role.intake.pending)
-        if not there and not (said[0] == "kept" and word.refused):
-            raise Broken("early word", f"{me} says {said[0]} of {word.mid}, which is not on its disk")
+            there = there or role is None or (to in self.counters and message.mid not in role.intake.pending)
+        if not there and not (encoded[0] == "kept" and message.refused):
+            raise PropertyViolation(
+                "early word", f"{me} says {encoded[0]} of {message.mid}, which is not on its disk"
+            )
 
-    def judge_answer(self, status: int) -> None:
+    def check_answer(self, status: int) -> None:
         if status != 202:
             return
         mid = self.mid()
-        if self.has(mid) + self.wiped < COPIES:
-            raise Broken("early 202", f"{mid} is on {self.has(mid)} disks")
+        if self.has(mid) + self.wiped < REPLICAS:
+            raise PropertyViolation("early 202", f"{mid} is on {self.has(mid)} disks")
         self.accepted |= {mid}
 
     def mid(self) -> str:
         """The message that was offered last: one at a time is."""
         return str(self.machines["c1"].role.last_mid)
 
-    def judge(self) -> None:
-        if all(self.has(mid) >= COPIES for mid in self.accepted) and self.offered == len(self.accepted):
+    def check(self) -> None:
+        if all(self.has(mid) >= REPLICAS for mid in self.accepted) and self.offered == len(self.accepted):
             self.wiped = 0  # all is whole again
         for mid in self.accepted:
-            if self.has(mid) + self.wiped < COPIES:
-                raise Broken("copies", f"{mid} was accepted and is on {self.has(mid)} disks")
+            if self.has(mid) + self.wiped < REPLICAS:
+                raise PropertyViolation("copies", f"{mid} was accepted and is on {self.has(mid)} disks")
             able = [me for me in self.counters if self.may_send(me, mid)]
             if len(able) > 1:
-                raise Broken("two deliverers", f"{' and '.join(able)} may send {mid}")
+                raise PropertyViolation("two deliverers", f"{' and '.join(able)} may send {mid}")
         for me in self.depots:
             machine = self.machines[me]
             if machine.role is not None:
                 for mid in machine.role.store.ends:
                     state = machine.role.store.state(mid).state
                     if state == MessageState.COMPLETE and not self.has_end(machine, mid):
-                        raise Broken(
+                        raise PropertyViolation(
                             "early word", f"{me} tells askers that {mid} is complete, not on its disk"
                         )
 
--- a/opalwick/lab/verify/explorer.py
+++ b/opalwick/lab/verify/explorer.py
@@ -6,104 +6,104 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple, Protocol
 
-Step = tuple[Any, ...]  # what happens, to whom; its first part is the kind
+Transition = tuple[Any, ...]  # what happens, to whom; its first part is the kind
 
 
-class Broken(Exception):
+class PropertyViolation(Exception):
     """A property does not hold."""
 
-    def __init__(self, rule: str, why: str) -> None:
-        super().__init__(f"{rule}: {why}")
-        self.rule, self.why = rule, why
-        self.trace: tuple[Step, ...] = ()
+    def __init__(self, rule: str, detail: str) -> None:
+        super().__init__(f"{rule}: {detail}")
+        self.rule, self.detail = rule, detail
+        self.trace: tuple[Transition, ...] = ()
 
 
-class World(Protocol):
+class State(Protocol):
     """One state. Nothing alters it once it was returned."""
 
-    def steps(self) -> list[Step]:
+    def enabled(self) -> list[Transition]:
         """All that may happen next, in an order that depends on nothing else."""
 
-    def after(self, step: Step) -> World:
+    def successor(self, step: Transition) -> State:
         """`Broken` where a property does not hold there."""
 
     def key(self) -> bytes:
         """The same for states that go on in the same way, and for no others."""
 
 
-class Breach(NamedTuple):
+class Violation(NamedTuple):
     rule: str
-    why: str
-    trace: tuple[Step, ...]
+    detail: str
+    trace: tuple[Transition, ...]
 
 
-class Walk(NamedTuple):
+class SearchResult(NamedTuple):
     states: int
     transitions: int
     depth: int  # up to which all was seen
-    whole: bool  # nothing is left beyond it
-    breach: Breach | None
+    exhaustive: bool  # nothing is left beyond it
+    violation: Violation | None
     seconds: float
 
 
-def explore(root: Callable[[], World], most: int, seconds: float = 1e9) -> Walk:
+def search_from(root: Callable[[], State], max_states: int, seconds: float = 1e9) -> SearchResult:
     """From where a calm way leads, which may be broken itself."""
     try:
-        return walk(root(), most, seconds)
-    except Broken as problem:
-        return Walk(
+        return search(root(), max_states, seconds)
+    except PropertyViolation as problem:
+        return SearchResult(
             len(problem.trace),
             len(problem.trace),
             0,
             False,
-            Breach(problem.rule, problem.why, problem.trace),
+            Violation(problem.rule, problem.detail, problem.trace),
             0.0,
         )
 
 
-def walk(root: World, most: int = 1 << 62, seconds: float = 1e9) -> Walk:
+def search(root: State, max_states: int = 1 << 62, seconds: float = 1e9) -> SearchResult:
     """Up to the first breach, or until so many states are known."""
     began = time.monotonic()
-    known = {root.key()}
-    ways: list[tuple[int, Step]] = [(-1, ())]
-    layer: list[tuple[World, int]] = [(root, 0)]
+    visited = {root.key()}
+    parents: list[tuple[int, Transition]] = [(-1, ())]
+    layer: list[tuple[State, int]] = [(root, 0)]
     transitions = depth = 0
 
-    def way(at: int, last: Step) -> tuple[Step, ...]:
-        found = [last]
-        while ways[at][0] >= 0:
-            at, step = ways[at]
-            found.append(step)
-        return tuple(reversed(found))
+    def path_to(index: int, last: Transition) -> tuple[Transition, ...]:
+        path = [last]
+        while parents[index][0] >= 0:
+            index, step = parents[index]
+            path.append(step)
+        return tuple(reversed(path))
 
-    def end(whole: bool, breach: Breach | None = None) -> Walk:
-        return Walk(len(known), transitions, depth, whole, breach, time.monotonic() - began)
+    def result(exhaustive: bool, violation: Violation | None = None) -> SearchResult:
+        return SearchResult(len(visited), transitions, depth, exhaustive, violation, time.monotonic() - began)
 
     while layer:
-        after: list[tuple[World, int]] = []
-        for world, at in layer:
-            for step in world.steps():
+        next_layer: list[tuple[State, int]] = []
+        for world, index in layer:
+            for step in world.enabled():
                 transitions += 1
                 try:
-                    new = world.after(step)
-                except Broken as problem:
-                    return end(False, Breach(problem.rule, problem.why, way(at, step)))
+                    reached = world.successor(step)
+                except PropertyViolation as problem:
+                    return result(False, Violation(problem.rule, problem.detail, path_to(index, step)))
                 except Exception as problem:  # noqa: BLE001 - a core that raises is a finding
-                    return end(False, Breach("fault", repr(problem), way(at, step)))
-                key = new.key()
-                if key not in known:
-                    known.add(key)
-                    ways.append((at, step))
-                    after.append((new, len(ways) - 1))
-            if len(known) >= most or time.monotonic() - began > seconds:
-                return end(False)
-        layer = after
+                    return result(False, Violation("fault", repr(problem), path_to(index, step)))
+                key = reached.key()
+                if key not in visited:
+                    visited.add(key)
+                    parents.append((index, step))
+                    next_layer.append((reached, len(parents) - 1))
+            if len(visited) >= max_states or time.monotonic() - began > seconds:
+                return result(False)
+        layer = next_layer
         depth += bool(layer)
-    return end(True)
+    return result(True)
 
 
-def play(world: World, trace: tuple[Step, ...]) -> World:
+def replay(world: State, trace: tuple[Transition, ...]) -> State:
     """Goes that way, whatever it comes to."""
     for step in trace:
-        world = world.after(step)
+        world = world.successor(step)
     return world
--- a/opalwick/lab/verify/mutants.py
+++ b/opalwick/lab/verify/mutants.py
@@ -7,9 +7,9 @@
 from contextlib import contextmanager
 from typing import Any, NamedTuple
 
-from opalwick.lab.verify.answers import Answers
-from opalwick.lab.verify.explorer import Walk, World, explore
-from opalwick.lab.verify.notices import Notices, Replaced
+from opalwick.lab.verify.answers import ResponseModel
+from opalwick.lab.verify.explorer import SearchResult, State, search_from
+from opalwick.lab.verify.notices import NoticeModel, ReplacedVotersModel
 from opalwick.lab.verify.parts import (
     ALONE,
     BACK,
@@ -55,28 +55,28 @@
 from opalwick.post.wire_pb2 import Written
 
 Patch = Callable[[Any, str, Any], None]
-MOST = 30000  # states in which a mutant must be found
+MAX_STATES = 30000  # states in which a mutant must be found
 
 
 class Mutant(NamedTuple):
     part: str
     plant: Callable[[Patch], None]
-    root: Callable[[], World]
+    root: Callable[[], State]
     rules: tuple[str, ...]
 
 
 MUTANTS: dict[str, Mutant] = {}
 
 
-def mutant(part: str, root: Callable[[], World], *rules: str) -> Callable[[Callable[[Patch], None]], None]:
-    def note(plant: Callable[[Patch], None]) -> None:
+def mutant(part: str, root: Callable[[], State], *rules: str) -> Callable[[Callable[[Patch], None]], None]:
+    def register(plant: Callable[[Patch], None]) -> None:
         MUTANTS[plant.__name__] = Mutant(part, plant, root, rules)
 
-    return note
+    return register
 
 
 @contextmanager
-def planted(found: Mutant) -> Iterator[None]:
+def planted_mutant(found: Mutant) -> Iterator[None]:
     undo: list[tuple[Any, str, Any]] = []
 
     def patch(where: Any, name: str, what: Any) -> None:
@@ -91,17 +91,17 @@
             setattr(where, name, was)
 
 
-def caught(name: str, most: int = MOST) -> Walk:
+def search_mutant(name: str, max_states: int = MAX_STATES) -> SearchResult:
     """What the explorer finds with it; the way there is calm and goes with the fault, too."""
     found = MUTANTS[name]
-    with planted(found):
-        return explore(found.root, most)
+    with planted_mutant(found):
+        return search_from(found.root, max_states)
 
 
 # ---- takeover
 
 
-@mutant("takeover", office(Takeover(puts=1, turns=0), *SERVES), "lost")
+@mutant("takeover", office(Takeover(puts=1, reorderings=0), *SERVES), "lost")
 def acknowledged_on_one_disk(patch: Patch) -> None:
     def alone(self: Views) -> None:
         first = self.queue[0]
@@ -112,7 +112,7 @@
     patch(Views, "write_next", alone)
 
 
-@mutant("takeover", office(Takeover(puts=1, turns=0), *OVERTAKEN), "lost", "two texts", "stale answer")
+@mutant("takeover", office(Takeover(puts=1, reorderings=0), *OVERTAKEN), "lost", "two texts", "stale answer")
 def stale_writes_accepted(patch: Patch) -> None:
     def write(self: Views, sender: str, word: Any) -> None:
         self.conf = word.conf
@@ -121,7 +121,7 @@
     patch(Views, "write", write)
 
 
-@mutant("takeover", office(Takeover(reads=1, puts=1, turns=0), *TAKEN), "stale answer")
+@mutant("takeover", office(Takeover(reads=1, puts=1, reorderings=0), *TAKEN), "stale answer")
 def reads_answered_by_itself(patch: Patch) -> None:
     def read(self: Views, call: int, status: int = 200) -> None:
         self.answers.append(Answer(call, status))
@@ -129,7 +129,7 @@
     patch(Views, "read", read)
 
 
-@mutant("takeover", office(Takeover(puts=2, turns=0), *SERVES), "two texts", "lost")
+@mutant("takeover", office(Takeover(puts=2, reorderings=0), *SERVES), "two texts", "lost")
 def a_number_taken_again(patch: Patch) -> None:
     def put(self: Views, call: int, conf: bytes) -> None:
         self.queue.append(PendingChange(call, self.read_key(conf), conf, self.now + 0.8))
@@ -139,7 +139,7 @@
     patch(Views, "put", put)
 
 
-@mutant("takeover", office(Takeover(long=1, wipe=1, turns=0), *SERVES), "voted unlearned")
+@mutant("takeover", office(Takeover(long=1, wipe=1, reorderings=0), *SERVES), "voted unlearned")
 def a_lost_disk_forgotten(patch: Patch) -> None:
     init = Views.__init__
 
@@ -151,7 +151,7 @@
     patch(Views, "__init__", fresh)
 
 
-@mutant("takeover", office(Takeover(long=2, turns=0), *SERVES), "early word")
+@mutant("takeover", office(Takeover(long=2, reorderings=0), *SERVES), "early word")
 def votes_before_the_sync(patch: Patch) -> None:
     def save(self: Views, *then: Any) -> None:
         for to, kind, word in then:
@@ -163,7 +163,7 @@
     patch(Views, "save", save)
 
 
-@mutant("takeover", office(Takeover(long=2, turns=1), *SERVES), "vote back")
+@mutant("takeover", office(Takeover(long=2, reorderings=1), *SERVES), "vote back")
 def any_epoch_is_granted(patch: Patch) -> None:
     canvass = Views.canvass
 
@@ -174,7 +174,7 @@
     patch(Views, "canvass", grants)
 
 
-@mutant("takeover", office(Takeover(long=2, turns=0), *LEARNED, ("crashes", "o1")), "lost")
+@mutant("takeover", office(Takeover(long=2, reorderings=0), *LEARNED, ("crashes", "o1")), "lost")
 def a_learned_member_passes_for_whole(patch: Patch) -> None:
     learn = Views.learn
 
@@ -185,7 +185,7 @@
     patch(Views, "learn", learns)
 
 
-@mutant("takeover", office(Takeover(long=2, turns=0), *ALONE), "lost", "two texts", "stale answer")
+@mutant("takeover", office(Takeover(long=2, reorderings=0), *ALONE), "lost", "two texts", "stale answer")
 def the_oldest_view_is_taken_up(patch: Patch) -> None:
     offer = Views.offer
 
@@ -198,7 +198,7 @@
     patch(Views, "offer", oldest)
 
 
-@mutant("takeover", office(Takeover(turns=0), *TAKEN), "lost")
+@mutant("takeover", office(Takeover(reorderings=0), *TAKEN), "lost")
 def a_backup_installed_without_the_configuration(patch: Patch) -> None:
     offer_to = Views.offer_to
 
@@ -212,22 +212,22 @@
     patch(Views, "offer_to", bare)
 
 
-@mutant("takeover", office(Takeover(puts=1, again=1, turns=0), *SERVES), "two confirmed")
+@mutant("takeover", office(Takeover(puts=1, again=1, reorderings=0), *SERVES), "two confirmed")
 def another_content_is_confirmed(patch: Patch) -> None:
     patch(numbers, "match", lambda newest, given: numbers.Match.SAME)
 
 
-@mutant("takeover", office(Takeover(puts=1, again=1, turns=0), *SERVES), "refused again")
+@mutant("takeover", office(Takeover(puts=1, again=1, reorderings=0), *SERVES), "refused again")
 def a_repeated_order_is_refused(patch: Patch) -> None:
     patch(numbers, "match", lambda newest, given: numbers.Match.OTHER)
 
 
-@mutant("takeover", office(Takeover(puts=1, again=1, turns=0), *TWO), "forgotten")
+@mutant("takeover", office(Takeover(puts=1, again=1, reorderings=0), *TWO), "forgotten")
 def earlier_numbers_are_forgotten(patch: Patch) -> None:
     patch(numbers, "follow", lambda conf, newest: None)
 
 
-@mutant("takeover", office(Takeover(puts=2, short=1, slow=1, turns=0), *SERVES), "lost")
+@mutant("takeover", office(Takeover(puts=2, short=1, slow=1, reorderings=0), *SERVES), "lost")
 def an_older_word_is_written_over_a_newer(patch: Patch) -> None:
     read_key, write = Views.read_key, Views.write
 
@@ -239,12 +239,12 @@
     patch(Views, "write", writes)
 
 
-@mutant("takeover", office(Takeover(puts=1, ends=1, turns=0), *SERVES), "lost")
+@mutant("takeover", office(Takeover(puts=1, ends=1, reorderings=0), *SERVES), "lost")
 def ends_with_what_rests_on_it(patch: Patch) -> None:
     patch(Views, "needed", False)
 
 
-@mutant("takeover", office(Takeover(short=3, ends=1, turns=0), *SERVES), "lost")
+@mutant("takeover", office(Takeover(short=3, ends=1, reorderings=0), *SERVES), "lost")
 def a_witness_is_not_asked_for_a_place(patch: Patch) -> None:
     """It resigns, and takes what follows for done: its copy is the only one beside the heir's."""
 
@@ -275,17 +275,17 @@
     return plant
 
 
-@mutant("fence", depot(Fence(offers=1, turns=0), *SETTLED), "early word", "early 202")
+@mutant("fence", depot(Fence(offers=1, reorderings=0), *SETTLED), "early word", "early 202")
 def kept_said_before_the_sync(patch: Patch) -> None:
     early("kept")(patch)
 
 
-@mutant("fence", depot(Fence(sends=1, ends=1, turns=0), *KEPT), "early word")
+@mutant("fence", depot(Fence(sends=1, ends=1, reorderings=0), *KEPT), "early word")
 def ended_said_before_the_sync(patch: Patch) -> None:
     early("ended")(patch)
 
 
-@mutant("fence", depot(Fence(sends=1, ends=1, turns=0), *KEPT), "early word")
+@mutant("fence", depot(Fence(sends=1, ends=1, reorderings=0), *KEPT), "early word")
 def an_end_told_before_the_sync(patch: Patch) -> None:
     state = MessageStore.state
 
@@ -296,7 +296,7 @@
     patch(MessageStore, "state", told)
 
 
-@mutant("fence", depot(Fence(offers=1, turns=0), *SETTLED), "early 202")
+@mutant("fence", depot(Fence(offers=1, reorderings=0), *SETTLED), "early 202")
 def accepted_at_the_first_copy(patch: Patch) -> None:
     kept = Intake.kept
 
@@ -308,22 +308,22 @@
     patch(Intake, "kept", first)
 
 
-@mutant("fence", depot(Fence(time=6, turns=0), *CUT), "two deliverers")
+@mutant("fence", depot(Fence(time=6, reorderings=0), *CUT), "two deliverers")
 def a_lapsed_counter_goes_on(patch: Patch) -> None:
     patch(Gateway, "may_send", lambda self, item: True)
 
 
-@mutant("fence", depot(Fence(time=6, freeze=1, turns=0), *KEPT), "two deliverers")
+@mutant("fence", depot(Fence(time=6, freeze=1, reorderings=0), *KEPT), "two deliverers")
 def assigned_before_the_lapse(patch: Patch) -> None:
     patch(keeping, "LAPSE", 0.6)
 
 
-@mutant("fence", depot(Fence(time=6, freeze=1, turns=0), *KEPT), "two deliverers")
+@mutant("fence", depot(Fence(time=6, freeze=1, reorderings=0), *KEPT), "two deliverers")
 def goes_on_past_the_lapse(patch: Patch) -> None:
     patch(counter_role, "MARGIN", -0.5)
 
 
-@mutant("fence", depot(Fence(time=6, turns=0), *UNHEARD), "two deliverers")
+@mutant("fence", depot(Fence(time=6, reorderings=0), *UNHEARD), "two deliverers")
 def a_pulse_proves_its_arrival(patch: Patch) -> None:
     heard_by = Gateway.echoed
 
@@ -333,7 +333,7 @@
     patch(Gateway, "echoed", now)
 
 
-@mutant("fence", depot(Fence(time=3, turns=0), *BACK), "two deliverers")
+@mutant("fence", depot(Fence(time=3, reorderings=0), *BACK), "two deliverers")
 def sure_without_an_answer(patch: Patch) -> None:
     """Back in touch, it goes on before its depots have said whose its messages are."""
 
@@ -343,7 +343,7 @@
     patch(Gateway, "may_send", may_send)
 
 
-@mutant("fence", depot(Fence(time=3, turns=0), *BACK), "two deliverers")
+@mutant("fence", depot(Fence(time=3, reorderings=0), *BACK), "two deliverers")
 def answered_before_the_others_know(patch: Patch) -> None:
     check = MessageStore.check
 
@@ -355,7 +355,9 @@
 
 
 @mutant(
-    "fence", depot(Fence(time=3, turns=2), *UNHEARD, *(LATER * 3), ("lets go", "d2", "c1")), "two deliverers"
+    "fence",
+    depot(Fence(time=3, reorderings=2), *UNHEARD, *(LATER * 3), ("lets go", "d2", "c1")),
+    "two deliverers",
 )
 def a_lapse_that_is_not_told(patch: Patch) -> None:
     lapsed = MessageStore.lapsed
@@ -368,12 +370,12 @@
     patch(Gateway, "awaits", lambda self, node, item: False)
 
 
-@mutant("fence", depot(Fence(time=6, cut=1, turns=0), *KEPT), "two deliverers")
+@mutant("fence", depot(Fence(time=6, cut=1, reorderings=0), *KEPT), "two deliverers")
 def depots_do_not_tell_whom_they_hear(patch: Patch) -> None:
     patch(MessageStore, "reports_for", lambda self, node: {})
 
 
-@mutant("fence", depot(Fence(time=2, retire=1, turns=0), *KEPT, names=("d1", "d2", "d3")), "copies")
+@mutant("fence", depot(Fence(time=2, retire=1, reorderings=0), *KEPT, names=("d1", "d2", "d3")), "copies")
 def moved_without_an_answer(patch: Patch) -> None:
     start = Rebalancing.start
 
@@ -386,8 +388,8 @@
 
 
 THREE = ("d1", "d2", "d3")
-AWAY_UNHEARD = depot(Fence(time=4, offers=1, turns=0), *ORDERED, names=THREE)
-AWAY_ANEW = depot(Fence(time=2, offers=1, turns=0), *STARTED, names=THREE)
+AWAY_UNHEARD = depot(Fence(time=4, offers=1, reorderings=0), *ORDERED, names=THREE)
+AWAY_ANEW = depot(Fence(time=2, offers=1, reorderings=0), *STARTED, names=THREE)
 
 
 @mutant("fence", AWAY_UNHEARD, "copies", "early 202")
@@ -420,7 +422,7 @@
 # ---- lease
 
 
-@mutant("lease", lease(Lease(time=2, turns=0)), "two holders", "beyond its grant")
+@mutant("lease", lease(Lease(time=2, reorderings=0)), "two holders", "beyond its grant")
 def granted_to_whoever_asks(patch: Patch) -> None:
     grant = LeaseTable.lease
 
@@ -431,7 +433,7 @@
     patch(LeaseTable, "lease", lease)
 
 
-@mutant("lease", lease(Lease(time=3, crash=2, turns=0)), "two holders", "beyond its grant")
+@mutant("lease", lease(Lease(time=3, crash=2, reorderings=0)), "two holders", "beyond its grant")
 def an_office_that_starts_grants_at_once(patch: Patch) -> None:
     init = LeaseTable.__init__
 
@@ -441,7 +443,7 @@
     patch(LeaseTable, "__init__", fresh)
 
 
-@mutant("lease", lease(Lease(time=3, turns=3)), "two holders", "beyond its grant")
+@mutant("lease", lease(Lease(time=3, reorderings=3)), "two holders", "beyond its grant")
 def counted_from_the_answer(patch: Patch) -> None:
     has = Ceilings.acquire
 
@@ -451,7 +453,7 @@
     patch(Ceilings, "acquire", longer)
 
 
-@mutant("lease", lease(Lease(time=2, turns=2)), "two holders", "beyond its grant")
+@mutant("lease", lease(Lease(time=2, reorderings=2)), "two holders", "beyond its grant")
 def one_grant_is_enough(patch: Patch) -> None:
     leased = Ceilings.leased
 
@@ -462,17 +464,17 @@
     patch(Ceilings, "leased", one)
 
 
-@mutant("lease", lease(Lease(time=2, turns=0)), "beyond its grant")
+@mutant("lease", lease(Lease(time=2, reorderings=0)), "beyond its grant")
 def held_to_the_very_end(patch: Patch) -> None:
     patch(ceilings, "MARGIN", 0.0)
 
 
-@mutant("lease", lease(Lease(time=2, turns=0)), "beyond its grant")
+@mutant("lease", lease(Lease(time=2, reorderings=0)), "beyond its grant")
 def longer_than_a_voter_grants(patch: Patch) -> None:
     patch(ceilings, "LEASE_SPAN", 2.5)
 
 
-@mutant("lease", lease(Lease(time=4, leaves=1, turns=2)), "two holders", "beyond its grant")
+@mutant("lease", lease(Lease(time=4, leaves=1, reorderings=2)), "two holders", "beyond its grant")
 def a_late_grant_counts_after_it_was_given_back(patch: Patch) -> None:
     leased = Ceilings.leased
 
@@ -486,8 +488,8 @@
 # ---- notice
 
 
-def told_of_a_drain(**more: int) -> Callable[[], World]:
-    return lambda: Notices(Notice(**more))
+def told_of_a_drain(**more: int) -> Callable[[], State]:
+    return lambda: NoticeModel(Notice(**more))
 
 
 @mutant("notice", told_of_a_drain(cut=1), "confirmed alone")
@@ -510,7 +512,7 @@
     patch(Controller, "take_news", keeps)
 
 
-@mutant("notice", lambda: Replaced(Notice()), "confirmed alone", "confirmed untold")
+@mutant("notice", lambda: ReplacedVotersModel(Notice()), "confirmed alone", "confirmed untold")
 def confirmed_by_the_voters_of_before(patch: Patch) -> None:
     known = Confirming.known
 
@@ -524,8 +526,8 @@
 # ---- answer
 
 
-def asked(requests: int) -> Callable[[], World]:
-    return lambda: Answers(Asking(requests=requests))
+def asked(requests: int) -> Callable[[], State]:
+    return lambda: ResponseModel(Asking(requests=requests))
 
 
 @mutant("answer", asked(3), "another's answer", "said not run")
--- a/opalwick/lab/verify/notices.py
+++ b/opalwick/lab/verify/notices.py
@@ -9,7 +9,7 @@
 
 from typing import Any, NamedTuple
 
-from opalwick.lab.verify.explorer import Broken, Step
+from opalwick.lab.verify.explorer import PropertyViolation, Transition
 from opalwick.lab.verify.replayed import Replayed
 from opalwick.post.office.role import Controller
 from opalwick.post.settings import Settings, parse
@@ -19,7 +19,7 @@
 OFFICES = ("o1", "o2", "o3", "o4")  # o4 has no vote by the view that o1 knows
 GATEWAYS = ("g1", "g2")
 ADDRESS = {name: f"10.0.0.{number}" for number, name in enumerate((*OFFICES, *GATEWAYS), 1)}
-NAME = {ip: name for name, ip in ADDRESS.items()}
+NAME_OF = {ip: name for name, ip in ADDRESS.items()}
 WORKER = "w1"
 DRAINING = b'{"svc":"s","address":"10.9.0.1:80","capacity":1,"state":"draining","calls":2}'
 LATER = 1.0  # s: over the patience for a majority's answers
@@ -35,18 +35,18 @@
     later: int = 0
 
 
-class Line:
+class LinkStub:
     """A link as an office sees it: what is said on it waits on the way."""
 
-    def __init__(self, world: Notices, sender: str, peer: Hello) -> None:
+    def __init__(self, world: NoticeModel, sender: str, peer: Hello) -> None:
         self.world, self.sender, self.peer, self.last_received = world, sender, peer, 0.0
 
     def send(self, kind: str, word: Any) -> None:
         if kind in ("news", "spread", "known"):
-            self.world.words.setdefault((self.sender, self.peer.node), []).append((kind, word))
+            self.world.queues.setdefault((self.sender, self.peer.node), []).append((kind, word))
 
 
-class Worker:
+class WorkerCall:
     """A call of a worker and what it was answered."""
 
     def __init__(self, method: bytes) -> None:
@@ -59,7 +59,7 @@
         self.status = status
 
 
-class Quiet(Controller):
+class SilentController(Controller):
     def event(self, number: int, **fields: Any) -> None: ...
 
 
@@ -75,19 +75,19 @@
 SETTINGS = {name: settings(name) for name in OFFICES}
 
 
-class Notices(Replayed):
+class NoticeModel(Replayed):
     """Rules: `confirmed alone`, `confirmed untold`. o2, o3 and o4 vote by a view that o1 has not heard of, if
     `replaced`.
     """
 
     replaced = False
 
-    def begin(self) -> None:
-        self.words: dict[tuple[str, str], list[tuple[str, Any]]] = {}
+    def initialize(self) -> None:
+        self.queues: dict[tuple[str, str], list[tuple[str, Any]]] = {}
         self.cuts: set[tuple[str, str]] = set()
         self.cut_once: set[tuple[str, str]] = set()
-        self.offices = {name: Quiet(SETTINGS[name], 1, 10.0, None) for name in OFFICES}
-        self.calls: list[Worker] = []
+        self.offices = {name: SilentController(SETTINGS[name], 1, 10.0, None) for name in OFFICES}
+        self.calls: list[WorkerCall] = []
         self.now = 10.0
         for a in OFFICES:
             for b in (*OFFICES, *GATEWAYS):
@@ -97,20 +97,22 @@
         self.newest = View(epoch=7 if self.replaced else 0, voters=voters, members=voters[:2])
         for name in OFFICES[1:] if self.replaced else ():
             self.offices[name].views.view = self.newest
-        self.words.clear()
+        self.queues.clear()
 
     def link(self, a: str, b: str) -> None:
         role = "office" if b in OFFICES else "counter"
-        self.offices[a].add_link(Line(self, a, Hello(node=b, role=role, ip=ADDRESS[b], zone="n", life=1)))
+        self.offices[a].add_link(LinkStub(self, a, Hello(node=b, role=role, ip=ADDRESS[b], zone="n", life=1)))
 
-    def knows(self, office: str) -> bool:
+    def has_notice(self, office: str) -> bool:
         known = self.offices[office].directory.workers.get(WORKER)
         return known is not None and (known.draining or known.gone)
 
-    def steps(self) -> list[Step]:
+    def enabled(self) -> list[Transition]:
         left = self.budget
         # what is on its way to a gateway comes, or is lost with its link
-        found: list[Step] = [("hears", to, sender) for sender, to in sorted(self.words) if to in OFFICES]
+        found: list[Transition] = [
+            ("hears", to, sender) for sender, to in sorted(self.queues) if to in OFFICES
+        ]
         for name in OFFICES[:2]:
             found += [("is told of a drain", name)] * bool(left.drains)
             found += [("is told of an end", name)] * bool(left.leaves)
@@ -124,17 +126,17 @@
     def spend(self, name: str) -> None:
         self.budget = self.budget._replace(**{name: getattr(self.budget, name) - 1})
 
-    def do(self, step: Step) -> None:
+    def apply(self, step: Transition) -> None:
         kind, me, *rest = step
         match kind:
             case "hears":
-                word, *others = self.words.pop((rest[0], me))
+                word, *others = self.queues.pop((rest[0], me))
                 if others:
-                    self.words[rest[0], me] = others
-                self.hears(me, rest[0], *word)
+                    self.queues[rest[0], me] = others
+                self.receive(me, rest[0], *word)
             case "is told of a drain" | "is told of an end":
                 self.spend("drains" if kind == "is told of a drain" else "leaves")
-                call = Worker(b"PUT" if kind == "is told of a drain" else b"DELETE")
+                call = WorkerCall(b"PUT" if kind == "is told of a drain" else b"DELETE")
                 self.calls.append(call)
                 self.offices[me].called(call)  # type: ignore[arg-type]
             case "cut" | "joined":
@@ -142,7 +144,7 @@
                 self.cuts ^= {(me, rest[0])}
                 self.cut_once |= {(me, rest[0])}
                 for a, b in ((me, rest[0]), (rest[0], me)):
-                    self.words.pop((a, b), None)
+                    self.queues.pop((a, b), None)
                     if a not in OFFICES:
                         continue
                     if kind == "joined":
@@ -154,40 +156,42 @@
                 self.now += LATER
                 self.offices[me].clock(self.now)
                 self.offices[me].notices.tick(self.now)
-        self.judge()
+        self.check()
 
-    def hears(self, me: str, sender: str, kind: str, word: Any) -> None:
+    def receive(self, me: str, sender: str, kind: str, word: Any) -> None:
         if (line := self.offices[me].link(sender)) is not None:
             self.offices[me].receive(line, kind, word)
 
-    def judge(self) -> None:
+    def check(self) -> None:
         for call in self.calls:
             if call.status == 200:
-                self.judge_confirmed()
+                self.check_confirmed()
 
-    def judge_confirmed(self) -> None:
-        knowing = [name for name in OFFICES if self.knows(name)]
-        voters = {NAME[ip] for ip in self.newest.voters}
-        if 2 * len(voters.intersection(knowing)) <= len(voters):
-            raise Broken("confirmed alone", f"{' and '.join(knowing)} know, of {sorted(voters)}")
+    def check_confirmed(self) -> None:
+        informed = [name for name in OFFICES if self.has_notice(name)]
+        voters = {NAME_OF[ip] for ip in self.newest.voters}
+        if 2 * len(voters.intersection(informed)) <= len(voters):
+            raise PropertyViolation("confirmed alone", f"{' and '.join(informed)} know, of {sorted(voters)}")
         for gateway in GATEWAYS:
             linked = {name for name in voters if (name, gateway) not in self.cut_once}
-            coming = any(
+            in_transit = any(
                 word.workers and any(w.draining or w.gone for w in word.workers)
                 for name in OFFICES
-                for _, word in self.words.get((name, gateway), ())
+                for _, word in self.queues.get((name, gateway), ())
             )
-            if 2 * len(linked) > len(voters) and not coming:
-                raise Broken("confirmed untold", f"{gateway} hears {sorted(linked)}, and nothing comes")
+            if 2 * len(linked) > len(voters) and not in_transit:
+                raise PropertyViolation(
+                    "confirmed untold", f"{gateway} hears {sorted(linked)}, and nothing comes"
+                )
 
     def state(self) -> Any:
-        words = [
+        queues = [
             (way, [(kind, word.SerializeToString()) for kind, word in waits])
-            for way, waits in sorted(self.words.items())
+            for way, waits in sorted(self.queues.items())
         ]
         offices = [
             (
-                self.knows(name),
+                self.has_notice(name),
                 sorted(
                     (call, sorted(notice.known))
                     for call, notice in self.offices[name].notices.waiting.items()
@@ -195,8 +199,8 @@
             )
             for name in OFFICES
         ]
-        return words, offices, sorted(self.cuts), [call.status for call in self.calls], self.now
+        return queues, offices, sorted(self.cuts), [call.status for call in self.calls], self.now
 
 
-class Replaced(Notices):
+class ReplacedVotersModel(NoticeModel):
     replaced = True
--- a/opalwick/lab/verify/offices.py
+++ b/opalwick/lab/verify/offices.py
@@ -14,9 +14,9 @@
 
 from google.protobuf.message import Message
 
-from opalwick.lab.verify.copying import Copier, Seen
-from opalwick.lab.verify.explorer import Broken, Step
-from opalwick.lab.verify.words import Said, packed, unpacked
+from opalwick.lab.verify.copying import Copier, Canonicalizer
+from opalwick.lab.verify.explorer import PropertyViolation, Transition
+from opalwick.lab.verify.words import EncodedMessage, encode, decode
 from opalwick.post.office import numbers
 from opalwick.post.office.duties import LeaseTable
 from opalwick.post.office.role import Controller
@@ -30,7 +30,7 @@
 FAR = 2.5  # s: older than this is just old
 SHARED = (Message, Stored)  # nobody alters those that an office keeps
 
-Way = tuple[str, str]
+Direction = tuple[str, str]
 # what comes by itself, and what comes once nothing else does, or out of turn
 FREE = {"hears", "hears late", "synced", "waits", "waits long", "put", "read"}
 
@@ -41,7 +41,7 @@
 
 
 @lru_cache(maxsize=1000)
-def viewed(view: bytes) -> tuple[int, set[str]]:
+def read_view(view: bytes) -> tuple[int, set[str]]:
     """Its epoch and its members."""
     found = View.FromString(view)
     return int(found.epoch), set(found.members)
@@ -63,13 +63,13 @@
     hold: int = 0  # what goes one way of a link comes later, in order
     again: int = 0  # numbers that were sent are sent again, with either text
     ends: int = 0  # an office is told to end, and ends once nothing rests on it any more
-    turns: int = -1  # how often another than the next comes first; -1: all orders are seen
+    reorderings: int = -1  # how often another than the next comes first; -1: all orders are seen
 
-    def less(self, name: str) -> Budget:
+    def spend(self, name: str) -> Budget:
         return self._replace(**{name: getattr(self, name) - 1})
 
 
-class Asked(NamedTuple):
+class Call(NamedTuple):
     """A call of an operator; `floor` was in force when it began."""
 
     at: str
@@ -79,17 +79,17 @@
     text: str
 
 
-class Mouth:
+class LinkStub:
     """A link, as an office says something on it."""
 
-    def __init__(self, seat: Seat, peer: Hello) -> None:
-        self.seat, self.peer, self.last_received = seat, peer, 0.0
+    def __init__(self, controller: ControllerUnderTest, peer: Hello) -> None:
+        self.controller, self.peer, self.last_received = controller, peer, 0.0
 
     def send(self, kind: str, word: Any) -> None:
-        self.seat.said(self.peer.ip, kind, word)
+        self.controller.said(self.peer.ip, kind, word)
 
 
-class Seat(Controller):
+class ControllerUnderTest(Controller):
     """An office as far as its views go: what it hears, saves and passes on is the role's own code."""
 
     def __init__(self, me: str, stored: Stored | None, blank: bool, now: float) -> None:
@@ -98,57 +98,57 @@
         self.saves: list[Save] = []
         self.leases, self.votes = LeaseTable(now, False), me in self.views.voters
         self.batch_on_way: list[Save] | None = None
-        self.out: list[tuple[str, Said]] = []
+        self.out: list[tuple[str, EncodedMessage]] = []
         self.in_force: tuple[Key, bytes] = ((-1, 0), b"")  # what was last in force here
-        self.told_events: list[tuple[int, dict[str, Any]]] = []
-        self.told_replies: list[tuple[int, int]] = []
-        self.told_confs: list[bytes] = []
+        self.recorded_events: list[tuple[int, dict[str, Any]]] = []
+        self.recorded_replies: list[tuple[int, int]] = []
+        self.recorded_confs: list[bytes] = []
 
     def clock(self, now: float) -> None:
         self.now = self.views.now = now
 
-    def controller_link(self, ip: str) -> Mouth | None:  # type: ignore[override]
-        return Mouth(self, Hello(ip=ip, node=ip, role="office")) if ip in self.views.linked else None
+    def controller_link(self, ip: str) -> LinkStub | None:  # type: ignore[override]
+        return LinkStub(self, Hello(ip=ip, node=ip, role="office")) if ip in self.views.linked else None
 
     def said(self, to: str, kind: str, word: Any) -> None:
-        self.out.append((to, packed(kind, word)))
+        self.out.append((to, encode(kind, word)))
 
     def publish(self, conf: bytes) -> None:
-        self.told_confs.append(conf)
+        self.recorded_confs.append(conf)
 
     def reply(self, call: int, status: int, body: bytes) -> None:
-        self.told_replies.append((call, status))
+        self.recorded_replies.append((call, status))
 
     def event(self, number: int, **fields: Any) -> None:
-        self.told_events.append((number, fields))
+        self.recorded_events.append((number, fields))
 
 
 class Machine:
     """An office's process, if it runs, and its disk."""
 
-    __slots__ = ("digest", "disk", "held", "seat")
+    __slots__ = ("controller", "digest", "disk", "held")
 
-    def __init__(self, seat: Seat | None, disk: Stored | None) -> None:
-        self.seat, self.disk = seat, disk
+    def __init__(self, controller: ControllerUnderTest | None, disk: Stored | None) -> None:
+        self.controller, self.disk = controller, disk
         self.held = True  # its disk was never lost, or it has learned since
         self.digest = b""
 
     def copy(self) -> Machine:
         new = Machine(None, self.disk)
         new.held = self.held
-        if self.seat is not None:
-            new.seat = Copier(SHARED).copy(self.seat)
+        if self.controller is not None:
+            new.controller = Copier(SHARED).copy(self.controller)
         return new
 
-    def seen(self) -> bytes:
+    def fingerprint(self) -> bytes:
         if not self.digest:
-            now = self.seat.now if self.seat is not None else 0.0
-            found = (Seen(now, FAR).seen(self.seat), self.disk, self.held)
+            now = self.controller.now if self.controller is not None else 0.0
+            found = (Canonicalizer(now, FAR).canonical(self.controller), self.disk, self.held)
             self.digest = blake2b(repr(found).encode(), digest_size=12).digest()
         return self.digest
 
 
-class Offices:
+class ControllerModel:
     """Rules: `two texts`, `two primaries`, `stepped back`, `lost`, `stale answer`, `voted unlearned`,
     `voted twice`, `vote back`, `early word`, `two confirmed`, `refused again`, `forgotten`.
     """
@@ -156,20 +156,22 @@
     def __init__(self, budget: Budget, spares: tuple[str, ...] = ()) -> None:
         """`spares`: machines that are not there yet, with empty disks; the others vote from the first."""
         self.budget, self.names = budget, (*NAMES, *spares)
-        self.machines = {me: Machine(Seat(me, None, False, 10.0), None) for me in NAMES}
+        self.machines = {me: Machine(ControllerUnderTest(me, None, False, 10.0), None) for me in NAMES}
         for me in spares:
             self.machines[me] = Machine(None, None)
             self.machines[me].held = False
-        self.links: dict[Way, tuple[Said, ...]] = {}
-        self.old: dict[Way, tuple[Said, ...]] = {}
-        self.cuts: frozenset[Way] = frozenset()
+        self.links: dict[Direction, tuple[EncodedMessage, ...]] = {}
+        self.old: dict[Direction, tuple[EncodedMessage, ...]] = {}
+        self.cuts: frozenset[Direction] = frozenset()
         self.frozen: frozenset[str] = frozenset()
-        self.held: frozenset[Way] = frozenset()
-        self.slow: frozenset[Way] = frozenset()  # ways on which what was said on an earlier link still waits
+        self.held: frozenset[Direction] = frozenset()
+        self.slow: frozenset[Direction] = (
+            frozenset()
+        )  # ways on which what was said on an earlier link still waits
         # what was said and seen, which the properties are about
         self.contents: tuple[tuple[Key, bytes], ...] = ()  # in force by anybody's word
         self.newest: Key = (-1, 0)  # acknowledged
-        self.calls: tuple[Asked, ...] = ()
+        self.calls: tuple[Call, ...] = ()
         self.confirmed: tuple[tuple[int, str], ...] = ()  # number, text
         self.open: frozenset[int] = frozenset()  # calls without an answer
         self.promised: tuple[tuple[str, int, str], ...] = tuple(
@@ -183,8 +185,8 @@
 
     # ---- states
 
-    def copy(self, *touched: str) -> Offices:
-        new = Offices.__new__(Offices)
+    def copy(self, *touched: str) -> ControllerModel:
+        new = ControllerModel.__new__(ControllerModel)
         new.__dict__.update(self.__dict__)
         new.machines, new.links, new.old = dict(self.machines), dict(self.links), dict(self.old)
         for me in touched:
@@ -194,7 +196,7 @@
     def key(self) -> bytes:
         found = blake2b(digest_size=12)
         for me in self.names:
-            found.update(self.machines[me].seen())
+            found.update(self.machines[me].fingerprint())
         rest = (
             sorted(self.links.items()),
             sorted(self.old.items()),
@@ -215,24 +217,24 @@
         found.update(repr(rest).encode())
         return found.digest()
 
-    def seat(self, me: str) -> Seat:
-        seat = self.machines[me].seat
-        assert seat is not None
-        return seat
+    def controller(self, me: str) -> ControllerUnderTest:
+        controller = self.machines[me].controller
+        assert controller is not None
+        return controller
 
     # ---- what may happen
 
-    def steps(self) -> list[Step]:
+    def enabled(self) -> list[Transition]:
         left = self.budget
-        ready = self.of_itself()
-        quiet = left.turns != 0 or not ready  # whatever is patient waits until nothing comes any more
-        found = ready if left.turns else ready[:1]
+        ready = self.internal_transitions()
+        quiet = left.reorderings != 0 or not ready  # whatever is patient waits until nothing comes any more
+        found = ready if left.reorderings else ready[:1]
         for me in self.names:
             machine = self.machines[me]
-            seat = machine.seat
+            controller = machine.controller
             if me in self.away:
                 continue
-            if seat is None:
+            if controller is None:
                 found.append(("starts", me))
                 continue
             if me in self.frozen:
@@ -241,22 +243,22 @@
                 found.append(("stands still", me))
             if left.crash:
                 found.append(("crashes", me))
-                if seat.batch_on_way is not None:
+                if controller.batch_on_way is not None:
                     found.append(("crashes, written", me))
-            if left.wipe and self.bears_loss(me):
+            if left.wipe and self.survives_loss(me):
                 found.append(("loses its disk", me))
-            if seat.views.leaving and not seat.views.needed and machine.seat is not None:
+            if controller.views.leaving and not controller.views.needed and machine.controller is not None:
                 found.append(("ends", me))
             if me in self.frozen or not quiet:
                 continue
-            if left.ends and not seat.views.leaving:
+            if left.ends and not controller.views.leaving:
                 found.append(("is to end", me))
-            primary = seat.views.state == "primary"
+            primary = controller.views.state == "primary"
             if left.puts and primary:
                 found += [("put", me, *put) for put in self.puts()]
             if left.reads and primary:
                 found.append(("read", me))
-            if left.short and (seat.views.state != "follower" or seat.views.lost_state):
+            if left.short and (controller.views.state != "follower" or controller.views.lost_state):
                 found.append(("waits", me))
             if left.long:
                 found.append(("waits long", me))
@@ -282,15 +284,15 @@
         found += [("comes at last", way[1], way[0]) for way in sorted(self.slow) if quiet]
         return found
 
-    def of_itself(self) -> list[Step]:
+    def internal_transitions(self) -> list[Transition]:
         """What comes by itself, sooner or later; the first is next where `turns` bounds all else."""
         late = [way for way in sorted(self.old) if way not in self.slow]
-        found: list[Step] = [("hears late", way[1], way[0]) for way in late]
+        found: list[Transition] = [("hears late", way[1], way[0]) for way in late]
         found += [("hears", way[1], way[0]) for way in sorted(self.links) if way not in self.held]
         found += [
             ("synced", me)
             for me, m in self.machines.items()
-            if m.seat is not None and m.seat.batch_on_way is not None
+            if m.controller is not None and m.controller.batch_on_way is not None
         ]
         return [step for step in found if step[1] not in self.frozen]
 
@@ -310,26 +312,31 @@
             ]
         return found
 
-    def bears_loss(self, me: str) -> bool:
+    def survives_loss(self, me: str) -> bool:
         """No disk was lost since all was whole: more than one at once is not survived."""
-        there = [m for other, m in self.machines.items() if other != me and m.seat is not None]
+        there = [m for other, m in self.machines.items() if other != me and m.controller is not None]
         return not self.wiped and all(m.disk is not None and m.held for m in there)
 
-    def after(self, step: Step) -> Offices:
+    def successor(self, step: Transition) -> ControllerModel:
         kind, me, *rest = step
         new = self.copy(me)
-        if self.budget.turns >= 0 and kind in FREE and (ready := self.of_itself()) and step != ready[0]:
-            new.budget = new.budget.less("turns")
+        if (
+            self.budget.reorderings >= 0
+            and kind in FREE
+            and (ready := self.internal_transitions())
+            and step != ready[0]
+        ):
+            new.budget = new.budget.spend("reorderings")
         match kind:
             case "stands still":
-                new.budget = new.budget.less("freeze")
+                new.budget = new.budget.spend("freeze")
                 new.frozen = self.frozen | {me}
                 return new
             case "wakes":
                 new.frozen = self.frozen - {me}
                 return new
             case "holds up":
-                new.budget = new.budget.less("hold")
+                new.budget = new.budget.spend("hold")
                 new.held = self.held | {(rest[0], me)}
                 return new
             case "lets go":
@@ -340,50 +347,50 @@
                 first, *others = where.pop((rest[0], me))
                 if others:
                     where[rest[0], me] = tuple(others)
-                seat = new.seat(me)
-                mouth = Mouth(seat, Hello(ip=rest[0], node=rest[0], role="office"))
-                seat.handle(mouth, first[0], unpacked(first))
+                controller = new.controller(me)
+                mouth = LinkStub(controller, Hello(ip=rest[0], node=rest[0], role="office"))
+                controller.handle(mouth, first[0], decode(first))
             case "synced":
-                seat = new.seat(me)
-                batch = seat.batch_on_way or []
-                new.machines[me].disk, seat.batch_on_way = batch[-1].stored, None
-                seat.synced(batch)
+                controller = new.controller(me)
+                batch = controller.batch_on_way or []
+                new.machines[me].disk, controller.batch_on_way = batch[-1].stored, None
+                controller.synced(batch)
             case "waits" | "waits long":
-                new.budget = new.budget.less("short" if kind == "waits" else "long")
-                seat = new.seat(me)
-                seat.clock(seat.now + (SHORT if kind == "waits" else LONG))
-                seat.views.tick(seat.now)
+                new.budget = new.budget.spend("short" if kind == "waits" else "long")
+                controller = new.controller(me)
+                controller.clock(controller.now + (SHORT if kind == "waits" else LONG))
+                controller.views.tick(controller.now)
             case "put":
-                new.budget = new.budget.less("puts")
+                new.budget = new.budget.spend("puts")
                 gen, text = rest
                 new.call(me, "put", (gen, 0), text)
-                views, told = new.seat(me).views, Conf(gen=gen, said=text.encode())
+                views, told = new.controller(me).views, Conf(gen=gen, said=text.encode())
                 newest = Conf.FromString(views.newest())
                 if gen > newest.gen:
                     numbers.follow(told, newest)
                 views.put(len(new.calls) - 1, told.SerializeToString())
             case "read":
-                new.budget = new.budget.less("reads")
+                new.budget = new.budget.spend("reads")
                 new.call(me, "read", (-1, 0))
-                new.seat(me).views.read(len(new.calls) - 1)
+                new.controller(me).views.read(len(new.calls) - 1)
             case "is to end":
-                new.budget = new.budget.less("ends")
-                new.seat(me).views.leave()
+                new.budget = new.budget.spend("ends")
+                new.controller(me).views.leave()
                 for other in new.names:
                     if other != me and me in self.linked_to(other):
                         new.machines[other] = self.machines[other].copy()
-                        new.seat(other).views.shutting_down.add(me)
+                        new.controller(other).views.shutting_down.add(me)
             case "ends":
                 new.ends(me, kind)
             case "crashes" | "crashes, written" | "loses its disk":
-                new.budget = new.budget.less("wipe" if kind == "loses its disk" else "crash")
+                new.budget = new.budget.spend("wipe" if kind == "loses its disk" else "crash")
                 new.ends(me, kind)
             case "starts":
                 machine = new.machines[me]
-                machine.seat = Seat(me, machine.disk, machine.disk is None, 10.0)
+                machine.controller = ControllerUnderTest(me, machine.disk, machine.disk is None, 10.0)
                 new.link_up(me)
             case "cut":
-                new.budget = new.budget.less("cut")
+                new.budget = new.budget.spend("cut")
                 new.cuts = self.cuts | {(me, rest[0])}
                 for way in ((me, rest[0]), (rest[0], me)):
                     new.links.pop(way, None)
@@ -395,26 +402,26 @@
                 new.machines[rest[0]] = self.machines[rest[0]].copy()
                 new.link_up(me, rest[0])
             case "linked anew" | "linked anew, slowly":
-                new.budget = new.budget.less("late" if kind == "linked anew" else "slow")
+                new.budget = new.budget.spend("late" if kind == "linked anew" else "slow")
                 for way in ((me, rest[0]), (rest[0], me)):
                     if way in new.links:
-                        new.grow_old(way)
+                        new.detach_queue(way)
                         new.slow = new.slow | ({way} if kind != "linked anew" else set())
             case "comes at last":
                 new.slow = self.slow - {(rest[0], me)}
-        if new.machines[me].seat is not None:
+        if new.machines[me].controller is not None:
             new.settle(me)
-        new.judge()
+        new.check()
         return new
 
     def call(self, me: str, what: str, key: Key, text: str = "") -> None:
         self.open = self.open | {len(self.calls)}
-        self.calls = (*self.calls, Asked(me, what, key, self.newest, text))
+        self.calls = (*self.calls, Call(me, what, key, self.newest, text))
 
     def ends(self, me: str, how: str) -> None:
         """Its words that are on their way still come; what others said to it is lost."""
         machine = self.machines[me]
-        batch = machine.seat.batch_on_way if machine.seat is not None else None
+        batch = machine.controller.batch_on_way if machine.controller is not None else None
         if how == "crashes, written" and batch:
             machine.disk = batch[-1].stored
         elif how == "loses its disk":
@@ -423,7 +430,7 @@
         elif how == "ends":  # for good, with its disk: it has said that nothing rests on it
             machine.disk, machine.held = None, False
             self.away = self.away | {me}
-        machine.seat = None
+        machine.controller = None
         self.frozen = self.frozen - {me}
         self.held = frozenset(way for way in self.held if me not in way)
         self.open = frozenset(call for call in self.open if self.calls[call].at != me)
@@ -432,14 +439,14 @@
             self.old.pop((other, me), None)
             self.slow = self.slow - {(other, me)}
             if (me, other) in self.links:
-                self.grow_old((me, other))
+                self.detach_queue((me, other))
         self.link_up()
 
     def linked_to(self, me: str) -> set[str]:
-        seat = self.machines[me].seat
-        return seat.views.linked if seat is not None else set()
+        controller = self.machines[me].controller
+        return controller.views.linked if controller is not None else set()
 
-    def grow_old(self, way: Way) -> None:
+    def detach_queue(self, way: Direction) -> None:
         """What is on it comes beside what is said from now on."""
         self.old[way] = self.old.get(way, ()) + self.links.pop(way)
 
@@ -450,128 +457,142 @@
                 other
                 for other in self.names
                 if other != me
-                and self.machines[other].seat is not None
+                and self.machines[other].controller is not None
                 and tuple(sorted((me, other))) not in self.cuts
             }
-            if machine.seat is not None and machine.seat.views.linked != there:
+            if machine.controller is not None and machine.controller.views.linked != there:
                 if me not in of:
                     machine = self.machines[me] = machine.copy()
-                assert machine.seat is not None
-                machine.seat.views.linked = there
+                assert machine.controller is not None
+                machine.controller.views.linked = there
 
     # ---- what follows
 
     def settle(self, me: str) -> None:
-        machine, seat = self.machines[me], self.seat(me)
-        Controller.settle(seat)
-        if seat.batch_on_way is None and seat.saves:
-            seat.batch_on_way = seat.batch()
-        out, seat.out = seat.out, []
+        machine, controller = self.machines[me], self.controller(me)
+        Controller.settle(controller)
+        if controller.batch_on_way is None and controller.saves:
+            controller.batch_on_way = controller.batch()
+        out, controller.out = controller.out, []
         for to, said in out:
-            self.judge_word(me, to, machine, said)
-            if self.machines[to].seat is not None and tuple(sorted((me, to))) not in self.cuts:
+            self.check_message(me, to, machine, said)
+            if self.machines[to].controller is not None and tuple(sorted((me, to))) not in self.cuts:
                 self.links[me, to] = (*self.links.get((me, to), ()), said)
-        for number, fields in seat.told_events:
+        for number, fields in controller.recorded_events:
             if number == 203:
-                self.judge_primary(me, seat, fields["epoch"])
+                self.check_primary(me, controller, fields["epoch"])
             elif number == 206:
                 machine.held = True
-        for conf in seat.told_confs:
-            self.judge_conf(me, seat, conf)
-        for call, status in seat.told_replies:
-            self.judge_answer(me, seat, call, status)
-        seat.told_events, seat.told_confs, seat.told_replies = [], [], []
+        for conf in controller.recorded_confs:
+            self.check_conf(me, controller, conf)
+        for call, status in controller.recorded_replies:
+            self.check_answer(me, controller, call, status)
+        controller.recorded_events, controller.recorded_confs, controller.recorded_replies = [], [], []
 
     # ---- properties
 
-    def judge_word(self, me: str, to: str, machine: Machine, said: Said) -> None:
-        word, kind = unpacked(said), said[0]
+    def check_message(self, me: str, to: str, machine: Machine, said: EncodedMessage) -> None:
+        word, kind = decode(said), said[0]
         # a canvass promises nothing: a candidate says it again before its own vote is on its disk
         if not ((kind == "vote" and word.granted) or (kind == "installed" and word.ok)):
             return
         epoch = word.epoch
         if not machine.held:
-            raise Broken("voted unlearned", f"{me} lost its disk and says {kind} for epoch {epoch}")
+            raise PropertyViolation(
+                "voted unlearned", f"{me} lost its disk and says {kind} for epoch {epoch}"
+            )
         disk = machine.disk
-        if disk is None or (viewed(disk.view)[0] if kind == "installed" else disk.promised) < epoch:
-            raise Broken("early word", f"{me} says {kind} for epoch {epoch} before that is on its disk")
+        if disk is None or (read_view(disk.view)[0] if kind == "installed" else disk.promised) < epoch:
+            raise PropertyViolation(
+                "early word", f"{me} says {kind} for epoch {epoch} before that is on its disk"
+            )
         known = {one: (e, whom) for one, e, whom in self.promised}
         before, whom = known[me]
         if epoch < before:
-            raise Broken("vote back", f"{me} says {kind} for epoch {epoch}, having promised {before}")
+            raise PropertyViolation(
+                "vote back", f"{me} says {kind} for epoch {epoch}, having promised {before}"
+            )
         if kind == "installed":
             to = whom if epoch == before else ""
         else:
             if epoch == before and whom not in ("", to):
-                raise Broken("voted twice", f"{me} votes for {to} in epoch {epoch}, and did for {whom}")
+                raise PropertyViolation(
+                    "voted twice", f"{me} votes for {to} in epoch {epoch}, and did for {whom}"
+                )
         known[me] = epoch, to
         self.promised = tuple((one, e, whom) for one, (e, whom) in known.items())
 
-    def judge_primary(self, me: str, seat: Seat, epoch: int) -> None:
-        key = Views.read_key(seat.views.in_force)
+    def check_primary(self, me: str, controller: ControllerUnderTest, epoch: int) -> None:
+        key = Views.read_key(controller.views.in_force)
         if key < self.newest:
-            raise Broken(
+            raise PropertyViolation(
                 "lost", f"{me} is primary of epoch {epoch} with {key}, though {self.newest} was acknowledged"
             )
 
-    def judge_conf(self, me: str, seat: Seat, conf: bytes) -> None:
+    def check_conf(self, me: str, controller: ControllerUnderTest, conf: bytes) -> None:
         """It is in force by that office's word."""
         key, said = read(conf)
         known = dict(self.contents)
         if known.setdefault(key, said) != said:
-            raise Broken("two texts", f"{me} has {key} in force as {said!r}, it was {known[key]!r}")
+            raise PropertyViolation(
+                "two texts", f"{me} has {key} in force as {said!r}, it was {known[key]!r}"
+            )
         self.contents = tuple(known.items())
-        if key < seat.in_force[0]:
-            raise Broken("stepped back", f"{me} had {seat.in_force[0]} in force, now {key}")
-        seat.in_force = key, said
+        if key < controller.in_force[0]:
+            raise PropertyViolation("stepped back", f"{me} had {controller.in_force[0]} in force, now {key}")
+        controller.in_force = key, said
 
-    def judge_answer(self, me: str, seat: Seat, call: int, status: int) -> None:
+    def check_answer(self, me: str, controller: ControllerUnderTest, call: int, status: int) -> None:
         if call not in self.open:
             return
         self.open = self.open - {call}
         _, what, key, floor, text = self.calls[call]
         if what == "put":
-            self.judge_number(me, status, key[0], text)
+            self.check_number(me, status, key[0], text)
         if status != 200:
             return
-        has = seat.in_force[0]
+        has = controller.in_force[0]
         if has < max(key, floor):
-            raise Broken(
+            raise PropertyViolation(
                 "stale answer", f"{what} at {me} is answered with {has}, {max(key, floor)} was in force"
             )
         self.newest = max(self.newest, has)
 
-    def judge_number(self, me: str, status: int, number: int, text: str) -> None:
+    def check_number(self, me: str, status: int, number: int, text: str) -> None:
         """A number stands for one content, which is never refused once it was confirmed."""
         known = dict(self.confirmed).get(number)
         if status == 200 and known is not None and known != text:
-            raise Broken("two confirmed", f"{me} confirms {text!r} under {number}, {known!r} was confirmed")
+            raise PropertyViolation(
+                "two confirmed", f"{me} confirms {text!r} under {number}, {known!r} was confirmed"
+            )
         if status == 208 and known is not None:
-            raise Broken("forgotten", f"{me} knows nothing of {number}, which was confirmed")
+            raise PropertyViolation("forgotten", f"{me} knows nothing of {number}, which was confirmed")
         if status == 409 and known == text:
-            raise Broken("refused again", f"{me} refuses {text!r} under {number}, which was confirmed")
+            raise PropertyViolation(
+                "refused again", f"{me} refuses {text!r} under {number}, which was confirmed"
+            )
         if status == 200 and known is None:
             self.confirmed = (*self.confirmed, (number, text))
 
-    def judge(self) -> None:
+    def check(self) -> None:
         """Of the whole state."""
         if self.newest > (-1, 0):
             text = dict(self.contents)[self.newest]
             disks = [(me, m.disk) for me, m in self.machines.items() if m.disk is not None]
             found = {me: read(disk.conf) for me, disk in disks if disk.member}
             have = {me for me, one in found.items() if one[0] > self.newest or one == (self.newest, text)}
-            if have >= max((viewed(disk.view) for _, disk in disks), key=itemgetter(0))[1]:
+            if have >= max((read_view(disk.view) for _, disk in disks), key=itemgetter(0))[1]:
                 self.wiped = 0  # all is whole again
             if len(have) + self.wiped < COPIES:
-                raise Broken(
+                raise PropertyViolation(
                     "lost", f"{self.newest} was acknowledged with {text!r} and is on {len(have)} disks"
                 )
         there = [
-            (m.seat.views.epoch, me)
+            (m.controller.views.epoch, me)
             for me, m in self.machines.items()
-            if m.seat is not None and m.seat.views.state == "primary"
+            if m.controller is not None and m.controller.views.state == "primary"
         ]
         for epoch, me in there:
             others = [other for e, other in there if e == epoch and other != me]
             if others:
-                raise Broken("two primaries", f"{me} and {others[0]} in epoch {epoch}")
+                raise PropertyViolation("two primaries", f"{me} and {others[0]} in epoch {epoch}")
--- a/opalwick/lab/verify/replayed.py
+++ b/opalwick/lab/verify/replayed.py
@@ -8,7 +8,7 @@
 from hashlib import blake2b
 from typing import Any, Self
 
-from opalwick.lab.verify.explorer import Step
+from opalwick.lab.verify.explorer import Transition
 
 
 class Replayed:
@@ -16,26 +16,26 @@
     not hold there. `state` is all that what may follow depends on.
     """
 
-    def __init__(self, budget: Any, history: tuple[Step, ...] = ()) -> None:
-        self.first, self.budget, self.history = budget, budget, history
-        self.begin()
+    def __init__(self, budget: Any, history: tuple[Transition, ...] = ()) -> None:
+        self.initial_budget, self.budget, self.history = budget, budget, history
+        self.initialize()
         for step in history:
-            self.do(step)
+            self.apply(step)
 
-    def begin(self) -> None:
+    def initialize(self) -> None:
         raise NotImplementedError
 
-    def do(self, step: Step) -> None:
+    def apply(self, step: Transition) -> None:
         raise NotImplementedError
 
-    def steps(self) -> list[Step]:
+    def enabled(self) -> list[Transition]:
         raise NotImplementedError
 
     def state(self) -> Any:
         raise NotImplementedError
 
-    def after(self, step: Step) -> Self:
-        return type(self)(self.first, (*self.history, step))
+    def successor(self, step: Transition) -> Self:
+        return type(self)(self.initial_budget, (*self.history, step))
 
     def key(self) -> bytes:
         return blake2b(repr((self.budget, self.state())).encode(), digest_size=12).digest()
--- a/opalwick/lab/verify/rows.py
+++ b/opalwick/lab/verify/rows.py
@@ -9,7 +9,7 @@
 from opalwick.post.depot.disk import Row
 
 
-class Rows:
+class InMemoryDisk:
     """Durable at once; the world says when a sync has ended, or never does."""
 
     def __init__(self, name: str) -> None:
--- a/opalwick/lab/verify/words.py
+++ b/opalwick/lab/verify/words.py
@@ -7,12 +7,12 @@
 from opalwick.post.wire_pb2 import Envelope
 
 KINDS: dict[str, Any] = {name: type(getattr(Envelope(), name)) for name in Envelope.DESCRIPTOR.fields_by_name}
-Said = tuple[str, bytes]  # its kind, and what it says
+EncodedMessage = tuple[str, bytes]  # its kind, and what it says
 
 
-def packed(kind: str, word: Any) -> Said:
-    return kind, word.SerializeToString(deterministic=True)
+def encode(kind: str, message: Any) -> EncodedMessage:
+    return kind, message.SerializeToString(deterministic=True)
 
 
-def unpacked(said: Said) -> Any:
-    return KINDS[said[0]].FromString(said[1])
+def decode(encoded: EncodedMessage) -> Any:
+    return KINDS[encoded[0]].FromString(encoded[1])
--- a/tests/test_verify.py
+++ b/tests/test_verify.py
@@ -12,10 +12,10 @@
 
 from opalwick.commands import app
 from opalwick.lab.verify import leases, offices
-from opalwick.lab.verify.explorer import Broken, play, walk
-from opalwick.lab.verify.mutants import MUTANTS, caught
+from opalwick.lab.verify.explorer import PropertyViolation, replay, search
+from opalwick.lab.verify.mutants import MUTANTS, search_mutant
 from opalwick.lab.verify.parts import KEPT, PARTS, SERVES, Fence, Takeover, depot, office
-from opalwick.lab.verify.rows import Rows
+from opalwick.lab.verify.rows import InMemoryDisk
 from opalwick.post.depot.disk import Disk
 
 FEW = 150  # states: what a second or two shows of all parts
@@ -24,29 +24,29 @@
 @pytest.mark.parametrize("part", sorted(PARTS))
 def test_nothing_is_broken_in_the_first_states(part: str) -> None:
     for case in PARTS[part]:
-        found = walk(case.root(), FEW)
-        assert found.breach is None, (case.name, found.breach)
-        assert found.whole or found.states >= FEW
+        found = search(case.root(), FEW)
+        assert found.violation is None, (case.name, found.violation)
+        assert found.exhaustive or found.states >= FEW
 
 
 @pytest.mark.parametrize("name", sorted(MUTANTS))
 def test_a_planted_fault_is_caught(name: str) -> None:
     """And nothing is found without it, in as many states."""
-    found = caught(name)
-    assert found.breach is not None and found.breach.rule in MUTANTS[name].rules, found
-    assert walk(MUTANTS[name].root(), min(found.states, FEW)).breach is None
+    found = search_mutant(name)
+    assert found.violation is not None and found.violation.rule in MUTANTS[name].rules, found
+    assert search(MUTANTS[name].root(), min(found.states, FEW)).violation is None
 
 
 def test_a_trace_is_played_again_to_the_same_breach() -> None:
-    from opalwick.lab.verify.mutants import planted
+    from opalwick.lab.verify.mutants import planted_mutant
 
-    found = caught("a_lapsed_counter_goes_on").breach
+    found = search_mutant("a_lapsed_counter_goes_on").violation
     assert found is not None
     mutant = MUTANTS["a_lapsed_counter_goes_on"]
-    with planted(mutant):
-        play(mutant.root(), found.trace[:-1])
-        with pytest.raises(Broken, match="two deliverers"):
-            play(mutant.root(), found.trace)
+    with planted_mutant(mutant):
+        replay(mutant.root(), found.trace[:-1])
+        with pytest.raises(PropertyViolation, match="two deliverers"):
+            replay(mutant.root(), found.trace)
 
 
 def test_a_copy_shares_nothing_that_alters() -> None:
@@ -54,40 +54,42 @@
     for cases in PARTS.values():
         world = cases[-1].root()
         before = world.key()
-        for step in world.steps():
-            world.after(step)
+        for step in world.enabled():
+            world.successor(step)
         getattr(world, "marks", {}).clear()
         assert world.key() == before
 
 
 def test_leases_that_differ_by_an_exchange_of_offices_are_one() -> None:
-    world = leases.Leases(leases.Budget(time=2))
+    world = leases.LeaseModel(leases.Budget(time=2))
     one, other = (
-        play(world, (("hears", a, "c1/1"), ("hears", b, "c1/1"), ("hears", "c1/1", a)))
+        replay(world, (("hears", a, "c1/1"), ("hears", b, "c1/1"), ("hears", "c1/1", a)))
         for a, b in (("o1", "o2"), ("o3", "o1"))
     )
     assert one.key() == other.key() != world.key()
-    assert one.key() != play(world, (("hears", "o1", "c1/1"), ("hears", "o2", "c1/1"))).key()
+    assert one.key() != replay(world, (("hears", "o1", "c1/1"), ("hears", "o2", "c1/1"))).key()
 
 
 def test_two_depots_cut_off_from_each_other_both_deliver() -> None:
     """The one way that is known and left open, in the design note: no case may come to it unseen."""
     for apart in ("d1", "d2"):
-        root = depot(Fence(time=6, turns=0), *KEPT, ("cut", "d1", "d2"), ("cut", "c1", apart))
-        found = walk(root()).breach
+        root = depot(Fence(time=6, reorderings=0), *KEPT, ("cut", "d1", "d2"), ("cut", "c1", apart))
+        found = search(root()).violation
         assert found is not None and found.rule == "two deliverers"
     assert not any(case.root().budget.split for case in PARTS["fence"])  # type: ignore[attr-defined]
 
 
 def test_a_lost_disk_that_survival_does_not_bear_is_not_played() -> None:
-    world = office(Takeover(wipe=2, turns=0), *SERVES)()
-    world = world.after(("loses its disk", "o2"))
-    assert isinstance(world, offices.Offices) and not any(s[0] == "loses its disk" for s in world.steps())
+    world = office(Takeover(wipe=2, reorderings=0), *SERVES)()
+    world = world.successor(("loses its disk", "o2"))
+    assert isinstance(world, offices.ControllerModel) and not any(
+        s[0] == "loses its disk" for s in world.enabled()
+    )
 
 
 @pytest.mark.parametrize("seed", range(2))
 def test_rows_are_what_the_depots_disk_makes_of_the_same_writes(seed: int, tmp_path: Path) -> None:
-    draw, rows, disk = Random(seed), Rows("d"), Disk(str(tmp_path))
+    draw, rows, disk = Random(seed), InMemoryDisk("d"), Disk(str(tmp_path))
     for _ in range(40):
         mid = f"m{draw.randrange(4)}"
         writes = [
