--- a/opalwick/lab/verify/__init__.py
+++ b/opalwick/lab/verify/__init__.py
@@ -1,5 +1,6 @@
-"""Every interleaving in the small: the post's cores explored state by state (`python -m opalwick verify`).
+"""Explicit-state model checker for the service's state machines (`python -m opalwick verify`).
 
-A world (`offices`, `depots`, `leases`) is a few machines with the cores that run in service, words between
-them and disks; it says what may happen next, and judges each state. `explorer` walks them breadth first.
+A model (`offices`, `depots`, `leases`, `notices`, `answers`) consists of a few processes that run the
+production state machines, the messages between them and their disks. It enumerates the enabled transitions
+and checks the invariants in each state. `explorer` searches it breadth-first.
 """
--- a/opalwick/lab/verify/answers.py
+++ b/opalwick/lab/verify/answers.py
@@ -1,8 +1,8 @@
-"""Whose answer is whose: a counter's delivery and its pool of connections, as they are in service, against
-a worker that does all that a worker in trouble may do.
+"""Model of the matching of responses to requests: a gateway's production delivery code and connection pool
+against a worker that may fail in every modelled way.
 
-A step is one request and what the worker does about it, now and behind its back; each delivery runs to its
-end within the step, on sockets that are lists of what was written. So every sequence of such steps is one
+A transition is one request and what the worker does with it, now and later. Each delivery runs to its end
+within the transition, on fake sockets that buffer what was written. So each sequence of transitions is one
 history.
 """
 
@@ -21,7 +21,7 @@
 
 PLACE = ("10.0.0.1", 80, "w1")
 LIMITS = within(64, 64, 16, 15.0, 0.3, 60.0, 3.0)
-LONG_BODY = b"x" * 20000  # octets of a long request's body
+LONG_BODY = b"x" * 20000  # body of a long request, in bytes
 
 
 class Budget(NamedTuple):
@@ -29,11 +29,13 @@
 
 
 class WorkerBehaviour(NamedTuple):
-    """What a worker does with a request. `runs`: it has run. `says`: status of its answer, 0: none. `named`:
-    the answer repeats the request's id. `framed`: it tells its length. `again`: the answer comes a second
-    time, once the connection rests; `crossing`: as the next request is written. `late`: nothing comes until
-    then. `early`: the answer comes before the last byte is in. `first`: a refusal lies on a new connection
-    before anything is asked. `ends`: closes after it.
+    """What a worker does with a request.
+
+    `runs`: it runs the request. `status`: of its response, 0: none. `echoes_id`: the response repeats the
+    request's id. `framed`: it has a Content-Length. `again`: it comes a second time once the connection is
+    idle; `crossing`: while the next request is written. `late`: nothing comes until then. `early`: the
+    response comes before the last byte of the request is read. `first`: a rejection is sent on a new
+    connection before any request. `closes`: the worker closes the connection after it.
     """
 
     name: str
@@ -76,16 +78,16 @@
 
 
 class FakeSocket:
-    """The worker's end of a connection: what it has said and is not read, and what it was sent."""
+    """A socket to the worker: holds unread data from the worker and what was sent to the worker."""
 
-    def __init__(self, world: ResponseModel) -> None:
-        self.world, self.unread, self.got, self.closed_by_peer = world, b"", b"", False
-        self.on_next_request = b""  # said once the next request is written
-        self.on_idle = b""  # said once the connection rests
+    def __init__(self, model: ResponseModel) -> None:
+        self.model, self.unread, self.got, self.closed_by_peer = model, b"", b"", False
+        self.on_next_request = b""  # sent when the next request is written
+        self.on_idle = b""  # sent when the connection is idle
 
     def send(self, data: memoryview) -> int:
         self.got += bytes(data)
-        self.world.sent(self)
+        self.model.sent(self)
         return len(data)
 
     def recv_into(self, room: memoryview) -> int:
@@ -100,13 +102,13 @@
     def settimeout(self, seconds: float | None) -> None: ...
 
     def connect(self, address: Any) -> None:
-        self.world.connected(self)
+        self.model.connected(self)
 
     def close(self) -> None: ...
 
 
 class FakeConnection(Connection):
-    """On such a socket; nothing waits."""
+    """A connection over a `FakeSocket`; nothing blocks."""
 
     __slots__ = ()
 
@@ -122,9 +124,9 @@
 
 
 class FakePool(Pool):
-    def __init__(self, world: ResponseModel) -> None:
+    def __init__(self, model: ResponseModel) -> None:
         super().__init__(8, 60.0, LIMITS.ring)
-        self.world = world
+        self.model = model
 
     def take(self, address: Any) -> Connection:
         kept = self.kept.get(address)
@@ -132,10 +134,10 @@
             connection = kept.pop()
             if not connection.readable():
                 connection.used += 1
-                self.world.last = connection
+                self.model.last = connection
                 return connection
             self.close(connection)
-        connection = self.world.last = FakeConnection(FakeSocket(self.world), self.ring)
+        connection = self.model.last = FakeConnection(FakeSocket(self.model), self.ring)
         connection.address = address
         self.open += 1
         self.open_to[address] += 1
@@ -146,7 +148,7 @@
     """Rules: `another's answer`, `said not run`, `beyond a break`, `no end`."""
 
     def initialize(self) -> None:
-        self.pool, self.number, self.behaviour = FakePool(self), 0, BEHAVIOURS[0]
+        self.pool, self.number, self.current = FakePool(self), 0, BEHAVIOURS[0]
         self.ran: dict[int, bool] = {}
         self.responded = False
         self.last: Connection | None = None
@@ -173,12 +175,12 @@
         return "\r\n".join([*lines, "", "ok"]).encode()
 
     def connected(self, socket: FakeSocket) -> None:
-        if self.behaviour.first:
+        if self.current.first:
             socket.unread += self.answer(REJECTION, 0)
 
     def sent(self, socket: FakeSocket) -> None:
-        """Something was written to it."""
-        behaviour, head = self.behaviour, socket.got.partition(b"\r\n\r\n")
+        """Produces the worker's response once enough of the request was written."""
+        behaviour, head = self.current, socket.got.partition(b"\r\n\r\n")
         if not head[1] or self.responded:
             return
         socket.unread += socket.on_next_request
@@ -198,13 +200,13 @@
             socket.on_next_request = response if behaviour.crossing else b""
             socket.closed_by_peer = behaviour.closes
 
-    # ---- the counter
+    # ---- the gateway
 
     def apply(self, step: Transition) -> None:
         kind, name = step
         self.budget = self.budget._replace(requests=self.budget.requests - 1)
         self.number += 1
-        self.behaviour = next(behaviour for behaviour in BEHAVIOURS if behaviour.name == name)
+        self.current = next(behaviour for behaviour in BEHAVIOURS if behaviour.name == name)
         body = LONG_BODY if kind == "asks, long" else b"x"
         self.size, self.responded = len(body), False
         for connection in self.pool.kept.get(PLACE[:2], []):
@@ -224,22 +226,26 @@
 
     def check(self, outcomes: list[Any], long: bool) -> None:
         if len(outcomes) != 1:
-            raise PropertyViolation("no end", f"request {self.number} has {len(outcomes)} ends")
+            raise PropertyViolation("no end", f"request {self.number} has {len(outcomes)} outcomes")
         outcome, seal, _ = outcomes[0]
         ran = self.ran.get(self.number, False)
         if outcome is DeliveryOutcome.DONE and not (ran and seal == f"s{self.number}"):
-            raise PropertyViolation("another's answer", f"request {self.number} is done by seal {seal!r}")
+            raise PropertyViolation(
+                "another's answer", f"request {self.number} is done with completion token {seal!r}"
+            )
         if outcome.ran is True and not ran:
             raise PropertyViolation(
-                "another's answer", f"request {self.number} never ran and is {outcome.text}"
+                "another's answer", f"request {self.number} never ran, but its outcome is {outcome.text}"
             )
         if outcome.ran is False and ran:
-            raise PropertyViolation("said not run", f"request {self.number} ran and is {outcome.text}")
-        if outcome is DeliveryOutcome.FULL and self.behaviour.status != 503:
             raise PropertyViolation(
-                "another's answer", f"request {self.number} was taken and is {outcome.text}"
+                "said not run", f"request {self.number} ran, but its outcome is {outcome.text}"
+            )
+        if outcome is DeliveryOutcome.FULL and self.current.status != 503:
+            raise PropertyViolation(
+                "another's answer", f"request {self.number} was accepted, but its outcome is {outcome.text}"
             )
-        behaviour = self.behaviour
+        behaviour = self.current
         broken = (
             not behaviour.framed
             or behaviour.closes
@@ -249,7 +255,7 @@
         )
         if broken and self.last in self.pool.kept.get(PLACE[:2], []):
             raise PropertyViolation(
-                "beyond a break", f"the connection of request {self.number} is used again"
+                "beyond a break", f"the connection of request {self.number} is back in the pool"
             )
 
     def state(self) -> Any:
--- a/opalwick/lab/verify/command.py
+++ b/opalwick/lab/verify/command.py
@@ -1,4 +1,4 @@
-"""`python -m opalwick verify`: the command line. Imports the cores only when it runs."""
+"""Command line `python -m opalwick verify`. Imports the models only when it runs."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import typer
 
-app = typer.Typer(add_completion=False, help="Every interleaving in the small, of the post's own cores.")
+app = typer.Typer(add_completion=False, help="Model checker for the state machines of the messaging service.")
 
 BROKEN, FAULTY = 1, 2  # exit codes
 NAMES = ("takeover", "fence", "lease", "notice", "answer")
@@ -19,13 +19,16 @@
 
 
 def print_trace(trace: tuple[tuple[Any, ...], ...]) -> None:
-    """A way to a breach, a line a step: who, and what befalls it."""
+    """Prints the trace to a violation, one transition a line: process, kind, arguments."""
     for number, (kind, who, *rest) in enumerate(trace, 1):
         typer.echo(f"    {number:3} {who} {kind} {' '.join(map(str, rest))}".rstrip())
 
 
 def run_cases(names: list[str], share: float) -> tuple[int, list[dict[str, Any]], dict[str, Any]]:
-    """States, what is broken, and a report of each part."""
+    """Returns the number of states, the violations and a report for each part.
+
+    `share`: factor for the state limit of each case.
+    """
     from opalwick.lab.verify.explorer import search_from
     from opalwick.lab.verify.parts import PARTS
 
@@ -67,7 +70,7 @@
 
 
 def run_mutants(names: list[str]) -> tuple[int, int]:
-    """Mutants, and how many were caught."""
+    """Returns the number of mutants and how many of them were caught."""
     from opalwick.lab.verify.mutants import MUTANTS, search_mutant
 
     selected = {name: mutant for name, mutant in MUTANTS.items() if mutant.part in names}
@@ -87,21 +90,23 @@
 
 @app.command()
 def verify(
-    as_json: Annotated[bool, typer.Option("--json", help="The report as the last line.")] = False,
+    as_json: Annotated[
+        bool, typer.Option("--json", help="Print the report as JSON on the last line.")
+    ] = False,
     part: Annotated[
-        list[str] | None, typer.Option(metavar="NAME", help=f"Of {', '.join(NAMES)}; else all.")
+        list[str] | None, typer.Option(metavar="NAME", help=f"One of {', '.join(NAMES)}; default: all.")
     ] = None,
     share: Annotated[
-        float, typer.Option(help="Of the states of a case that is cut off: 0.1 is a quick look.")
+        float, typer.Option(help="Factor for the state limit of each case; 0.1 for a quick check.")
     ] = 1.0,
-    mutants: Annotated[bool, typer.Option(help="Whether faults are planted, too, each to be caught.")] = True,
+    mutants: Annotated[bool, typer.Option(help="Also check that each planted fault is caught.")] = True,
 ) -> None:
-    """Explores the post's cores state by state. Exit code 1: something is broken, or a fault not caught."""
+    """Searches the state spaces. Exit code 1: a violation was found, or a planted fault was not caught."""
     unknown = [name for name in part or () if name not in NAMES]
     if unknown:
-        raise fail(f"--part {unknown[0]}: there are {', '.join(NAMES)}")
+        raise fail(f"--part {unknown[0]}: unknown; known parts: {', '.join(NAMES)}")
     if not 0.0 < share <= 1000.0:
-        raise fail(f"--share {share:g}: more than 0, at most 1000")
+        raise fail(f"--share {share:g}: must be more than 0 and at most 1000")
     names = [name for name in NAMES if name in (part or NAMES)]
     try:
         states, violations, parts = run_cases(names, share)
--- a/opalwick/lab/verify/copying.py
+++ b/opalwick/lab/verify/copying.py
@@ -1,7 +1,8 @@
-"""Copies of cores and what tells two of them apart: whole object graphs, whatever they are made of.
+"""Deep copies and canonical forms of object graphs, for the state machines under test.
 
-Two cores are the same where all that they know is the same, with times as distances from now. Distances
-beyond `far` are one: no core looks further back (each world says which constant that is).
+Two state machines have the same canonical form if all of their fields are equal, with times relative to
+now. Distances beyond `far` are clamped to it, as no state machine looks further back (each model says which
+constant that comes from).
 """
 
 from __future__ import annotations
@@ -16,14 +17,14 @@
 from google.protobuf.message import Message
 
 IMMUTABLE = {int, float, str, bytes, bool, type(None), type, types.FunctionType, types.BuiltinFunctionType}
-TIME_DIGITS = 3  # digits of a second: the finest constant of the cores is 5 ms
+TIME_DIGITS = 3  # digits of a second: the smallest constant of the state machines is 5 ms
 
 PLAIN_VALUES = {int, str, bytes, bool, type(None)}
 
-# bookkeeping that decides nothing; and what is not a time though it is a float
+# attributes that hold statistics, on which no decision depends; then floats that are not times
 IGNORED = {"figures", "counts", "events", "cross_zone_bytes"}
 NOT_TIMES = {"rate", "tokens", "room", "state_s"}
-# order of these decides: the first of several that are equal is taken
+# dictionaries whose order matters: the first of several equal entries is chosen
 ORDERED = {"votes", "counters", "gateways", "peers", "answered"}
 
 
@@ -34,12 +35,12 @@
 
 @cache
 def is_immutable(kind: Any, shared: tuple[type, ...]) -> bool:
-    """Whether such a thing is never altered."""
+    """Returns whether instances of this type are never mutated."""
     return kind in IMMUTABLE or issubclass(kind, (Enum, *shared))
 
 
 class Copier:
-    """One graph; what is met twice stays one. `shared`: types that nobody alters."""
+    """Copies one graph and preserves shared references. `shared`: types that are never mutated."""
 
     def __init__(self, shared: tuple[type, ...] = ()) -> None:
         self.shared, self.visited = shared, dict[int, Any]()
@@ -85,7 +86,7 @@
 
 
 class Canonicalizer:
-    """What a graph comes to as a plain value, the same for all that are the same."""
+    """Turns a graph into a plain value that is equal for equivalent graphs. `now`, `far`: seconds."""
 
     def __init__(
         self, now: float, far: float, shared: tuple[type, ...] = (), ignored: Iterable[str] = ()
--- a/opalwick/lab/verify/depots.py
+++ b/opalwick/lab/verify/depots.py
@@ -1,9 +1,11 @@
-"""A message's copies and who delivers it: depots and counters as roles, their disks, their links.
+"""Model of a message's replicas and its owner: stores and gateways as roles, their disks and links.
 
-One clock for all, in steps of `STEP`: lapse and margin rest on clocks that run alike. Pulses come at each
-step, but where a link is cut: there words wait, and come late, in order. Workers and the desk's choice
-among them are left out: an attempt is one delivery that may begin, asked as the last thing, and its end, or
-none.
+All processes share one clock with steps of `STEP`, as lapse and margin assume that clocks run at the same
+rate. Heartbeats arrive at each step, except on a link that is cut: there messages wait, and arrive late, in
+order. Workers and the dispatcher's choice among them are left out: an attempt is one delivery that may start,
+checked immediately before, and its end, or none.
+
+The wire's names for store and gateway are "depot" and "counter".
 """
 
 from __future__ import annotations
@@ -31,47 +33,50 @@
 from opalwick.post.wire_pb2 import Conf, Hello, Letter, News, Route, Service
 from opalwick.routing.reducer import Send
 
-STEP = 0.5  # s: the margin; a lapse is four, a depot that acts is away after three, none stood still for one
-FAR = 4.0  # s: older than this is just old: the longest span in play is SETTLE's double, 3
+STEP = 0.5  # s: the margin; a lapse is four steps, an acting store counts as away after three, a suspension after one
+FAR = 4.0  # s: ages beyond this are equivalent: the longest span used is twice SETTLE, 3
 REPLICAS = 2  # survive.boxes + 1
-RETAIN = 60.0  # s that a message is worth keeping: longer than any history
+RETAIN = 60.0  # s of retention: longer than any history
 CONF = Conf(
     gen=1,
     body_bytes=100,
     services=[Service(name="s")],
     routes=[Route(name="r", host="h", stem="/", svc="s", tries=3, retain=RETAIN, limit=1.5, deferred=True)],
 )
-# nothing follows at the one it befalls until something else does
+# events that trigger no effects at their process until another event does
 WITHOUT_EFFECTS = {"stands still", "wakes", "time", "holds up", "lets go", "cut"}
-LOST, JOINED = ("lost", b""), "joined"  # in a link's words: it has ended; it is up, and who is there
+LOST, JOINED = (
+    ("lost", b""),
+    "joined",
+)  # markers in a link's queue: it has ended; it is up, with the peer's hello
 
 Direction = tuple[str, str]
 
 
 class Budget(NamedTuple):
-    """How often each may happen in one history."""
+    """How often each event may happen in one history."""
 
     time: int = 0
-    offers: int = 0  # messages that clients bring
-    sends: int = 0  # deliveries that begin
-    ends: int = 0  # of them that end in a success
+    offers: int = 0  # messages that clients submit
+    sends: int = 0  # deliveries that start
+    ends: int = 0  # deliveries that succeed
     crash: int = 0
     wipe: int = 0
     freeze: int = 0
-    cut: int = 0  # of a counter from a depot: words wait, or are lost with the link
-    hold: int = 0  # what goes one way between them comes later, in order
-    split: int = 0  # of two depots
+    cut: int = 0  # between a gateway and a store: messages wait, or are lost with the link
+    hold: int = 0  # messages in one direction between them arrive later, in order
+    split: int = 0  # between two stores
     retire: int = 0
-    unheard: int = 0  # processes that hear of the retirement later, or start without having heard of it
-    together: int = 0  # a process reads all that has come to it before it carries out what follows
-    reorderings: int = -1  # how often another than the next comes first; -1: all orders are seen
+    unheard: int = 0  # processes that receive the retirement later, or start without having received it
+    together: int = 0  # a process reads all pending messages before it carries out the effects
+    reorder: int = -1  # deviations from the fixed order of events; -1: all interleavings
 
     def spend(self, name: str) -> Budget:
         return self._replace(**{name: getattr(self, name) - 1})
 
 
 class LinkStub:
-    """A link, as a role sees it."""
+    """A role's link: collects the messages sent on it."""
 
     def __init__(
         self, peer: Hello, number: int, out: list[tuple[str, int, EncodedMessage]], now: float
@@ -83,7 +88,7 @@
 
 
 class Client:
-    """A call of a client: what it was answered."""
+    """A client's call: records the status of its answer."""
 
     def __init__(self, answers: list[int]) -> None:
         self.answers = answers
@@ -93,7 +98,7 @@
 
 
 class OneWorker(Dispatcher):
-    """A desk with one worker, which takes all."""
+    """A dispatcher with one worker, which accepts everything."""
 
     def __init__(self, service: Service) -> None:
         self.service, self.wake_at, self.permit_queue, self.cancels = service, math.inf, WaitQueue(), 0
@@ -125,7 +130,7 @@
 
 
 class GatewayUnderTest(Gateway):
-    last_mid = ""  # of the message that was offered last
+    last_mid = ""  # of the last message offered
 
     def event(self, number: int, **fields: Any) -> None: ...
 
@@ -139,7 +144,7 @@
 
 
 class Machine:
-    """A process, if it runs, its disk, its clients' answers and its deliveries."""
+    """A process (if it runs), its disk, the answers to its clients and its deliveries."""
 
     def __init__(self, me: str, disk: InMemoryDisk | None) -> None:
         self.me, self.disk, self.life = me, disk, 0
@@ -157,7 +162,7 @@
 
 SETTINGS = {me: settings(me) for me in ("c1", "c2", "d1", "d2", "d3")}
 SHARED = (Settings, Routes, FixedRandom)
-# bookkeeping, and what never changes
+# attributes that hold statistics or never change
 IGNORED = ("settings", "chance", "wanted", "heard_at_line", "names", "routes", "directory", "desk_service")
 
 
@@ -170,15 +175,17 @@
         self.names = (*depots, *self.counters)
         self.machines = {me: Machine(me, InMemoryDisk(me) if me in depots else None) for me in self.names}
         self.links: dict[Direction, tuple[EncodedMessage, ...]] = {}
-        self.numbers: dict[Direction, int] = {pair: 0 for pair in self.pairs()}  # of the link between two
-        self.unlinked: frozenset[Direction] = frozenset(self.pairs())  # no link
+        self.numbers: dict[Direction, int] = {
+            pair: 0 for pair in self.pairs()
+        }  # number of the current link of a pair
+        self.unlinked: frozenset[Direction] = frozenset(self.pairs())  # pairs without a link
         self.cuts: frozenset[Direction] = frozenset()
         self.held: frozenset[Direction] = frozenset()
         self.frozen: frozenset[str] = frozenset()
         self.retiring: frozenset[str] = frozenset()
-        self.unheard: frozenset[str] = frozenset()  # who has not heard of that yet
-        self.complete: frozenset[str] = frozenset()  # depots that said that they are empty
-        self.away: frozenset[str] = frozenset()  # taken away after the operator was told that they are empty
+        self.unheard: frozenset[str] = frozenset()  # processes that have not received the retirement
+        self.complete: frozenset[str] = frozenset()  # stores that reported that they are empty
+        self.away: frozenset[str] = frozenset()  # stores removed after they reported that they are empty
         self.accepted: frozenset[str] = frozenset()  # answered 202
         self.offered = 0
         self.wiped = 0
@@ -187,7 +194,7 @@
             self.start(me)
 
     def pairs(self) -> list[Direction]:
-        """Who has links with whom; in one order."""
+        """Returns the pairs of processes that may be linked, in a fixed order."""
         found = [(a, b) for a in self.depots for b in self.depots if a < b]
         return found + [(c, d) for c in self.counters for d in self.depots]
 
@@ -204,14 +211,14 @@
         return new
 
     def at(self, me: str) -> Machine:
-        """To be altered."""
+        """Returns that machine for mutation: a copy, unless this state already has its own."""
         known = self.machines[me]
         if known not in self.fresh:
             self.machines[me] = Copier(SHARED).copy(known)
             self.fresh.append(self.machines[me])
         return self.machines[me]
 
-    fresh: list[Machine]  # those that this world alone has
+    fresh: list[Machine]  # machines that no other state shares
 
     def key(self) -> bytes:
         parts = []
@@ -240,7 +247,7 @@
         )
         return blake2b(repr((parts, rest)).encode(), digest_size=12).digest()
 
-    # ---- what may happen
+    # ---- transitions
 
     def is_open(self, sender: str, me: str) -> bool:
         return (sender, me) not in self.held and self.pair(sender, me) not in self.cuts
@@ -266,15 +273,15 @@
     def enabled(self) -> list[Transition]:
         left = self.budget
         ready = self.internal_transitions()
-        found = ready if left.reorderings else ready[:1]
-        if left.together:  # all that lies in its sockets, before it looks at what follows
+        found = ready if left.reorder else ready[:1]
+        if left.together:  # reads all pending messages before it carries out the effects
             for me in self.names:
                 senders = [way[0] for way in sorted(self.links) if way[1] == me and self.is_open(*way)]
                 if self.runs(me) and sum(len(self.links[one, me]) for one in senders) > 1:
                     found.append(("hears all", me, *senders))
-        if left.time and not any(step[0] == "hears" for step in ready) and (left.reorderings or not ready):
+        if left.time and not any(step[0] == "hears" for step in ready) and (left.reorder or not ready):
             found.append(("time", ""))
-        quiet = left.reorderings != 0 or not ready
+        quiet = left.reorder != 0 or not ready
         if left.offers and quiet:
             found += [("offers", me) for me in self.counters[:1] if self.runs(me)]
         if left.retire and quiet and not self.retiring:
@@ -322,13 +329,13 @@
         kind, me, *rest = step
         new = self.copy()
         new.fresh = []
-        ready = self.internal_transitions() if self.budget.reorderings > 0 else []
+        ready = self.internal_transitions() if self.budget.reorder > 0 else []
         if (
             ready
             and step != ready[0]
             and kind in ("hears", "synced", "sends", "time", "offers", "retires", "has a success")
         ):
-            new.budget = new.budget.spend("reorderings")
+            new.budget = new.budget.spend("reorder")
         match kind:
             case "hears":
                 new.receive_next(me, rest[0])
@@ -387,9 +394,7 @@
                 new.held = self.held - {(rest[0], me)}
             case "give each other up":
                 for a, b in ((me, rest[0]), (rest[0], me)):
-                    if (
-                        a not in self.frozen
-                    ):  # what lies in the sockets of one that stands still is read first
+                    if a not in self.frozen:  # a suspended process first reads what its socket buffers hold
                         new.links.pop((b, a), None)
                 new.link_down(me, rest[0])
             case "joined":
@@ -412,7 +417,7 @@
                 self.links[other, me] = (*self.links.get((other, me), ()), LOST)
 
     def link_up(self, a: str, b: str) -> None:
-        """A link comes up, where both run and none is cut off."""
+        """Establishes a link if both processes run and the pair is not cut."""
         pair = self.pair(a, b)
         if (
             pair not in self.unlinked
@@ -448,7 +453,9 @@
             role.receive(line, encoded[0], decode(encoded))
 
     def time(self) -> None:
-        """All look at the time, and say their pulses; those come at once where nothing is before them."""
+        """Runs all ticks and sends the heartbeats, which arrive at once where no message is queued before
+        them.
+        """
         there = [me for me in self.names if self.runs(me)]
         for me in there:
             role = self.at(me).role
@@ -484,7 +491,7 @@
             assert machine.disk is not None
             role: Any = StoreUnderTest(SETTINGS[me], machine.life, self.now, machine.disk.id)
             load(role, machine.disk, 0.0)  # type: ignore[arg-type]
-            # as offices tell it: who is there
+            # the set of nodes, as controllers report it
             role.store.expected = {other for other in self.names if other != me}
         else:
             role = GatewayUnderTest(SETTINGS[me], machine.life, self.now, 8, bytes)
@@ -524,7 +531,7 @@
         elif how == "loses its disk":
             self.wiped += 1
             machine.disk = InMemoryDisk(f"{me}-{machine.life}")
-        elif how == "is taken away":  # with its disk, which is no loss: it has said that it is empty
+        elif how == "is taken away":  # with its disk, which is no loss: it has reported that it is empty
             self.away |= {me}
             machine.disk = InMemoryDisk(f"{me}-none")
         machine.role, machine.batch, machine.deliveries, machine.answers, machine.out = None, None, [], [], []
@@ -535,7 +542,7 @@
                 self.link_down(me, other)
 
     def settle(self, me: str) -> None:
-        """What follows is carried out: words go onto their links, what is to be written to the disk."""
+        """Carries out the effects: messages go onto their links, writes into a batch for the disk."""
         machine = self.at(me)
         role = machine.role
         role.settle()
@@ -568,10 +575,10 @@
             else:
                 role.delivery_ended(order, DeliveryOutcome.NOT_SENT, "", None, False)
 
-    # ---- properties
+    # ---- invariants
 
     def has(self, mid: str, ends: bool = True) -> int:
-        """On how many disks it is, or its end."""
+        """Returns the number of disks that hold the message or (if `ends`) its end."""
         return sum(
             machine.disk is not None
             and (mid in machine.disk.letters_of or (ends and mid in machine.disk.ends_of))
@@ -590,12 +597,12 @@
             encoded[0] == "kept" and message.mid in machine.disk.letters_of
         )
         if encoded[0] == "kept" and message.mid in machine.disk.dropped:
-            # dropped in the batch that it was kept in: who ordered that has given it up, and promises nothing
+            # dropped in the same batch that stored it: whoever ordered that has given it up and promises nothing
             role = self.machines[to].role
             there = there or role is None or (to in self.counters and message.mid not in role.intake.pending)
         if not there and not (encoded[0] == "kept" and message.refused):
             raise PropertyViolation(
-                "early word", f"{me} says {encoded[0]} of {message.mid}, which is not on its disk"
+                "early word", f"{me} sends {encoded[0]} for {message.mid}, which is not on its disk"
             )
 
     def check_answer(self, status: int) -> None:
@@ -607,12 +614,12 @@
         self.accepted |= {mid}
 
     def mid(self) -> str:
-        """The message that was offered last: one at a time is."""
+        """Returns the id of the last message offered; only one is offered at a time."""
         return str(self.machines["c1"].role.last_mid)
 
     def check(self) -> None:
         if all(self.has(mid) >= REPLICAS for mid in self.accepted) and self.offered == len(self.accepted):
-            self.wiped = 0  # all is whole again
+            self.wiped = 0  # all replicas are restored
         for mid in self.accepted:
             if self.has(mid) + self.wiped < REPLICAS:
                 raise PropertyViolation("copies", f"{mid} was accepted and is on {self.has(mid)} disks")
@@ -626,11 +633,11 @@
                     state = machine.role.store.state(mid).state
                     if state == MessageState.COMPLETE and not self.has_end(machine, mid):
                         raise PropertyViolation(
-                            "early word", f"{me} tells askers that {mid} is complete, not on its disk"
+                            "early word", f"{me} reports {mid} as complete before that is on its disk"
                         )
 
     def may_send(self, me: str, mid: str) -> bool:
-        """Whether that counter, as it wakes if it stands still, would send it now."""
+        """Returns whether that gateway would deliver it now (once resumed, if it is suspended)."""
         role = self.machines[me].role
         item = role.rounds.items.get(mid) if role is not None else None
         if item is None or item.reassigned or item.closed:
--- a/opalwick/lab/verify/explorer.py
+++ b/opalwick/lab/verify/explorer.py
@@ -1,4 +1,6 @@
-"""Breadth first through all that may happen: each state once, the first breach with a shortest way to it."""
+"""Breadth-first search of a state space: visits each state once and reports the first violation with a
+shortest trace.
+"""
 
 from __future__ import annotations
 
@@ -6,11 +8,11 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple, Protocol
 
-Transition = tuple[Any, ...]  # what happens, to whom; its first part is the kind
+Transition = tuple[Any, ...]  # kind, process concerned, further arguments
 
 
 class PropertyViolation(Exception):
-    """A property does not hold."""
+    """An invariant does not hold. `rule` names it, `trace` is the path to the state if the search has it."""
 
     def __init__(self, rule: str, detail: str) -> None:
         super().__init__(f"{rule}: {detail}")
@@ -19,16 +21,16 @@
 
 
 class State(Protocol):
-    """One state. Nothing alters it once it was returned."""
+    """One state of a model; immutable once returned."""
 
     def enabled(self) -> list[Transition]:
-        """All that may happen next, in an order that depends on nothing else."""
+        """Returns the enabled transitions in an order that depends on the state only."""
 
     def successor(self, step: Transition) -> State:
-        """`Broken` where a property does not hold there."""
+        """Returns the state after that transition. Raises `PropertyViolation` if an invariant fails there."""
 
     def key(self) -> bytes:
-        """The same for states that go on in the same way, and for no others."""
+        """Returns a digest that is equal for states with the same future behaviour, and for no others."""
 
 
 class Violation(NamedTuple):
@@ -40,14 +42,14 @@
 class SearchResult(NamedTuple):
     states: int
     transitions: int
-    depth: int  # up to which all was seen
-    exhaustive: bool  # nothing is left beyond it
+    depth: int  # all states up to this depth were visited
+    exhaustive: bool  # no state is left to visit
     violation: Violation | None
     seconds: float
 
 
 def search_from(root: Callable[[], State], max_states: int, seconds: float = 1e9) -> SearchResult:
-    """From where a calm way leads, which may be broken itself."""
+    """Searches from the state that `root` builds; building it may itself violate an invariant."""
     try:
         return search(root(), max_states, seconds)
     except PropertyViolation as problem:
@@ -62,7 +64,10 @@
 
 
 def search(root: State, max_states: int = 1 << 62, seconds: float = 1e9) -> SearchResult:
-    """Up to the first breach, or until so many states are known."""
+    """Searches until the first violation, until `max_states` were visited or for `seconds`.
+
+    Limits are checked after each state, so that all of its transitions are explored.
+    """
     began = time.monotonic()
     visited = {root.key()}
     parents: list[tuple[int, Transition]] = [(-1, ())]
@@ -81,14 +86,14 @@
 
     while layer:
         next_layer: list[tuple[State, int]] = []
-        for world, index in layer:
-            for step in world.enabled():
+        for state, index in layer:
+            for step in state.enabled():
                 transitions += 1
                 try:
-                    reached = world.successor(step)
+                    reached = state.successor(step)
                 except PropertyViolation as problem:
                     return result(False, Violation(problem.rule, problem.detail, path_to(index, step)))
-                except Exception as problem:  # noqa: BLE001 - a core that raises is a finding
+                except Exception as problem:  # noqa: BLE001 - an exception in the code under test is a finding
                     return result(False, Violation("fault", repr(problem), path_to(index, step)))
                 key = reached.key()
                 if key not in visited:
@@ -102,8 +107,8 @@
     return result(True)
 
 
-def replay(world: State, trace: tuple[Transition, ...]) -> State:
-    """Goes that way, whatever it comes to."""
+def replay(state: State, trace: tuple[Transition, ...]) -> State:
+    """Applies a trace. Raises `PropertyViolation` where an invariant fails."""
     for step in trace:
-        world = world.successor(step)
-    return world
+        state = state.successor(step)
+    return state
--- a/opalwick/lab/verify/leases.py
+++ b/opalwick/lab/verify/leases.py
@@ -1,8 +1,11 @@
-"""A duty's lease: three offices that grant it, two counters that want it, words that come late or never.
+"""Model of an exclusive task's lease: three controllers that grant it, two gateways that request it, messages
+that are late or lost.
 
-One clock for all, in steps of `STEP`: that clocks run alike is what leases rest on. What is found does not
-rest on how long a word or a process takes. Offices are interchangeable here, so worlds that differ by an
-exchange of offices are one.
+All processes share one clock with steps of `STEP`, as leases assume that clocks run at the same rate. The
+results don't depend on how long a message or a process takes. Controllers are interchangeable here (symmetry
+reduction): states that differ by a permutation of controllers are the same.
+
+The wire's names for gateway and controller are "counter" and "office".
 """
 
 from __future__ import annotations
@@ -22,23 +25,25 @@
 
 DUTY = "s"
 OFFICES = ("o1", "o2", "o3")
-STEP = 0.35  # s: a lease (1.4) is four of them, a voter's longest (1.5) under five, a reply's time (0.3) one
-FAR = 2.5  # s: older than this is just old; the longest span is IDLE (2.0)
-SLACK = 1e-6  # s: floats of one moment
+STEP = (
+    0.35  # s: a lease (1.4) is four steps, a voter's longest (1.5) under five, a reply's time limit (0.3) one
+)
+FAR = 2.5  # s: ages beyond this are equivalent; the longest span is IDLE (2.0)
+SLACK = 1e-6  # s: tolerance for floating-point times of the same moment
 
 Direction = tuple[str, str]
 
 
 class Budget(NamedTuple):
-    """How often each may happen in one history. `time`: steps of the clock."""
+    """How often each event may happen in one history. `time`: steps of the clock."""
 
     time: int = 6
-    lost: int = 0  # a link ends, with what is on it
-    crash: int = 0  # of an office
-    dies: int = 0  # of a counter
-    leaves: int = 0  # a counter is to end
+    lost: int = 0  # a link is lost with the messages on it
+    crash: int = 0  # of a controller
+    dies: int = 0  # of a gateway
+    leaves: int = 0  # a gateway is ordered to shut down
     freeze: int = 0
-    reorderings: int = -1  # how often another than the next comes first; -1: all orders are seen
+    reorder: int = -1  # deviations from the fixed order of events; -1: all interleavings
 
     def spend(self, name: str) -> Budget:
         return self._replace(**{name: getattr(self, name) - 1})
@@ -54,7 +59,7 @@
 
 
 class Voter(Controller):
-    """An office as far as its duties go: what it answers is the role's own code."""
+    """A controller reduced to its lease table; requests are handled by the production code of the role."""
 
     def __init__(self, now: float, first: bool) -> None:
         self.now, self.ip = now, "me"
@@ -76,10 +81,10 @@
         self.frozen: frozenset[str] = frozenset()
         self.unticked: frozenset[str] = (
             frozenset()
-        )  # counters that have not looked at the time since it went on
+        )  # gateways that have not run their tick since the clock advanced
         self.reported: dict[
             Direction, dict[str, str]
-        ] = {}  # by process, office: what was said there of who holds what
+        ] = {}  # by (process, controller): the lease holders reported there
         for node in self.nodes:
             self.counters[node] = self.new_gateway(node)
             self.settle(node)
@@ -88,7 +93,7 @@
         core = Ceilings(node, self.incarnations[node])
         core.now = self.now
         core.configured({DUTY: 20.0}, list(self.nodes), len(OFFICES))
-        core.waiting[DUTY] = 1  # something always waits for a permit
+        core.waiting[DUTY] = 1  # a request for a permit is always waiting
         core.tick(self.now)
         return core
 
@@ -102,7 +107,7 @@
         return new
 
     def key(self) -> bytes:
-        """Offices stand by what they are and what counters and links have of them, not by their names."""
+        """Represents controllers by their state and by what gateways and links hold of them, not by name."""
         cores = [(node, core) for node, core in self.counters.items() if core is not None]
         own = [
             (
@@ -155,7 +160,7 @@
         )
         return blake2b(repr(rest).encode(), digest_size=12).digest()
 
-    # ---- what may happen
+    # ---- transitions
 
     def internal_transitions(self) -> list[Transition]:
         found: list[Transition] = [("hears", way[1], way[0]) for way in sorted(self.links)]
@@ -165,12 +170,12 @@
     def enabled(self) -> list[Transition]:
         left = self.budget
         ready = self.internal_transitions()
-        found = ready if left.reorderings else ready[:1]
-        # a process that does not look at the time for a step stands still
+        found = ready if left.reorder else ready[:1]
+        # a process that skips its tick for a whole step is suspended, which `stands still` covers
         if (
             left.time
             and not any(step[0] == "looks at the time" for step in ready)
-            and (left.reorderings or not ready)
+            and (left.reorder or not ready)
         ):
             found.append(("time", ""))
         for office, voter in self.voters.items():
@@ -200,11 +205,11 @@
         kind, me, *rest = step
         new = self.copy()
         if (
-            self.budget.reorderings > 0
+            self.budget.reorder > 0
             and kind in ("hears", "looks at the time", "time")
             and ((ready := self.internal_transitions()) and step != ready[0])
         ):
-            new.budget = new.budget.spend("reorderings")
+            new.budget = new.budget.spend("reorder")
         match kind:
             case "hears":
                 new.receive_next(me, rest[0])
@@ -242,7 +247,7 @@
         return new
 
     def processes(self) -> list[str]:
-        """The counters' processes."""
+        """Process ids of the running gateways."""
         return [
             process_id(node, self.incarnations[node])
             for node, core in self.counters.items()
@@ -275,7 +280,7 @@
         voter.handle(mouth, encoded[0], decode(encoded))
         if mouth in voter.reported_holders:
             self.reported[sender, me] = voter.reported_holders[mouth]
-        if sender in self.processes():  # else there is no link any more
+        if sender in self.processes():  # otherwise the link no longer exists
             self.send_all(me, sender, mouth.out)
 
     def send_all(self, me: str, to: str, words: list[EncodedMessage]) -> None:
@@ -293,7 +298,7 @@
                         self.send_all(process_id(node, self.incarnations[node]), office, [encode(kind, word)])
 
     def lost(self, who: str, office: str) -> None:
-        """Their link ends, with what is on it; a new one comes up at once."""
+        """Their link ends and loses its messages; a new one is established at once."""
         for way in ((who, office), (office, who)):
             self.links.pop(way, None)
         self.reported.pop((who, office), None)
@@ -307,38 +312,38 @@
                 self.lost(who, me)
             self.voters[me] = None
             return
-        for office in OFFICES:  # what it said still comes
+        for office in OFFICES:  # messages that it sent still arrive
             self.links.pop((office, process_id(me, self.incarnations[me])), None)
             self.reported.pop((process_id(me, self.incarnations[me]), office), None)
         self.counters[me] = None
 
-    # ---- properties
+    # ---- invariants
 
     def check(self) -> None:
         holders = []
         for node, core in self.counters.items():
             if core is None:
                 continue
-            was, core.now = core.now, self.now  # whenever it wakes, it looks at the time first
+            was, core.now = core.now, self.now  # a suspended process reads the clock first when it resumes
             held, core.now = core.current_lease(DUTY), was
             if held is not None:
                 holders.append(node)
                 self.check_covered(node, held.expires_at)
         if len(holders) > 1:
-            raise PropertyViolation("two holders", f"{' and '.join(holders)} have the duty")
+            raise PropertyViolation("two holders", f"{' and '.join(holders)} hold the lease of the same task")
 
     def check_covered(self, node: str, until: float) -> None:
-        """A majority of offices gives it to nobody else until `MARGIN` after it stops by itself."""
+        """Checks that a majority of controllers grants it to nobody else until `MARGIN` after the end."""
         who, end = process_id(node, self.incarnations[node]), until + MARGIN - SLACK
         covering = 0
         for voter in self.voters.values():
             if voter is None:
-                covering += self.now + 1.5 >= end  # as it starts it grants nothing for the longest lease
+                covering += self.now + 1.5 >= end  # it grants nothing for the longest lease after it starts
             else:
                 held = voter.leases.grants.get(DUTY, ("", 0.0))
                 covering += voter.leases.no_grants_until >= end or (held[0] == who and held[1] >= end)
         if covering <= len(OFFICES) // 2:
             raise PropertyViolation(
                 "beyond its grant",
-                f"{node} holds for {until - self.now:.2f} s more, {covering} offices cover that",
+                f"{node} holds for {until - self.now:.2f} s more, covered by {covering} controllers only",
             )
--- a/opalwick/lab/verify/mutants.py
+++ b/opalwick/lab/verify/mutants.py
@@ -1,5 +1,6 @@
-"""Faults planted into the cores, in memory: each breaks a property, and the explorer is trusted as far as
-it shows a short way to that. A mutant names the case that finds it soonest."""
+"""Mutants: faults planted in memory into the state machines. Each violates an invariant, and the search must
+find a short trace to that. A mutant is registered with the initial state from which it is found soonest.
+"""
 
 from __future__ import annotations
 
@@ -11,20 +12,20 @@
 from opalwick.lab.verify.explorer import SearchResult, State, search_from
 from opalwick.lab.verify.notices import NoticeModel, ReplacedVotersModel
 from opalwick.lab.verify.parts import (
-    ALONE,
-    BACK,
-    CUT,
-    KEPT,
-    LATER,
+    OUTDATED,
+    RECONNECTED,
+    PARTITIONED,
+    STORED,
+    TICK,
     LEARNED,
-    ORDERED,
-    OVERTAKEN,
-    SERVES,
+    DRAIN_ORDERED,
+    SUPERSEDED,
+    SERVING,
     SETTLED,
-    STARTED,
-    TAKEN,
-    TWO,
-    UNHEARD,
+    RESTARTED,
+    TAKEN_OVER,
+    TWO_WRITES,
+    ECHOES_HELD,
     Fence,
     Lease,
     Notice,
@@ -55,7 +56,7 @@
 from opalwick.post.wire_pb2 import Written
 
 Patch = Callable[[Any, str, Any], None]
-MAX_STATES = 30000  # states in which a mutant must be found
+MAX_STATES = 30000  # state limit within which a mutant must be found
 
 
 class Mutant(NamedTuple):
@@ -92,7 +93,7 @@
 
 
 def search_mutant(name: str, max_states: int = MAX_STATES) -> SearchResult:
-    """What the explorer finds with it; the way there is calm and goes with the fault, too."""
+    """Searches with the fault planted, also during the run to the initial state."""
     found = MUTANTS[name]
     with planted_mutant(found):
         return search_from(found.root, max_states)
@@ -101,7 +102,7 @@
 # ---- takeover
 
 
-@mutant("takeover", office(Takeover(puts=1, reorderings=0), *SERVES), "lost")
+@mutant("takeover", office(Takeover(puts=1, reorder=0), *SERVING), "lost")
 def acknowledged_on_one_disk(patch: Patch) -> None:
     def alone(self: Views) -> None:
         first = self.queue[0]
@@ -112,7 +113,7 @@
     patch(Views, "write_next", alone)
 
 
-@mutant("takeover", office(Takeover(puts=1, reorderings=0), *OVERTAKEN), "lost", "two texts", "stale answer")
+@mutant("takeover", office(Takeover(puts=1, reorder=0), *SUPERSEDED), "lost", "two texts", "stale answer")
 def stale_writes_accepted(patch: Patch) -> None:
     def write(self: Views, sender: str, word: Any) -> None:
         self.conf = word.conf
@@ -121,7 +122,7 @@
     patch(Views, "write", write)
 
 
-@mutant("takeover", office(Takeover(reads=1, puts=1, reorderings=0), *TAKEN), "stale answer")
+@mutant("takeover", office(Takeover(reads=1, puts=1, reorder=0), *TAKEN_OVER), "stale answer")
 def reads_answered_by_itself(patch: Patch) -> None:
     def read(self: Views, call: int, status: int = 200) -> None:
         self.answers.append(Answer(call, status))
@@ -129,7 +130,7 @@
     patch(Views, "read", read)
 
 
-@mutant("takeover", office(Takeover(puts=2, reorderings=0), *SERVES), "two texts", "lost")
+@mutant("takeover", office(Takeover(puts=2, reorder=0), *SERVING), "two texts", "lost")
 def a_number_taken_again(patch: Patch) -> None:
     def put(self: Views, call: int, conf: bytes) -> None:
         self.queue.append(PendingChange(call, self.read_key(conf), conf, self.now + 0.8))
@@ -139,7 +140,7 @@
     patch(Views, "put", put)
 
 
-@mutant("takeover", office(Takeover(long=1, wipe=1, reorderings=0), *SERVES), "voted unlearned")
+@mutant("takeover", office(Takeover(long=1, wipe=1, reorder=0), *SERVING), "voted unlearned")
 def a_lost_disk_forgotten(patch: Patch) -> None:
     init = Views.__init__
 
@@ -151,7 +152,7 @@
     patch(Views, "__init__", fresh)
 
 
-@mutant("takeover", office(Takeover(long=2, reorderings=0), *SERVES), "early word")
+@mutant("takeover", office(Takeover(long=2, reorder=0), *SERVING), "early word")
 def votes_before_the_sync(patch: Patch) -> None:
     def save(self: Views, *then: Any) -> None:
         for to, kind, word in then:
@@ -163,7 +164,7 @@
     patch(Views, "save", save)
 
 
-@mutant("takeover", office(Takeover(long=2, reorderings=1), *SERVES), "vote back")
+@mutant("takeover", office(Takeover(long=2, reorder=1), *SERVING), "vote back")
 def any_epoch_is_granted(patch: Patch) -> None:
     canvass = Views.canvass
 
@@ -174,7 +175,7 @@
     patch(Views, "canvass", grants)
 
 
-@mutant("takeover", office(Takeover(long=2, reorderings=0), *LEARNED, ("crashes", "o1")), "lost")
+@mutant("takeover", office(Takeover(long=2, reorder=0), *LEARNED, ("crashes", "o1")), "lost")
 def a_learned_member_passes_for_whole(patch: Patch) -> None:
     learn = Views.learn
 
@@ -185,7 +186,7 @@
     patch(Views, "learn", learns)
 
 
-@mutant("takeover", office(Takeover(long=2, reorderings=0), *ALONE), "lost", "two texts", "stale answer")
+@mutant("takeover", office(Takeover(long=2, reorder=0), *OUTDATED), "lost", "two texts", "stale answer")
 def the_oldest_view_is_taken_up(patch: Patch) -> None:
     offer = Views.offer
 
@@ -198,7 +199,7 @@
     patch(Views, "offer", oldest)
 
 
-@mutant("takeover", office(Takeover(reorderings=0), *TAKEN), "lost")
+@mutant("takeover", office(Takeover(reorder=0), *TAKEN_OVER), "lost")
 def a_backup_installed_without_the_configuration(patch: Patch) -> None:
     offer_to = Views.offer_to
 
@@ -212,22 +213,22 @@
     patch(Views, "offer_to", bare)
 
 
-@mutant("takeover", office(Takeover(puts=1, again=1, reorderings=0), *SERVES), "two confirmed")
+@mutant("takeover", office(Takeover(puts=1, again=1, reorder=0), *SERVING), "two confirmed")
 def another_content_is_confirmed(patch: Patch) -> None:
     patch(numbers, "match", lambda newest, given: numbers.Match.SAME)
 
 
-@mutant("takeover", office(Takeover(puts=1, again=1, reorderings=0), *SERVES), "refused again")
+@mutant("takeover", office(Takeover(puts=1, again=1, reorder=0), *SERVING), "refused again")
 def a_repeated_order_is_refused(patch: Patch) -> None:
     patch(numbers, "match", lambda newest, given: numbers.Match.OTHER)
 
 
-@mutant("takeover", office(Takeover(puts=1, again=1, reorderings=0), *TWO), "forgotten")
+@mutant("takeover", office(Takeover(puts=1, again=1, reorder=0), *TWO_WRITES), "forgotten")
 def earlier_numbers_are_forgotten(patch: Patch) -> None:
     patch(numbers, "follow", lambda conf, newest: None)
 
 
-@mutant("takeover", office(Takeover(puts=2, short=1, slow=1, reorderings=0), *SERVES), "lost")
+@mutant("takeover", office(Takeover(puts=2, short=1, slow=1, reorder=0), *SERVING), "lost")
 def an_older_word_is_written_over_a_newer(patch: Patch) -> None:
     read_key, write = Views.read_key, Views.write
 
@@ -239,14 +240,14 @@
     patch(Views, "write", writes)
 
 
-@mutant("takeover", office(Takeover(puts=1, ends=1, reorderings=0), *SERVES), "lost")
+@mutant("takeover", office(Takeover(puts=1, ends=1, reorder=0), *SERVING), "lost")
 def ends_with_what_rests_on_it(patch: Patch) -> None:
     patch(Views, "needed", False)
 
 
-@mutant("takeover", office(Takeover(short=3, ends=1, reorderings=0), *SERVES), "lost")
+@mutant("takeover", office(Takeover(short=3, ends=1, reorder=0), *SERVING), "lost")
 def a_witness_is_not_asked_for_a_place(patch: Patch) -> None:
-    """It resigns, and takes what follows for done: its copy is the only one beside the heir's."""
+    """It resigns and takes the handover for complete: its copy is the only one beside its successor's."""
 
     def needed(self: Views) -> bool:
         return self.state != "follower"
@@ -258,7 +259,7 @@
 
 
 def early(word: str) -> Callable[[Patch], None]:
-    """Words of that kind, which should follow a sync, go out before it."""
+    """Sends messages of that kind before the sync that they must follow."""
 
     def plant(patch: Patch) -> None:
         effects = MessageStore.effects
@@ -275,17 +276,17 @@
     return plant
 
 
-@mutant("fence", depot(Fence(offers=1, reorderings=0), *SETTLED), "early word", "early 202")
+@mutant("fence", depot(Fence(offers=1, reorder=0), *SETTLED), "early word", "early 202")
 def kept_said_before_the_sync(patch: Patch) -> None:
     early("kept")(patch)
 
 
-@mutant("fence", depot(Fence(sends=1, ends=1, reorderings=0), *KEPT), "early word")
+@mutant("fence", depot(Fence(sends=1, ends=1, reorder=0), *STORED), "early word")
 def ended_said_before_the_sync(patch: Patch) -> None:
     early("ended")(patch)
 
 
-@mutant("fence", depot(Fence(sends=1, ends=1, reorderings=0), *KEPT), "early word")
+@mutant("fence", depot(Fence(sends=1, ends=1, reorder=0), *STORED), "early word")
 def an_end_told_before_the_sync(patch: Patch) -> None:
     state = MessageStore.state
 
@@ -296,7 +297,7 @@
     patch(MessageStore, "state", told)
 
 
-@mutant("fence", depot(Fence(offers=1, reorderings=0), *SETTLED), "early 202")
+@mutant("fence", depot(Fence(offers=1, reorder=0), *SETTLED), "early 202")
 def accepted_at_the_first_copy(patch: Patch) -> None:
     kept = Intake.kept
 
@@ -308,22 +309,22 @@
     patch(Intake, "kept", first)
 
 
-@mutant("fence", depot(Fence(time=6, reorderings=0), *CUT), "two deliverers")
+@mutant("fence", depot(Fence(time=6, reorder=0), *PARTITIONED), "two deliverers")
 def a_lapsed_counter_goes_on(patch: Patch) -> None:
     patch(Gateway, "may_send", lambda self, item: True)
 
 
-@mutant("fence", depot(Fence(time=6, freeze=1, reorderings=0), *KEPT), "two deliverers")
+@mutant("fence", depot(Fence(time=6, freeze=1, reorder=0), *STORED), "two deliverers")
 def assigned_before_the_lapse(patch: Patch) -> None:
     patch(keeping, "LAPSE", 0.6)
 
 
-@mutant("fence", depot(Fence(time=6, freeze=1, reorderings=0), *KEPT), "two deliverers")
+@mutant("fence", depot(Fence(time=6, freeze=1, reorder=0), *STORED), "two deliverers")
 def goes_on_past_the_lapse(patch: Patch) -> None:
     patch(counter_role, "MARGIN", -0.5)
 
 
-@mutant("fence", depot(Fence(time=6, reorderings=0), *UNHEARD), "two deliverers")
+@mutant("fence", depot(Fence(time=6, reorder=0), *ECHOES_HELD), "two deliverers")
 def a_pulse_proves_its_arrival(patch: Patch) -> None:
     heard_by = Gateway.echoed
 
@@ -333,9 +334,9 @@
     patch(Gateway, "echoed", now)
 
 
-@mutant("fence", depot(Fence(time=3, reorderings=0), *BACK), "two deliverers")
+@mutant("fence", depot(Fence(time=3, reorder=0), *RECONNECTED), "two deliverers")
 def sure_without_an_answer(patch: Patch) -> None:
-    """Back in touch, it goes on before its depots have said whose its messages are."""
+    """Reconnected, it delivers again before its stores have confirmed that it owns its messages."""
 
     def may_send(self: Gateway, item: Any) -> bool:
         return any(self.fresh(node) for node in item.replicas)
@@ -343,7 +344,7 @@
     patch(Gateway, "may_send", may_send)
 
 
-@mutant("fence", depot(Fence(time=3, reorderings=0), *BACK), "two deliverers")
+@mutant("fence", depot(Fence(time=3, reorder=0), *RECONNECTED), "two deliverers")
 def answered_before_the_others_know(patch: Patch) -> None:
     check = MessageStore.check
 
@@ -356,7 +357,7 @@
 
 @mutant(
     "fence",
-    depot(Fence(time=3, reorderings=2), *UNHEARD, *(LATER * 3), ("lets go", "d2", "c1")),
+    depot(Fence(time=3, reorder=2), *ECHOES_HELD, *(TICK * 3), ("lets go", "d2", "c1")),
     "two deliverers",
 )
 def a_lapse_that_is_not_told(patch: Patch) -> None:
@@ -366,16 +367,16 @@
         lapsed(self, who)
 
     patch(MessageStore, "lapsed", alone)
-    # a counter that asked the other depot first would be told by it whose the message is
+    # otherwise the gateway would request the owner from the other store first, and receive the right one
     patch(Gateway, "awaits", lambda self, node, item: False)
 
 
-@mutant("fence", depot(Fence(time=6, cut=1, reorderings=0), *KEPT), "two deliverers")
+@mutant("fence", depot(Fence(time=6, cut=1, reorder=0), *STORED), "two deliverers")
 def depots_do_not_tell_whom_they_hear(patch: Patch) -> None:
     patch(MessageStore, "reports_for", lambda self, node: {})
 
 
-@mutant("fence", depot(Fence(time=2, retire=1, reorderings=0), *KEPT, names=("d1", "d2", "d3")), "copies")
+@mutant("fence", depot(Fence(time=2, retire=1, reorder=0), *STORED, names=("d1", "d2", "d3")), "copies")
 def moved_without_an_answer(patch: Patch) -> None:
     start = Rebalancing.start
 
@@ -388,27 +389,27 @@
 
 
 THREE = ("d1", "d2", "d3")
-AWAY_UNHEARD = depot(Fence(time=4, offers=1, reorderings=0), *ORDERED, names=THREE)
-AWAY_ANEW = depot(Fence(time=2, offers=1, reorderings=0), *STARTED, names=THREE)
+REMOVED_UNHEARD = depot(Fence(time=4, offers=1, reorder=0), *DRAIN_ORDERED, names=THREE)
+REMOVED_RESTARTED = depot(Fence(time=2, offers=1, reorder=0), *RESTARTED, names=THREE)
 
 
-@mutant("fence", AWAY_UNHEARD, "copies", "early 202")
+@mutant("fence", REMOVED_UNHEARD, "copies", "early 202")
 def one_that_is_to_be_taken_away_keeps_what_comes(patch: Patch) -> None:
     patch(Seal, "closed", False)
 
 
-@mutant("fence", AWAY_ANEW, "copies", "early 202")
+@mutant("fence", REMOVED_RESTARTED, "copies", "early 202")
 def empty_is_said_without_a_seal(patch: Patch) -> None:
     patch(Rebalancing, "empty", Rebalancing.drained)
     patch(Seal, "due", lambda self, empty: None)
 
 
-@mutant("fence", AWAY_ANEW, "copies", "early 202")
+@mutant("fence", REMOVED_RESTARTED, "copies", "early 202")
 def the_seal_is_not_read_at_the_start(patch: Patch) -> None:
     patch(Seal, "loaded", lambda self, key: None)
 
 
-@mutant("fence", AWAY_ANEW, "copies", "early 202")
+@mutant("fence", REMOVED_RESTARTED, "copies", "early 202")
 def an_older_configuration_lifts_the_seal(patch: Patch) -> None:
     learned = Seal.apply_order
 
@@ -422,7 +423,7 @@
 # ---- lease
 
 
-@mutant("lease", lease(Lease(time=2, reorderings=0)), "two holders", "beyond its grant")
+@mutant("lease", lease(Lease(time=2, reorder=0)), "two holders", "beyond its grant")
 def granted_to_whoever_asks(patch: Patch) -> None:
     grant = LeaseTable.lease
 
@@ -433,7 +434,7 @@
     patch(LeaseTable, "lease", lease)
 
 
-@mutant("lease", lease(Lease(time=3, crash=2, reorderings=0)), "two holders", "beyond its grant")
+@mutant("lease", lease(Lease(time=3, crash=2, reorder=0)), "two holders", "beyond its grant")
 def an_office_that_starts_grants_at_once(patch: Patch) -> None:
     init = LeaseTable.__init__
 
@@ -443,7 +444,7 @@
     patch(LeaseTable, "__init__", fresh)
 
 
-@mutant("lease", lease(Lease(time=3, reorderings=3)), "two holders", "beyond its grant")
+@mutant("lease", lease(Lease(time=3, reorder=3)), "two holders", "beyond its grant")
 def counted_from_the_answer(patch: Patch) -> None:
     has = Ceilings.acquire
 
@@ -453,7 +454,7 @@
     patch(Ceilings, "acquire", longer)
 
 
-@mutant("lease", lease(Lease(time=2, reorderings=2)), "two holders", "beyond its grant")
+@mutant("lease", lease(Lease(time=2, reorder=2)), "two holders", "beyond its grant")
 def one_grant_is_enough(patch: Patch) -> None:
     leased = Ceilings.leased
 
@@ -464,17 +465,17 @@
     patch(Ceilings, "leased", one)
 
 
-@mutant("lease", lease(Lease(time=2, reorderings=0)), "beyond its grant")
+@mutant("lease", lease(Lease(time=2, reorder=0)), "beyond its grant")
 def held_to_the_very_end(patch: Patch) -> None:
     patch(ceilings, "MARGIN", 0.0)
 
 
-@mutant("lease", lease(Lease(time=2, reorderings=0)), "beyond its grant")
+@mutant("lease", lease(Lease(time=2, reorder=0)), "beyond its grant")
 def longer_than_a_voter_grants(patch: Patch) -> None:
     patch(ceilings, "LEASE_SPAN", 2.5)
 
 
-@mutant("lease", lease(Lease(time=4, leaves=1, reorderings=2)), "two holders", "beyond its grant")
+@mutant("lease", lease(Lease(time=4, leaves=1, reorder=2)), "two holders", "beyond its grant")
 def a_late_grant_counts_after_it_was_given_back(patch: Patch) -> None:
     leased = Ceilings.leased
 
@@ -488,11 +489,11 @@
 # ---- notice
 
 
-def told_of_a_drain(**more: int) -> Callable[[], State]:
+def drained_worker(**more: int) -> Callable[[], State]:
     return lambda: NoticeModel(Notice(**more))
 
 
-@mutant("notice", told_of_a_drain(cut=1), "confirmed alone")
+@mutant("notice", drained_worker(cut=1), "confirmed alone")
 def a_drain_is_confirmed_by_one_alone(patch: Patch) -> None:
     def tell(self: Confirming, now: float, news: Any, links: Any, answer: Any) -> None:
         answer(True)
@@ -500,7 +501,7 @@
     patch(Confirming, "tell", tell)
 
 
-@mutant("notice", told_of_a_drain(cut=1), "confirmed untold")
+@mutant("notice", drained_worker(cut=1), "confirmed untold")
 def known_is_said_before_it_is_told_on(patch: Patch) -> None:
     take_news = Controller.take_news
 
@@ -526,24 +527,24 @@
 # ---- answer
 
 
-def asked(requests: int) -> Callable[[], State]:
+def requests_sent(requests: int) -> Callable[[], State]:
     return lambda: ResponseModel(Asking(requests=requests))
 
 
-@mutant("answer", asked(3), "another's answer", "said not run")
+@mutant("answer", requests_sent(3), "another's answer", "said not run")
 def an_answer_without_an_id_is_taken(patch: Patch) -> None:
     belongs = answers.belongs
     for place in (answers, delivery):
         patch(place, "belongs", lambda answer, request_id, only: belongs(answer, request_id, True))
 
 
-@mutant("answer", asked(3), "another's answer", "said not run")
+@mutant("answer", requests_sent(3), "another's answer", "said not run")
 def another_requests_answer_is_taken(patch: Patch) -> None:
     for place in (answers, delivery):
         patch(place, "belongs", lambda answer, request_id, only: True)
 
 
-@mutant("answer", asked(2), "said not run", "another's answer")
+@mutant("answer", requests_sent(2), "said not run", "another's answer")
 def who_speaks_first_is_heard(patch: Patch) -> None:
     def greet(self: Delivery, connection: Any) -> None:
         self.only_request = connection.used == 1
@@ -551,7 +552,7 @@
     patch(Delivery, "greet", greet)
 
 
-@mutant("answer", asked(2), "beyond a break")
+@mutant("answer", requests_sent(2), "beyond a break")
 def a_connection_with_half_a_request_is_kept(patch: Patch) -> None:
     listen = Delivery.listen
 
@@ -562,7 +563,7 @@
     patch(Delivery, "listen", keeps)
 
 
-@mutant("answer", asked(2), "said not run")
+@mutant("answer", requests_sent(2), "said not run")
 def a_break_is_taken_for_not_run(patch: Patch) -> None:
     def bare(self: Delivery, outcome: Any) -> Any:
         return delivery.DeliveryOutcome.NOT_SENT, "", None
--- a/opalwick/lab/verify/notices.py
+++ b/opalwick/lab/verify/notices.py
@@ -1,8 +1,10 @@
-"""That a worker drains is confirmed by a majority: offices as they are in service, gateways that hear them.
+"""Model of a worker's drain notice, which a majority of controllers must confirm: production controllers, and
+gateways that receive from them.
 
-The office's own code takes the call, spreads the notice, takes it in and answers. Who is linked to whom is
-cut and joined at any moment; words wait on each link, in order. What holds here rests on no clock but the
-patience after which an office says that it could not confirm.
+The controller's own code accepts the call, replicates the notice and answers. Links may be cut and restored
+at any time; messages wait on each link, in order. The invariants depend on no clock but the time limit after
+which a controller reports that it could not confirm. The wire's names for controller and gateway are "office"
+and "counter".
 """
 
 from __future__ import annotations
@@ -16,17 +18,17 @@
 from opalwick.post.wire_pb2 import Hello, View
 from opalwick.protocol.http import Message
 
-OFFICES = ("o1", "o2", "o3", "o4")  # o4 has no vote by the view that o1 knows
+OFFICES = ("o1", "o2", "o3", "o4")  # o4 has no vote in the view that o1 has
 GATEWAYS = ("g1", "g2")
 ADDRESS = {name: f"10.0.0.{number}" for number, name in enumerate((*OFFICES, *GATEWAYS), 1)}
 NAME_OF = {ip: name for name, ip in ADDRESS.items()}
 WORKER = "w1"
 DRAINING = b'{"svc":"s","address":"10.9.0.1:80","capacity":1,"state":"draining","calls":2}'
-LATER = 1.0  # s: over the patience for a majority's answers
+LATER = 1.0  # s: longer than the time limit for a majority's answers
 
 
 class Budget(NamedTuple):
-    """How often each may happen in one history."""
+    """How often each event may happen in one history."""
 
     drains: int = 1
     leaves: int = 0
@@ -36,18 +38,18 @@
 
 
 class LinkStub:
-    """A link as an office sees it: what is said on it waits on the way."""
+    """A controller's link: messages sent on it are queued in the model."""
 
-    def __init__(self, world: NoticeModel, sender: str, peer: Hello) -> None:
-        self.world, self.sender, self.peer, self.last_received = world, sender, peer, 0.0
+    def __init__(self, model: NoticeModel, sender: str, peer: Hello) -> None:
+        self.model, self.sender, self.peer, self.last_received = model, sender, peer, 0.0
 
     def send(self, kind: str, word: Any) -> None:
         if kind in ("news", "spread", "known"):
-            self.world.queues.setdefault((self.sender, self.peer.node), []).append((kind, word))
+            self.model.queues.setdefault((self.sender, self.peer.node), []).append((kind, word))
 
 
 class WorkerCall:
-    """A call of a worker and what it was answered."""
+    """A worker's HTTP call and the status of its answer."""
 
     def __init__(self, method: bytes) -> None:
         self.message = Message(0.0)
@@ -76,8 +78,8 @@
 
 
 class NoticeModel(Replayed):
-    """Rules: `confirmed alone`, `confirmed untold`. o2, o3 and o4 vote by a view that o1 has not heard of, if
-    `replaced`.
+    """Rules: `confirmed alone`, `confirmed untold`. If `replaced`, o2, o3 and o4 vote by a view that o1 has
+    not received.
     """
 
     replaced = False
@@ -109,7 +111,7 @@
 
     def enabled(self) -> list[Transition]:
         left = self.budget
-        # what is on its way to a gateway comes, or is lost with its link
+        # messages to a gateway are not delivered: they stay in transit, or are lost with their link
         found: list[Transition] = [
             ("hears", to, sender) for sender, to in sorted(self.queues) if to in OFFICES
         ]
@@ -171,7 +173,9 @@
         informed = [name for name in OFFICES if self.has_notice(name)]
         voters = {NAME_OF[ip] for ip in self.newest.voters}
         if 2 * len(voters.intersection(informed)) <= len(voters):
-            raise PropertyViolation("confirmed alone", f"{' and '.join(informed)} know, of {sorted(voters)}")
+            raise PropertyViolation(
+                "confirmed alone", f"{' and '.join(informed)} have the notice, of the voters {sorted(voters)}"
+            )
         for gateway in GATEWAYS:
             linked = {name for name in voters if (name, gateway) not in self.cut_once}
             in_transit = any(
@@ -181,7 +185,8 @@
             )
             if 2 * len(linked) > len(voters) and not in_transit:
                 raise PropertyViolation(
-                    "confirmed untold", f"{gateway} hears {sorted(linked)}, and nothing comes"
+                    "confirmed untold",
+                    f"{gateway} is linked to {sorted(linked)}, and no notice is in transit",
                 )
 
     def state(self) -> Any:
--- a/opalwick/lab/verify/offices.py
+++ b/opalwick/lab/verify/offices.py
@@ -1,7 +1,9 @@
-"""Takeover and reconfiguration: three offices' views, their disks, the words between them.
+"""Model of takeover and reconfiguration: the views of three controllers, their disks, the messages between
+them.
 
-Each office has a clock of its own, which goes on only by its steps: who stands still is one whose steps do
-not come, a late word one whose turn does not. So what is found to hold here rests on no clock at all.
+Each controller has its own clock, which advances only by its own transitions: a suspended process is one
+whose transitions don't happen, a late message one that is not yet delivered. So the invariants shown here
+depend on no clock at all. The wire's name for controller is "office".
 """
 
 from __future__ import annotations
@@ -25,13 +27,13 @@
 
 NAMES = ("o1", "o2", "o3")
 COPIES = 2  # survive.boxes + 1, at the smallest system
-SHORT = 0.7  # s: over the time between two beats and what joining offices are waited for, under LATE
-LONG = 2.25  # s: over every patience of a view (AWAY is the longest)
-FAR = 2.5  # s: older than this is just old
-SHARED = (Message, Stored)  # nobody alters those that an office keeps
+SHORT = 0.7  # s: over the heartbeat interval and the wait for joining controllers, under LATE
+LONG = 2.25  # s: over every time limit of a view (AWAY is the longest)
+FAR = 2.5  # s: ages beyond this are equivalent
+SHARED = (Message, Stored)  # a controller never mutates those that it holds
 
 Direction = tuple[str, str]
-# what comes by itself, and what comes once nothing else does, or out of turn
+# internal transitions, and those that happen once none is pending, or out of order
 FREE = {"hears", "hears late", "synced", "waits", "waits long", "put", "read"}
 
 
@@ -42,13 +44,13 @@
 
 @lru_cache(maxsize=1000)
 def read_view(view: bytes) -> tuple[int, set[str]]:
-    """Its epoch and its members."""
+    """Returns the epoch and the members of a serialized view."""
     found = View.FromString(view)
     return int(found.epoch), set(found.members)
 
 
 class Budget(NamedTuple):
-    """How often each may happen in one history, beyond what comes of itself."""
+    """How often each event may happen in one history, beside internal transitions."""
 
     puts: int = 1
     reads: int = 0
@@ -56,21 +58,23 @@
     long: int = 0
     crash: int = 0
     wipe: int = 0
-    cut: int = 0  # a link ends, and what is on it is lost
-    late: int = 0  # a link ends, and what is on it comes beside the next one's words
-    slow: int = 0  # the same, and it comes after whatever goes on meanwhile
-    freeze: int = 0  # an office stands still until it wakes; where all orders are seen, that is one of them
-    hold: int = 0  # what goes one way of a link comes later, in order
-    again: int = 0  # numbers that were sent are sent again, with either text
-    ends: int = 0  # an office is told to end, and ends once nothing rests on it any more
-    reorderings: int = -1  # how often another than the next comes first; -1: all orders are seen
+    cut: int = 0  # a link ends and its messages are lost
+    late: int = 0  # a link ends; its messages arrive interleaved with those of the next link
+    slow: int = 0  # the same, but they arrive after any number of other events
+    freeze: int = (
+        0  # a controller is suspended until it resumes; implied where all interleavings are explored
+    )
+    hold: int = 0  # messages in one direction of a link arrive later, in order
+    again: int = 0  # numbers are sent again, with either text
+    ends: int = 0  # a controller is ordered to shut down, and ends once it is no longer needed
+    reorder: int = -1  # deviations from the fixed order of events; -1: all interleavings
 
     def spend(self, name: str) -> Budget:
         return self._replace(**{name: getattr(self, name) - 1})
 
 
 class Call(NamedTuple):
-    """A call of an operator; `floor` was in force when it began."""
+    """An operator's call; `floor` is the newest key acknowledged when it began."""
 
     at: str
     what: str
@@ -80,7 +84,7 @@
 
 
 class LinkStub:
-    """A link, as an office says something on it."""
+    """A controller's link: collects the messages sent on it."""
 
     def __init__(self, controller: ControllerUnderTest, peer: Hello) -> None:
         self.controller, self.peer, self.last_received = controller, peer, 0.0
@@ -90,7 +94,7 @@
 
 
 class ControllerUnderTest(Controller):
-    """An office as far as its views go: what it hears, saves and passes on is the role's own code."""
+    """A controller reduced to its views; receiving, saving and publishing are the role's production code."""
 
     def __init__(self, me: str, stored: Stored | None, blank: bool, now: float) -> None:
         self.ip, self.now = me, now
@@ -99,7 +103,7 @@
         self.leases, self.votes = LeaseTable(now, False), me in self.views.voters
         self.batch_on_way: list[Save] | None = None
         self.out: list[tuple[str, EncodedMessage]] = []
-        self.in_force: tuple[Key, bytes] = ((-1, 0), b"")  # what was last in force here
+        self.in_force: tuple[Key, bytes] = ((-1, 0), b"")  # last configuration in force here
         self.recorded_events: list[tuple[int, dict[str, Any]]] = []
         self.recorded_replies: list[tuple[int, int]] = []
         self.recorded_confs: list[bytes] = []
@@ -124,13 +128,13 @@
 
 
 class Machine:
-    """An office's process, if it runs, and its disk."""
+    """A controller's process (if it runs) and its disk."""
 
     __slots__ = ("controller", "digest", "disk", "held")
 
     def __init__(self, controller: ControllerUnderTest | None, disk: Stored | None) -> None:
         self.controller, self.disk = controller, disk
-        self.held = True  # its disk was never lost, or it has learned since
+        self.held = True  # its disk was never lost, or it has relearned its state since
         self.digest = b""
 
     def copy(self) -> Machine:
@@ -154,7 +158,7 @@
     """
 
     def __init__(self, budget: Budget, spares: tuple[str, ...] = ()) -> None:
-        """`spares`: machines that are not there yet, with empty disks; the others vote from the first."""
+        """`spares`: machines that are not started, with empty disks; the others vote from the start."""
         self.budget, self.names = budget, (*NAMES, *spares)
         self.machines = {me: Machine(ControllerUnderTest(me, None, False, 10.0), None) for me in NAMES}
         for me in spares:
@@ -167,18 +171,18 @@
         self.held: frozenset[Direction] = frozenset()
         self.slow: frozenset[Direction] = (
             frozenset()
-        )  # ways on which what was said on an earlier link still waits
-        # what was said and seen, which the properties are about
-        self.contents: tuple[tuple[Key, bytes], ...] = ()  # in force by anybody's word
+        )  # directions in which messages of an earlier link still wait
+        # history variables, used by the invariants
+        self.contents: tuple[tuple[Key, bytes], ...] = ()  # in force at any controller
         self.newest: Key = (-1, 0)  # acknowledged
         self.calls: tuple[Call, ...] = ()
         self.confirmed: tuple[tuple[int, str], ...] = ()  # number, text
-        self.open: frozenset[int] = frozenset()  # calls without an answer
+        self.open: frozenset[int] = frozenset()  # calls not yet answered
         self.promised: tuple[tuple[str, int, str], ...] = tuple(
             (me, 0, "") for me in self.names
-        )  # by words that went out
+        )  # per controller: epoch and candidate of its last promise sent
         self.wiped = 0
-        self.away: frozenset[str] = frozenset()  # ended as planned, and its disk is gone
+        self.away: frozenset[str] = frozenset()  # shut down as planned, with their disks removed
         self.link_up(*NAMES)
         for me in NAMES:
             self.settle(me)
@@ -222,13 +226,13 @@
         assert controller is not None
         return controller
 
-    # ---- what may happen
+    # ---- transitions
 
     def enabled(self) -> list[Transition]:
         left = self.budget
         ready = self.internal_transitions()
-        quiet = left.reorderings != 0 or not ready  # whatever is patient waits until nothing comes any more
-        found = ready if left.reorderings else ready[:1]
+        quiet = left.reorder != 0 or not ready  # these events wait until no internal transition is pending
+        found = ready if left.reorder else ready[:1]
         for me in self.names:
             machine = self.machines[me]
             controller = machine.controller
@@ -285,7 +289,7 @@
         return found
 
     def internal_transitions(self) -> list[Transition]:
-        """What comes by itself, sooner or later; the first is next where `turns` bounds all else."""
+        """Transitions that happen by themselves; the first is the next one where `reorder` bounds deviations."""
         late = [way for way in sorted(self.old) if way not in self.slow]
         found: list[Transition] = [("hears late", way[1], way[0]) for way in late]
         found += [("hears", way[1], way[0]) for way in sorted(self.links) if way not in self.held]
@@ -297,13 +301,13 @@
         return [step for step in found if step[1] not in self.frozen]
 
     def puts(self) -> list[tuple[int, str]]:
-        """A new number, and the newest one again with another text."""
+        """Returns a new number, and the newest one again with another text."""
         puts = [call for call in self.calls if call.what == "put"]
         top = max([self.newest[0], 0, *[call.key[0] for call in puts]])
         text = "ab"[len(puts) % 2]
         again = any(call.key[0] == top for call in puts)
         found = [(top + 1, text)] + ([(top, text)] if again else [])
-        if self.budget.again:  # each number that was sent, with either text
+        if self.budget.again:  # each number sent before, with either text
             found += [
                 (number, other)
                 for number in sorted({call.key[0] for call in puts})
@@ -313,7 +317,7 @@
         return found
 
     def survives_loss(self, me: str) -> bool:
-        """No disk was lost since all was whole: more than one at once is not survived."""
+        """Returns whether all disks are complete: the loss of more than one at once is not survivable."""
         there = [m for other, m in self.machines.items() if other != me and m.controller is not None]
         return not self.wiped and all(m.disk is not None and m.held for m in there)
 
@@ -321,12 +325,12 @@
         kind, me, *rest = step
         new = self.copy(me)
         if (
-            self.budget.reorderings >= 0
+            self.budget.reorder >= 0
             and kind in FREE
             and (ready := self.internal_transitions())
             and step != ready[0]
         ):
-            new.budget = new.budget.spend("reorderings")
+            new.budget = new.budget.spend("reorder")
         match kind:
             case "stands still":
                 new.budget = new.budget.spend("freeze")
@@ -419,7 +423,7 @@
         self.calls = (*self.calls, Call(me, what, key, self.newest, text))
 
     def ends(self, me: str, how: str) -> None:
-        """Its words that are on their way still come; what others said to it is lost."""
+        """Ends a process: messages that it sent still arrive; messages sent to it are lost."""
         machine = self.machines[me]
         batch = machine.controller.batch_on_way if machine.controller is not None else None
         if how == "crashes, written" and batch:
@@ -427,7 +431,7 @@
         elif how == "loses its disk":
             machine.disk, machine.held = None, False
             self.wiped += 1
-        elif how == "ends":  # for good, with its disk: it has said that nothing rests on it
+        elif how == "ends":  # for good, with its disk: it has reported that it is no longer needed
             machine.disk, machine.held = None, False
             self.away = self.away | {me}
         machine.controller = None
@@ -447,11 +451,11 @@
         return controller.views.linked if controller is not None else set()
 
     def detach_queue(self, way: Direction) -> None:
-        """What is on it comes beside what is said from now on."""
+        """Lets the queued messages arrive interleaved with those sent from now on."""
         self.old[way] = self.old.get(way, ()) + self.links.pop(way)
 
     def link_up(self, *of: str) -> None:
-        """Offices know to whom they have a link."""
+        """Updates each controller's set of linked peers; `of`: controllers already copied for mutation."""
         for me, machine in list(self.machines.items()):
             there = {
                 other
@@ -466,7 +470,7 @@
                 assert machine.controller is not None
                 machine.controller.views.linked = there
 
-    # ---- what follows
+    # ---- effects
 
     def settle(self, me: str) -> None:
         machine, controller = self.machines[me], self.controller(me)
@@ -489,35 +493,35 @@
             self.check_answer(me, controller, call, status)
         controller.recorded_events, controller.recorded_confs, controller.recorded_replies = [], [], []
 
-    # ---- properties
+    # ---- invariants
 
     def check_message(self, me: str, to: str, machine: Machine, said: EncodedMessage) -> None:
         word, kind = decode(said), said[0]
-        # a canvass promises nothing: a candidate says it again before its own vote is on its disk
+        # a vote request promises nothing: a candidate repeats it before its own vote is on its disk
         if not ((kind == "vote" and word.granted) or (kind == "installed" and word.ok)):
             return
         epoch = word.epoch
         if not machine.held:
             raise PropertyViolation(
-                "voted unlearned", f"{me} lost its disk and says {kind} for epoch {epoch}"
+                "voted unlearned", f"{me} lost its disk and sends {kind} for epoch {epoch}"
             )
         disk = machine.disk
         if disk is None or (read_view(disk.view)[0] if kind == "installed" else disk.promised) < epoch:
             raise PropertyViolation(
-                "early word", f"{me} says {kind} for epoch {epoch} before that is on its disk"
+                "early word", f"{me} sends {kind} for epoch {epoch} before that is on its disk"
             )
         known = {one: (e, whom) for one, e, whom in self.promised}
         before, whom = known[me]
         if epoch < before:
             raise PropertyViolation(
-                "vote back", f"{me} says {kind} for epoch {epoch}, having promised {before}"
+                "vote back", f"{me} sends {kind} for epoch {epoch}, having promised {before}"
             )
         if kind == "installed":
             to = whom if epoch == before else ""
         else:
             if epoch == before and whom not in ("", to):
                 raise PropertyViolation(
-                    "voted twice", f"{me} votes for {to} in epoch {epoch}, and did for {whom}"
+                    "voted twice", f"{me} votes for {to} in epoch {epoch}, having voted for {whom}"
                 )
         known[me] = epoch, to
         self.promised = tuple((one, e, whom) for one, (e, whom) in known.items())
@@ -530,16 +534,18 @@
             )
 
     def check_conf(self, me: str, controller: ControllerUnderTest, conf: bytes) -> None:
-        """It is in force by that office's word."""
+        """Checks a configuration that this controller publishes as in force."""
         key, said = read(conf)
         known = dict(self.contents)
         if known.setdefault(key, said) != said:
             raise PropertyViolation(
-                "two texts", f"{me} has {key} in force as {said!r}, it was {known[key]!r}"
+                "two texts", f"{me} has {key} in force as {said!r}, which was {known[key]!r} before"
             )
         self.contents = tuple(known.items())
         if key < controller.in_force[0]:
-            raise PropertyViolation("stepped back", f"{me} had {controller.in_force[0]} in force, now {key}")
+            raise PropertyViolation(
+                "stepped back", f"{me} had {controller.in_force[0]} in force, and now has {key}"
+            )
         controller.in_force = key, said
 
     def check_answer(self, me: str, controller: ControllerUnderTest, call: int, status: int) -> None:
@@ -559,14 +565,14 @@
         self.newest = max(self.newest, has)
 
     def check_number(self, me: str, status: int, number: int, text: str) -> None:
-        """A number stands for one content, which is never refused once it was confirmed."""
+        """Checks that a number has one content, which is never refused once confirmed."""
         known = dict(self.confirmed).get(number)
         if status == 200 and known is not None and known != text:
             raise PropertyViolation(
                 "two confirmed", f"{me} confirms {text!r} under {number}, {known!r} was confirmed"
             )
         if status == 208 and known is not None:
-            raise PropertyViolation("forgotten", f"{me} knows nothing of {number}, which was confirmed")
+            raise PropertyViolation("forgotten", f"{me} reports {number} as unknown, which was confirmed")
         if status == 409 and known == text:
             raise PropertyViolation(
                 "refused again", f"{me} refuses {text!r} under {number}, which was confirmed"
@@ -575,14 +581,14 @@
             self.confirmed = (*self.confirmed, (number, text))
 
     def check(self) -> None:
-        """Of the whole state."""
+        """Checks the invariants of the whole state."""
         if self.newest > (-1, 0):
             text = dict(self.contents)[self.newest]
             disks = [(me, m.disk) for me, m in self.machines.items() if m.disk is not None]
             found = {me: read(disk.conf) for me, disk in disks if disk.member}
             have = {me for me, one in found.items() if one[0] > self.newest or one == (self.newest, text)}
             if have >= max((read_view(disk.view) for _, disk in disks), key=itemgetter(0))[1]:
-                self.wiped = 0  # all is whole again
+                self.wiped = 0  # all members have it again
             if len(have) + self.wiped < COPIES:
                 raise PropertyViolation(
                     "lost", f"{self.newest} was acknowledged with {text!r} and is on {len(have)} disks"
--- a/opalwick/lab/verify/parts.py
+++ b/opalwick/lab/verify/parts.py
@@ -1,7 +1,7 @@
-"""What is explored: each case begins where a short, calm way leads, and bounds what may happen from there.
+"""The cases that are searched: each starts after a short run without faults and bounds the events from there.
 
-A case with `turns` -1 sees all orders of what happens; the others take what is next in one order and leave
-it as often as `turns` says, so that they reach deeper; faults may happen at each state of either.
+A case with `reorder` -1 explores all interleavings. The others take pending events in one fixed order and
+deviate from it at most `reorder` times, so that they reach deeper. Faults may happen in each state of either.
 """
 
 from __future__ import annotations
@@ -16,56 +16,59 @@
 class Case(NamedTuple):
     name: str
     root: Callable[[], State]
-    max_states: int  # states until it stops; by what a minute of a slow core sees of all
+    max_states: int  # state limit; together the cases take about a minute on a slow core
 
 
-def settled_state(world: Any, budget: Any, *script: Transition) -> Any:
-    """After that script, with all that follows from each of its steps; from there the budget counts."""
+def settled_state(state: Any, budget: Any, *script: Transition) -> Any:
+    """Returns the state after the script and all internal transitions that follow each of its steps.
+
+    The budget applies from there on. Raises `PropertyViolation` with the trace so far.
+    """
     taken: list[Transition] = []
 
     def take(step: Transition) -> None:
-        nonlocal world
+        nonlocal state
         taken.append(step)
-        world = world.successor(step)
+        state = state.successor(step)
 
     try:
         for step in ((), *script):
             if step:
                 take(step)
-            while ready := world.internal_transitions():
+            while ready := state.internal_transitions():
                 take(ready[0])
     except PropertyViolation as problem:
         problem.trace = tuple(taken)
         raise
-    world = world.copy()
-    world.budget = budget
-    return world
+    state = state.copy()
+    state.budget = budget
+    return state
 
 
-# ---- takeover: o1 is the primary and o2 its backup, number 1 is acknowledged, if nothing else is said
+# ---- takeover: unless noted, o1 is the primary, o2 its backup, and number 1 is acknowledged
 
 Takeover = offices.Budget
-FIRST: tuple[Transition, ...] = (("waits long", "o1"),)
-SERVES: tuple[Transition, ...] = (*FIRST, ("put", "o1", 1, "a"))
-# o1 hears nothing of the others any more, and o3 takes over with o2
-TAKEN: tuple[Transition, ...] = (
-    *SERVES,
+ELECTED: tuple[Transition, ...] = (("waits long", "o1"),)
+SERVING: tuple[Transition, ...] = (*ELECTED, ("put", "o1", 1, "a"))
+# o1 receives nothing from the others any more, and o3 takes over with o2
+TAKEN_OVER: tuple[Transition, ...] = (
+    *SERVING,
     ("holds up", "o1", "o2"),
     ("holds up", "o1", "o3"),
     ("waits long", "o2"),
     ("waits long", "o3"),
 )
-# a write of o1's is still on its way to o2
-OVERTAKEN: tuple[Transition, ...] = (
-    *SERVES,
+# a write of o1 is still in transit to o2
+SUPERSEDED: tuple[Transition, ...] = (
+    *SERVING,
     ("holds up", "o2", "o1"),
     ("put", "o1", 2, "b"),
     ("waits long", "o2"),
     ("waits long", "o3"),
 )
-# o3 has 2 in force with o2, and dies; o1 knows nothing of it
-ALONE: tuple[Transition, ...] = (
-    *SERVES,
+# o3 has number 2 in force with o2 and crashes; o1 has not received it
+OUTDATED: tuple[Transition, ...] = (
+    *SERVING,
     ("cut", "o1", "o2"),
     ("cut", "o1", "o3"),
     ("waits long", "o2"),
@@ -74,20 +77,20 @@
     ("crashes", "o3"),
     ("joined", "o1", "o2"),
 )
-# the backup has lost its disk, has learned and is not whole yet
-LEARNED: tuple[Transition, ...] = (*SERVES, ("loses its disk", "o2"), ("starts", "o2"), ("waits", "o2"))
-# o3 is gone for good, and o4 is there in its place; the primary does not know yet
+# the backup has lost its disk and learned the configuration, but is not a full member yet
+LEARNED: tuple[Transition, ...] = (*SERVING, ("loses its disk", "o2"), ("starts", "o2"), ("waits", "o2"))
+# o3 has lost its disk and o4 has started in its place; the primary has not registered that yet
 REPLACED: tuple[Transition, ...] = (
-    *SERVES,
+    *SERVING,
     ("loses its disk", "o3"),
     ("starts", "o4"),
     ("waits", "o4"),
     ("waits", "o1"),
     ("waits", "o1"),
 )
-# o3 is away, and comes back with what it had, whenever it does
+# o3 is down and may come back with its disk at any time
 AWAY: tuple[Transition, ...] = (
-    *SERVES,
+    *SERVING,
     ("crashes", "o3"),
     ("starts", "o4"),
     ("waits", "o4"),
@@ -95,9 +98,9 @@
     ("waits", "o1"),
     ("waits", "o1"),
 )
-# 1 and 2 have been in force, and a put of 2 with another text was sent
-TWO: tuple[Transition, ...] = (*SERVES, ("put", "o1", 2, "b"))
-MENDED: tuple[Transition, ...] = (*LEARNED, ("waits", "o1"), ("put", "o1", 2, "b"))
+# numbers 1 and 2 have been in force, and a put of 2 with another text was sent
+TWO_WRITES: tuple[Transition, ...] = (*SERVING, ("put", "o1", 2, "b"))
+DISK_RESTORED: tuple[Transition, ...] = (*LEARNED, ("waits", "o1"), ("put", "o1", 2, "b"))
 
 
 def office(budget: offices.Budget, *script: Transition, spares: tuple[str, ...] = ()) -> Callable[[], State]:
@@ -105,29 +108,29 @@
     return lambda: settled_state(offices.ControllerModel(full, spares), budget, *script)
 
 
-# ---- fence: all have settled after five steps of the clock
+# ---- fence: all processes have settled after five steps of the clock
 
 Fence = depots.Budget
-LATER: tuple[Transition, ...] = (("time", ""),)
-SETTLED: tuple[Transition, ...] = LATER * 5
-# the gateway c1 has just started anew, and no store has echoed a word of it yet
-LINKED: tuple[Transition, ...] = (*SETTLED, ("crashes", "c1"), ("starts", "c1"))
-KEPT: tuple[Transition, ...] = (*SETTLED, ("offers", "c1"))
-CUT: tuple[Transition, ...] = (*KEPT, ("cut", "c1", "d1"), ("cut", "c1", "d2"))
-# it is heard again, by one of them, as the other is about to let it lapse
-BACK: tuple[Transition, ...] = (*CUT, *(LATER * 3), ("joined", "c1", "d2"))
-UNHEARD: tuple[Transition, ...] = (*KEPT, ("holds up", "d1", "c1"), ("holds up", "d2", "c1"))
-
-
-# d1 is to be taken away; c1 has not heard of it
-ORDERED: tuple[Transition, ...] = (*SETTLED, ("retires, unheard", "d1", "c1"))
-# after that was said it is started anew, and has not heard of it
-STARTED: tuple[Transition, ...] = (
-    *ORDERED,
-    *(LATER * 2),
+TICK: tuple[Transition, ...] = (("time", ""),)
+SETTLED: tuple[Transition, ...] = TICK * 5
+# gateway c1 has just restarted, and no store has echoed a heartbeat of it yet
+GATEWAY_RESTARTED: tuple[Transition, ...] = (*SETTLED, ("crashes", "c1"), ("starts", "c1"))
+STORED: tuple[Transition, ...] = (*SETTLED, ("offers", "c1"))
+PARTITIONED: tuple[Transition, ...] = (*STORED, ("cut", "c1", "d1"), ("cut", "c1", "d2"))
+# one store receives from it again when its lapse at the other is imminent
+RECONNECTED: tuple[Transition, ...] = (*PARTITIONED, *(TICK * 3), ("joined", "c1", "d2"))
+ECHOES_HELD: tuple[Transition, ...] = (*STORED, ("holds up", "d1", "c1"), ("holds up", "d2", "c1"))
+
+
+# d1 is to be removed; c1 has not received that configuration
+DRAIN_ORDERED: tuple[Transition, ...] = (*SETTLED, ("retires, unheard", "d1", "c1"))
+# after that d1 is restarted and has not received that configuration
+RESTARTED: tuple[Transition, ...] = (
+    *DRAIN_ORDERED,
+    *(TICK * 2),
     ("crashes", "d1"),
     ("starts, unheard", "d1"),
-    *(LATER * 4),
+    *(TICK * 4),
 )
 
 
@@ -138,7 +141,7 @@
     return lambda: settled_state(depots.StoreModel(full, names), budget, *script)
 
 
-# ---- lease: the first words are on their way
+# ---- lease: the first messages are in transit
 
 Lease = leases.Budget
 
@@ -150,9 +153,9 @@
     return lambda: settled_state(leases.LeaseModel(full), budget, *script)
 
 
-HELD: tuple[Transition, ...] = (("time", ""),) * 2
+LEASE_HELD: tuple[Transition, ...] = (("time", ""),) * 2
 
-# ---- notice: all offices and gateways are linked, and no word is on its way
+# ---- notice: all controllers and gateways are linked, and no message is in transit
 
 Notice = notices.Budget
 
@@ -162,62 +165,58 @@
 
 PARTS: dict[str, tuple[Case, ...]] = {
     "takeover": (
-        Case("a put, the primary stands again, any order", office(Takeover(puts=1, long=1), *SERVES), 50000),
+        Case("a put, the primary stands again, any order", office(Takeover(puts=1, long=1), *SERVING), 50000),
         Case("the first start, any order", office(Takeover(puts=0, long=2)), 10000),
-        Case("a put, a crash, any order", office(Takeover(puts=1, long=1, crash=1), *SERVES), 15000),
-        Case("a crash", office(Takeover(puts=1, reads=1, long=2, crash=1, reorderings=0), *SERVES), 20000),
-        Case("a lost disk", office(Takeover(puts=1, long=2, wipe=1, reorderings=0), *SERVES), 20000),
+        Case("a put, a crash, any order", office(Takeover(puts=1, long=1, crash=1), *SERVING), 15000),
+        Case("a crash", office(Takeover(puts=1, reads=1, long=2, crash=1, reorder=0), *SERVING), 20000),
+        Case("a lost disk", office(Takeover(puts=1, long=2, wipe=1, reorder=0), *SERVING), 20000),
         Case(
             "two disks, one after the other",
-            office(Takeover(1, long=2, wipe=1, reorderings=0), *MENDED),
+            office(Takeover(1, long=2, wipe=1, reorder=0), *DISK_RESTORED),
             15000,
         ),
         Case(
             "late words",
-            office(Takeover(puts=2, reads=1, long=1, hold=1, late=1, reorderings=0), *SERVES),
+            office(Takeover(puts=2, reads=1, long=1, hold=1, late=1, reorder=0), *SERVING),
             15000,
         ),
         Case(
-            "one stands still",
-            office(Takeover(1, 1, long=1, short=1, freeze=1, reorderings=1), *SERVES),
-            15000,
+            "one stands still", office(Takeover(1, 1, long=1, short=1, freeze=1, reorder=1), *SERVING), 15000
         ),
-        Case("cut in two", office(Takeover(puts=2, long=2, cut=1, reorderings=0), *SERVES), 15000),
+        Case("cut in two", office(Takeover(puts=2, long=2, cut=1, reorder=0), *SERVING), 15000),
         Case(
-            "an old primary that was not told", office(Takeover(2, 1, long=1, reorderings=1), *TAKEN), 15000
+            "an old primary that was not told", office(Takeover(2, 1, long=1, reorder=1), *TAKEN_OVER), 15000
         ),
-        Case("numbers sent again", office(Takeover(puts=3, long=1, again=1, reorderings=0), *SERVES), 15000),
+        Case("numbers sent again", office(Takeover(puts=3, long=1, again=1, reorder=0), *SERVING), 15000),
         Case(
             "numbers sent again, a crash",
-            office(Takeover(puts=2, long=2, crash=1, again=1, reorderings=0), *TWO),
+            office(Takeover(puts=2, long=2, crash=1, again=1, reorder=0), *TWO_WRITES),
             15000,
         ),
         Case(
             "a word said again on two links",
-            office(Takeover(puts=2, short=1, slow=1, hold=1, reorderings=0), *SERVES),
+            office(Takeover(puts=2, short=1, slow=1, hold=1, reorder=0), *SERVING),
             15000,
         ),
-        Case(
-            "a planned end", office(Takeover(puts=1, short=3, long=1, ends=1, reorderings=0), *SERVES), 15000
-        ),
+        Case("a planned end", office(Takeover(puts=1, short=3, long=1, ends=1, reorder=0), *SERVING), 15000),
         Case(
             "a planned end, then a lost disk",
-            office(Takeover(puts=1, short=2, long=1, ends=1, wipe=1, reorderings=0), *SERVES),
+            office(Takeover(puts=1, short=2, long=1, ends=1, wipe=1, reorder=0), *SERVING),
             15000,
         ),
         Case(
             "an office replaced, a crash",
-            office(Takeover(puts=1, short=2, long=1, crash=1, reorderings=0), *REPLACED, spares=("o4",)),
+            office(Takeover(puts=1, short=2, long=1, crash=1, reorder=0), *REPLACED, spares=("o4",)),
             15000,
         ),
         Case(
             "an office replaced, a cut",
-            office(Takeover(short=2, long=1, cut=1, reorderings=0), *REPLACED, spares=("o4",)),
+            office(Takeover(short=2, long=1, cut=1, reorder=0), *REPLACED, spares=("o4",)),
             15000,
         ),
         Case(
             "an office replaced that comes back",
-            office(Takeover(short=2, long=2, reorderings=0), *AWAY, spares=("o4",)),
+            office(Takeover(short=2, long=2, reorder=0), *AWAY, spares=("o4",)),
             15000,
         ),
     ),
@@ -225,58 +224,56 @@
         Case("accepted, any order", depot(Fence(time=2, offers=1), *SETTLED), 50000),
         Case(
             "accepted, words read at once",
-            depot(Fence(time=4, offers=1, hold=1, together=1, reorderings=0), *LINKED),
+            depot(Fence(time=4, offers=1, hold=1, together=1, reorder=0), *GATEWAY_RESTARTED),
             5000,
         ),
         Case("accepted, a crash, any order", depot(Fence(offers=1, crash=1), *SETTLED), 10000),
         Case(
             "accepted, a lost disk",
-            depot(Fence(time=2, offers=1, wipe=1, sends=1, ends=1, reorderings=1), *SETTLED),
+            depot(Fence(time=2, offers=1, wipe=1, sends=1, ends=1, reorder=1), *SETTLED),
             10000,
         ),
-        Case("a counter cut off", depot(Fence(time=7, reorderings=0), *CUT), 20000),
-        Case("a counter that is heard late", depot(Fence(time=7, reorderings=1), *UNHEARD), 10000),
-        Case("two links cut", depot(Fence(time=7, sends=2, ends=1, cut=2, reorderings=0), *KEPT), 10000),
-        Case(
-            "one stands still", depot(Fence(time=7, sends=2, ends=1, freeze=1, reorderings=0), *KEPT), 10000
-        ),
-        Case("crashes", depot(Fence(time=5, sends=2, ends=1, crash=2, reorderings=0), *KEPT), 10000),
+        Case("a counter cut off", depot(Fence(time=7, reorder=0), *PARTITIONED), 20000),
+        Case("a counter that is heard late", depot(Fence(time=7, reorder=1), *ECHOES_HELD), 10000),
+        Case("two links cut", depot(Fence(time=7, sends=2, ends=1, cut=2, reorder=0), *STORED), 10000),
+        Case("one stands still", depot(Fence(time=7, sends=2, ends=1, freeze=1, reorder=0), *STORED), 10000),
+        Case("crashes", depot(Fence(time=5, sends=2, ends=1, crash=2, reorder=0), *STORED), 10000),
         Case(
             "moved",
             depot(
-                Fence(time=3, sends=1, ends=1, retire=1, crash=1, reorderings=0),
-                *KEPT,
+                Fence(time=3, sends=1, ends=1, retire=1, crash=1, reorder=0),
+                *STORED,
                 names=("d1", "d2", "d3"),
             ),
             10000,
         ),
         Case(
             "taken away, one has not heard",
-            depot(Fence(time=5, offers=1, reorderings=0), *ORDERED, names=("d1", "d2", "d3")),
+            depot(Fence(time=5, offers=1, reorder=0), *DRAIN_ORDERED, names=("d1", "d2", "d3")),
             10000,
         ),
         Case(
             "taken away, started anew",
             depot(
-                Fence(time=4, offers=1, crash=1, unheard=1, reorderings=0),
-                *STARTED,
+                Fence(time=4, offers=1, crash=1, unheard=1, reorder=0),
+                *RESTARTED,
                 names=("d1", "d2", "d3"),
             ),
             10000,
         ),
         Case(
             "taken away, then a lost disk",
-            depot(Fence(time=6, retire=1, wipe=1, unheard=1, reorderings=0), *KEPT, names=("d1", "d2", "d3")),
+            depot(Fence(time=6, retire=1, wipe=1, unheard=1, reorder=0), *STORED, names=("d1", "d2", "d3")),
             10000,
         ),
     ),
     "lease": (
         Case("from the first word, any order", lease(Lease(time=2)), 10000),
-        Case("held, any order", lease(Lease(time=3), *HELD), 10000),
-        Case("links and offices lost", lease(Lease(time=8, lost=1, crash=1, reorderings=0)), 50000),
-        Case("the holder dies or leaves", lease(Lease(time=7, dies=1, leaves=1, reorderings=1)), 15000),
-        Case("one stands still", lease(Lease(time=7, freeze=1, lost=1, reorderings=0), *HELD), 50000),
-        Case("offices start anew, words late", lease(Lease(time=6, crash=2, reorderings=1), *HELD), 15000),
+        Case("held, any order", lease(Lease(time=3), *LEASE_HELD), 10000),
+        Case("links and offices lost", lease(Lease(time=8, lost=1, crash=1, reorder=0)), 50000),
+        Case("the holder dies or leaves", lease(Lease(time=7, dies=1, leaves=1, reorder=1)), 15000),
+        Case("one stands still", lease(Lease(time=7, freeze=1, lost=1, reorder=0), *LEASE_HELD), 50000),
+        Case("offices start anew, words late", lease(Lease(time=6, crash=2, reorder=1), *LEASE_HELD), 15000),
     ),
     "notice": (
         Case("a worker drains", lambda: notices.NoticeModel(Notice()), 1000),
--- a/opalwick/lab/verify/replayed.py
+++ b/opalwick/lab/verify/replayed.py
@@ -1,6 +1,7 @@
-"""A world that is its history: each state is played anew from the first.
+"""A model state represented by its history: each state is rebuilt by replaying that from the initial state.
 
-For small worlds whose parts hold callbacks, which cannot be copied: what a state costs grows with its depth.
+For small models whose objects hold callbacks, which cannot be copied. The cost of a state grows
+with its depth.
 """
 
 from __future__ import annotations
@@ -12,8 +13,8 @@
 
 
 class Replayed:
-    """A subclass builds its first state in `begin`, and takes a step in `do`: `Broken` where a property does
-    not hold there. `state` is all that what may follow depends on.
+    """Base class: `initialize` builds the initial state, `apply` takes a transition and raises
+    `PropertyViolation` if an invariant fails. `state` returns all that the future behaviour depends on.
     """
 
     def __init__(self, budget: Any, history: tuple[Transition, ...] = ()) -> None:
--- a/opalwick/lab/verify/rows.py
+++ b/opalwick/lab/verify/rows.py
@@ -1,5 +1,7 @@
-"""A depot's disk as what is on it: the effects of `post/depot/disk.py`'s statements, without sqlite, as a
-state is copied thousands of times a second. A test holds one to the other."""
+"""In-memory replacement of a store's disk, with the effects of the SQL statements in `post/depot/disk.py`.
+
+It does without SQLite because a state is copied thousands of times a second. A test compares the two.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +12,7 @@
 
 
 class InMemoryDisk:
-    """Durable at once; the world says when a sync has ended, or never does."""
+    """Writes are durable at once; the model decides when a sync completes, if it does."""
 
     def __init__(self, name: str) -> None:
         self.id, self.rotten = name, 0
--- a/opalwick/lab/verify/words.py
+++ b/opalwick/lab/verify/words.py
@@ -1,4 +1,4 @@
-"""Words on their way, as octets: who says one keeps no hold of it, as on a socket."""
+"""Peer messages in transit, as bytes: the sender keeps no reference to them, as with a socket."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from opalwick.post.wire_pb2 import Envelope
 
 KINDS: dict[str, Any] = {name: type(getattr(Envelope(), name)) for name in Envelope.DESCRIPTOR.fields_by_name}
-EncodedMessage = tuple[str, bytes]  # its kind, and what it says
+EncodedMessage = tuple[str, bytes]  # kind, serialized message
 
 
 def encode(kind: str, message: Any) -> EncodedMessage:
--- a/tests/test_verify.py
+++ b/tests/test_verify.py
@@ -14,7 +14,7 @@
 from opalwick.lab.verify import leases, offices
 from opalwick.lab.verify.explorer import PropertyViolation, replay, search
 from opalwick.lab.verify.mutants import MUTANTS, search_mutant
-from opalwick.lab.verify.parts import KEPT, PARTS, SERVES, Fence, Takeover, depot, office
+from opalwick.lab.verify.parts import PARTS, SERVING, STORED, Fence, Takeover, depot, office
 from opalwick.lab.verify.rows import InMemoryDisk
 from opalwick.post.depot.disk import Disk
 
@@ -52,38 +52,38 @@
 def test_a_copy_shares_nothing_that_alters() -> None:
     """All that may follow is tried, and the world it was tried on is as before."""
     for cases in PARTS.values():
-        world = cases[-1].root()
-        before = world.key()
-        for step in world.enabled():
-            world.successor(step)
-        getattr(world, "marks", {}).clear()
-        assert world.key() == before
+        state = cases[-1].root()
+        before = state.key()
+        for step in state.enabled():
+            state.successor(step)
+        getattr(state, "marks", {}).clear()
+        assert state.key() == before
 
 
 def test_leases_that_differ_by_an_exchange_of_offices_are_one() -> None:
-    world = leases.LeaseModel(leases.Budget(time=2))
+    state = leases.LeaseModel(leases.Budget(time=2))
     one, other = (
-        replay(world, (("hears", a, "c1/1"), ("hears", b, "c1/1"), ("hears", "c1/1", a)))
+        replay(state, (("hears", a, "c1/1"), ("hears", b, "c1/1"), ("hears", "c1/1", a)))
         for a, b in (("o1", "o2"), ("o3", "o1"))
     )
-    assert one.key() == other.key() != world.key()
-    assert one.key() != replay(world, (("hears", "o1", "c1/1"), ("hears", "o2", "c1/1"))).key()
+    assert one.key() == other.key() != state.key()
+    assert one.key() != replay(state, (("hears", "o1", "c1/1"), ("hears", "o2", "c1/1"))).key()
 
 
 def test_two_depots_cut_off_from_each_other_both_deliver() -> None:
     """The one way that is known and left open, in the design note: no case may come to it unseen."""
     for apart in ("d1", "d2"):
-        root = depot(Fence(time=6, reorderings=0), *KEPT, ("cut", "d1", "d2"), ("cut", "c1", apart))
+        root = depot(Fence(time=6, reorder=0), *STORED, ("cut", "d1", "d2"), ("cut", "c1", apart))
         found = search(root()).violation
         assert found is not None and found.rule == "two deliverers"
     assert not any(case.root().budget.split for case in PARTS["fence"])  # type: ignore[attr-defined]
 
 
 def test_a_lost_disk_that_survival_does_not_bear_is_not_played() -> None:
-    world = office(Takeover(wipe=2, reorderings=0), *SERVES)()
-    world = world.successor(("loses its disk", "o2"))
-    assert isinstance(world, offices.ControllerModel) and not any(
-        s[0] == "loses its disk" for s in world.enabled()
+    state = office(Takeover(wipe=2, reorder=0), *SERVING)()
+    state = state.successor(("loses its disk", "o2"))
+    assert isinstance(state, offices.ControllerModel) and not any(
+        s[0] == "loses its disk" for s in state.enabled()
     )
 
 
