--- a/opalwick/lab/verify/answers.py
+++ b/opalwick/lab/verify/answers.py
@@ -217,9 +217,9 @@
             connection.sock.on_idle = b""
         outcomes: list[Any] = []
         name = f"r{self.number}"
-        letter = Letter(mid=name, rid=name, method=b"POST", target=b"/x", host=b"h", body=body)
+        message = Letter(mid=name, rid=name, method=b"POST", target=b"/x", host=b"h", body=body)
         delivery = Delivery(
-            PLACE, letter, 1.0, lambda: True, self.pool, LIMITS, lambda end, kept: outcomes.append(end)
+            PLACE, message, 1.0, lambda: True, self.pool, LIMITS, lambda end, kept: outcomes.append(end)
         )
         delivery.run()
         self.check(outcomes, body is LONG_BODY)
--- a/opalwick/lab/verify/depots.py
+++ b/opalwick/lab/verify/depots.py
@@ -16,10 +16,10 @@
 from types import SimpleNamespace
 from typing import Any, NamedTuple
 
-from opalwick.lab.verify.copying import Copier, Canonicalizer
+from opalwick.lab.verify.copying import Canonicalizer, Copier
 from opalwick.lab.verify.explorer import PropertyViolation, Transition
 from opalwick.lab.verify.rows import InMemoryDisk
-from opalwick.lab.verify.words import EncodedMessage, encode, decode
+from opalwick.lab.verify.words import EncodedMessage, decode, encode
 from opalwick.post.counter.desks import Dispatcher, WaitQueue
 from opalwick.post.counter.item import Start
 from opalwick.post.counter.role import Gateway
@@ -33,7 +33,9 @@
 from opalwick.post.wire_pb2 import Conf, Hello, Letter, News, Route, Service
 from opalwick.routing.reducer import Send
 
-STEP = 0.5  # s: the margin; a lapse is four steps, an acting store counts as away after three, a suspension after one
+# s: the margin; a lapse is four steps, an acting store counts as away after three, and one step is too short
+# to count as a suspension
+STEP = 0.5
 FAR = 4.0  # s: ages beyond this are equivalent: the longest span used is twice SETTLE, 3
 REPLICAS = 2  # survive.boxes + 1
 RETAIN = 60.0  # s of retention: longer than any history
@@ -169,11 +171,11 @@
 class StoreModel:
     """Rules: `early 202`, `early word`, `copies`, `two deliverers`."""
 
-    def __init__(self, budget: Budget, depots: tuple[str, ...] = ("d1", "d2")) -> None:
+    def __init__(self, budget: Budget, stores: tuple[str, ...] = ("d1", "d2")) -> None:
         self.budget, self.now = budget, 0.0
-        self.depots, self.counters = depots, ("c1", "c2")
-        self.names = (*depots, *self.counters)
-        self.machines = {me: Machine(me, InMemoryDisk(me) if me in depots else None) for me in self.names}
+        self.stores, self.gateways = stores, ("c1", "c2")
+        self.names = (*stores, *self.gateways)
+        self.machines = {me: Machine(me, InMemoryDisk(me) if me in stores else None) for me in self.names}
         self.links: dict[Direction, tuple[EncodedMessage, ...]] = {}
         self.numbers: dict[Direction, int] = {
             pair: 0 for pair in self.pairs()
@@ -195,8 +197,8 @@
 
     def pairs(self) -> list[Direction]:
         """Returns the pairs of processes that may be linked, in a fixed order."""
-        found = [(a, b) for a in self.depots for b in self.depots if a < b]
-        return found + [(c, d) for c in self.counters for d in self.depots]
+        found = [(a, b) for a in self.stores for b in self.stores if a < b]
+        return found + [(c, d) for c in self.gateways for d in self.stores]
 
     def pair(self, a: str, b: str) -> Direction:
         return (a, b) if (a, b) in self.numbers else (b, a)
@@ -257,16 +259,16 @@
 
     def internal_transitions(self) -> list[Transition]:
         found: list[Transition] = [
-            ("hears", way[1], way[0])
-            for way in sorted(self.links)
-            if self.runs(way[1]) and self.is_open(*way)
+            ("hears", direction[1], direction[0])
+            for direction in sorted(self.links)
+            if self.runs(direction[1]) and self.is_open(*direction)
         ]
         found += [
-            ("synced", me) for me in self.depots if self.runs(me) and self.machines[me].batch is not None
+            ("synced", me) for me in self.stores if self.runs(me) and self.machines[me].batch is not None
         ]
         if self.budget.sends:
             found += [
-                ("sends", me) for me in self.counters if self.runs(me) and self.machines[me].role.commands
+                ("sends", me) for me in self.gateways if self.runs(me) and self.machines[me].role.commands
             ]
         return found
 
@@ -276,21 +278,25 @@
         found = ready if left.reorder else ready[:1]
         if left.together:  # reads all pending messages before it carries out the effects
             for me in self.names:
-                senders = [way[0] for way in sorted(self.links) if way[1] == me and self.is_open(*way)]
+                senders = [
+                    direction[0]
+                    for direction in sorted(self.links)
+                    if direction[1] == me and self.is_open(*direction)
+                ]
                 if self.runs(me) and sum(len(self.links[one, me]) for one in senders) > 1:
                     found.append(("hears all", me, *senders))
         if left.time and not any(step[0] == "hears" for step in ready) and (left.reorder or not ready):
             found.append(("time", ""))
         quiet = left.reorder != 0 or not ready
         if left.offers and quiet:
-            found += [("offers", me) for me in self.counters[:1] if self.runs(me)]
+            found += [("offers", me) for me in self.gateways[:1] if self.runs(me)]
         if left.retire and quiet and not self.retiring:
-            found.append(("retires", self.depots[0]))
+            found.append(("retires", self.stores[0]))
             if left.unheard:
-                found += [("retires, unheard", self.depots[0], me) for me in self.names if self.runs(me)]
+                found += [("retires, unheard", self.stores[0], me) for me in self.names if self.runs(me)]
         found += [("hears of it", me) for me in sorted(self.unheard) if self.runs(me) and quiet]
         found += [("is taken away", me) for me in sorted(self.complete - self.away)]
-        for me in self.counters:
+        for me in self.gateways:
             if left.ends and quiet and self.runs(me) and self.machines[me].deliveries:
                 found.append(("has a success", me))
         for me, machine in self.machines.items():
@@ -305,7 +311,7 @@
                 found.append(("crashes", me))
                 if machine.batch is not None:
                     found.append(("crashes, written", me))
-            if left.wipe and me in self.depots and not self.wiped:
+            if left.wipe and me in self.stores and not self.wiped:
                 found.append(("loses its disk", me))
             if me in self.frozen:
                 found.append(("wakes", me))
@@ -316,12 +322,12 @@
                 found.append(("joined", a, b))
                 if (a, b) not in self.unlinked:
                     found.append(("give each other up", a, b))
-            for way in ((a, b), (b, a)):
-                if way in self.held:
-                    found.append(("lets go", way[1], way[0]))
-                elif left.hold and a in self.counters and (a, b) not in self.unlinked:
-                    found.append(("holds up", way[1], way[0]))
-            if (a, b) not in self.cuts | self.unlinked and (left.cut if a in self.counters else left.split):
+            for direction in ((a, b), (b, a)):
+                if direction in self.held:
+                    found.append(("lets go", direction[1], direction[0]))
+                elif left.hold and a in self.gateways and (a, b) not in self.unlinked:
+                    found.append(("holds up", direction[1], direction[0]))
+            if (a, b) not in self.cuts | self.unlinked and (left.cut if a in self.gateways else left.split):
                 found.append(("cut", a, b))
         return found
 
@@ -359,8 +365,10 @@
                 new.budget, new.offered = new.budget.spend("offers"), self.offered + 1
                 role = new.at(me).role
                 role.clock(new.now)
-                letter = Letter(rid=f"r{new.offered}", host=b"h", method=b"POST", target=b"/", body=b"x")
-                role.offered(Client(new.machines[me].answers), SimpleNamespace(first_at=new.now), letter, 0.0)
+                message = Letter(rid=f"r{new.offered}", host=b"h", method=b"POST", target=b"/", body=b"x")
+                role.offered(
+                    Client(new.machines[me].answers), SimpleNamespace(first_at=new.now), message, 0.0
+                )
             case "retires":
                 new.budget, new.retiring = new.budget.spend("retire"), frozenset({me})
                 new.update_directories()
@@ -386,7 +394,7 @@
             case "wakes":
                 new.frozen = self.frozen - {me}
             case "cut":
-                new.budget = new.budget.spend("cut" if me in self.counters else "split")
+                new.budget = new.budget.spend("cut" if me in self.gateways else "split")
                 new.cuts = self.cuts | {(me, rest[0])}
             case "holds up":
                 new.budget, new.held = new.budget.spend("hold"), self.held | {(rest[0], me)}
@@ -465,7 +473,7 @@
         quick = []
         for me in there:
             role = self.at(me).role
-            if me in self.depots and role.store.rebalancing.empty:
+            if me in self.stores and role.store.rebalancing.empty:
                 self.complete |= {me}
             for other in self.names:
                 line = role.link(other) if other != me else None
@@ -475,10 +483,10 @@
                 if (me, other) not in self.links and self.runs(other) and self.is_open(me, other):
                     quick.append((me, other))
             self.settle(me)
-        for way in quick:
-            if len(self.links.get(way, ())) == 1:
-                self.receive_next(way[1], way[0])
-                self.settle(way[1])
+        for direction in quick:
+            if len(self.links.get(direction, ())) == 1:
+                self.receive_next(direction[1], direction[0])
+                self.settle(direction[1])
 
     # ---- processes
 
@@ -487,7 +495,7 @@
             self.fresh = list(self.machines.values())
         machine = self.at(me)
         machine.life += 1
-        if me in self.depots:
+        if me in self.stores:
             assert machine.disk is not None
             role: Any = StoreUnderTest(SETTINGS[me], machine.life, self.now, machine.disk.id)
             load(role, machine.disk, 0.0)  # type: ignore[arg-type]
@@ -516,7 +524,7 @@
         conf.seq = len(retiring)
         conf.retiring.extend(sorted(retiring))
         role.directory.merge(News(conf=conf))
-        if me in self.depots:
+        if me in self.stores:
             role.store.ordered((int(conf.gen), int(conf.seq)), set(retiring))
             return
         role.intake.retiring = set(retiring)
@@ -546,7 +554,7 @@
         machine = self.at(me)
         role = machine.role
         role.settle()
-        if me in self.depots and machine.batch is None and role.queue:
+        if me in self.stores and machine.batch is None and role.queue:
             machine.batch = role.batch()
         out = list(machine.out)
         machine.out.clear()
@@ -597,9 +605,9 @@
             encoded[0] == "kept" and message.mid in machine.disk.letters_of
         )
         if encoded[0] == "kept" and message.mid in machine.disk.dropped:
-            # dropped in the same batch that stored it: whoever ordered that has given it up and promises nothing
+            # dropped in the batch that stored it: whoever ordered that has given it up and promises nothing
             role = self.machines[to].role
-            there = there or role is None or (to in self.counters and message.mid not in role.intake.pending)
+            there = there or role is None or (to in self.gateways and message.mid not in role.intake.pending)
         if not there and not (encoded[0] == "kept" and message.refused):
             raise PropertyViolation(
                 "early word", f"{me} sends {encoded[0]} for {message.mid}, which is not on its disk"
@@ -623,10 +631,10 @@
         for mid in self.accepted:
             if self.has(mid) + self.wiped < REPLICAS:
                 raise PropertyViolation("copies", f"{mid} was accepted and is on {self.has(mid)} disks")
-            able = [me for me in self.counters if self.may_send(me, mid)]
+            able = [me for me in self.gateways if self.may_send(me, mid)]
             if len(able) > 1:
                 raise PropertyViolation("two deliverers", f"{' and '.join(able)} may send {mid}")
-        for me in self.depots:
+        for me in self.stores:
             machine = self.machines[me]
             if machine.role is not None:
                 for mid in machine.role.store.ends:
--- a/opalwick/lab/verify/leases.py
+++ b/opalwick/lab/verify/leases.py
@@ -14,20 +14,19 @@
 from types import SimpleNamespace
 from typing import Any, NamedTuple
 
-from opalwick.lab.verify.copying import Copier, Canonicalizer
+from opalwick.lab.verify.copying import Canonicalizer, Copier
 from opalwick.lab.verify.explorer import PropertyViolation, Transition
-from opalwick.lab.verify.words import EncodedMessage, encode, decode
+from opalwick.lab.verify.words import EncodedMessage, decode, encode
 from opalwick.post.counter.ceilings import MARGIN, Ceilings
 from opalwick.post.names import process_id
 from opalwick.post.office.duties import LeaseTable
 from opalwick.post.office.role import Controller
 from opalwick.post.wire_pb2 import Hello
 
-DUTY = "s"
-OFFICES = ("o1", "o2", "o3")
-STEP = (
-    0.35  # s: a lease (1.4) is four steps, a voter's longest (1.5) under five, a reply's time limit (0.3) one
-)
+TASK = "s"
+CONTROLLERS = ("o1", "o2", "o3")
+# s: a lease (1.4) is four steps, a voter's longest (1.5) under five, a reply's time limit (0.3) one
+STEP = 0.35
 FAR = 2.5  # s: ages beyond this are equivalent; the longest span is IDLE (2.0)
 SLACK = 1e-6  # s: tolerance for floating-point times of the same moment
 
@@ -54,8 +53,8 @@
         self.peer, self.last_received = peer, 0.0
         self.out: list[EncodedMessage] = []
 
-    def send(self, kind: str, word: Any) -> None:
-        self.out.append(encode(kind, word))
+    def send(self, kind: str, message: Any) -> None:
+        self.out.append(encode(kind, message))
 
 
 class Voter(Controller):
@@ -71,29 +70,29 @@
 class LeaseModel:
     """Rules: `two holders`, `beyond its grant`."""
 
-    def __init__(self, budget: Budget, counters: int = 2) -> None:
+    def __init__(self, budget: Budget, gateways: int = 2) -> None:
         self.budget, self.now = budget, 10.0
-        self.nodes = tuple(f"c{number + 1}" for number in range(counters))
+        self.nodes = tuple(f"c{number + 1}" for number in range(gateways))
         self.incarnations = dict.fromkeys(self.nodes, 1)
-        self.counters: dict[str, Ceilings | None] = {}
-        self.voters: dict[str, Voter | None] = {office: Voter(self.now, True) for office in OFFICES}
+        self.gateways: dict[str, Ceilings | None] = {}
+        self.voters: dict[str, Voter | None] = {
+            controller: Voter(self.now, True) for controller in CONTROLLERS
+        }
         self.links: dict[Direction, tuple[EncodedMessage, ...]] = {}
         self.frozen: frozenset[str] = frozenset()
-        self.unticked: frozenset[str] = (
-            frozenset()
-        )  # gateways that have not run their tick since the clock advanced
-        self.reported: dict[
-            Direction, dict[str, str]
-        ] = {}  # by (process, controller): the lease holders reported there
+        # gateways that have not run their tick since the clock advanced
+        self.unticked: frozenset[str] = frozenset()
+        # by (process, controller): the lease holders reported there
+        self.reported: dict[Direction, dict[str, str]] = {}
         for node in self.nodes:
-            self.counters[node] = self.new_gateway(node)
+            self.gateways[node] = self.new_gateway(node)
             self.settle(node)
 
     def new_gateway(self, node: str) -> Ceilings:
         core = Ceilings(node, self.incarnations[node])
         core.now = self.now
-        core.configured({DUTY: 20.0}, list(self.nodes), len(OFFICES))
-        core.waiting[DUTY] = 1  # a request for a permit is always waiting
+        core.configured({TASK: 20.0}, list(self.nodes), len(CONTROLLERS))
+        core.waiting[TASK] = 1  # a request for a permit is always waiting
         core.tick(self.now)
         return core
 
@@ -102,13 +101,13 @@
     def copy(self) -> LeaseModel:
         new = LeaseModel.__new__(LeaseModel)
         new.__dict__.update(self.__dict__)
-        for name in ("counters", "voters", "links", "incarnations", "reported"):
+        for name in ("gateways", "voters", "links", "incarnations", "reported"):
             setattr(new, name, dict(getattr(self, name)))
         return new
 
     def key(self) -> bytes:
         """Represents controllers by their state and by what gateways and links hold of them, not by name."""
-        cores = [(node, core) for node, core in self.counters.items() if core is not None]
+        cores = [(node, core) for node, core in self.gateways.items() if core is not None]
         own = [
             (
                 node,
@@ -119,27 +118,32 @@
                     ignored=("reported_holders", "reported_voters", "lease_requests", "outbox", "granted"),
                 ).canonical(core),
             )
-            for node, core in self.counters.items()
+            for node, core in self.gateways.items()
         ]
         processes = sorted(
-            {who for way in (*self.links, *self.reported) for who in way if who not in OFFICES}
+            {
+                who
+                for direction in (*self.links, *self.reported)
+                for who in direction
+                if who not in CONTROLLERS
+            }
         )
         found = []
-        for office, voter in self.voters.items():
+        for controller, voter in self.voters.items():
             at = [
                 voter is not None and Canonicalizer(self.now, FAR).canonical(voter.leases),
-                office in self.frozen,
+                controller in self.frozen,
             ]
             for who in processes:
                 at += [
-                    self.links.get((who, office), ()),
-                    self.links.get((office, who), ()),
-                    sorted(self.reported.get((who, office), {"": ""}).items()),
+                    self.links.get((who, controller), ()),
+                    self.links.get((controller, who), ()),
+                    sorted(self.reported.get((who, controller), {"": ""}).items()),
                 ]
             for _, core in cores:
-                at.append(sorted(core.reported_holders.get(office, {"": ""}).items()))
-                at.append(core.reported_voters.get(office))
-                at.append([(call, office in asked[1]) for call, asked in core.lease_requests.items()])
+                at.append(sorted(core.reported_holders.get(controller, {"": ""}).items()))
+                at.append(core.reported_voters.get(controller))
+                at.append([(call, controller in asked[1]) for call, asked in core.lease_requests.items()])
             found.append(repr(at))
         asked = [
             [
@@ -163,7 +167,7 @@
     # ---- transitions
 
     def internal_transitions(self) -> list[Transition]:
-        found: list[Transition] = [("hears", way[1], way[0]) for way in sorted(self.links)]
+        found: list[Transition] = [("hears", direction[1], direction[0]) for direction in sorted(self.links)]
         found += [("looks at the time", node) for node in sorted(self.unticked)]
         return [step for step in found if step[1].partition("/")[0] not in self.frozen]
 
@@ -178,15 +182,15 @@
             and (left.reorder or not ready)
         ):
             found.append(("time", ""))
-        for office, voter in self.voters.items():
+        for controller, voter in self.voters.items():
             if voter is None:
-                found.append(("starts", office))
+                found.append(("starts", controller))
             elif left.crash:
-                found.append(("crashes", office))
+                found.append(("crashes", controller))
             for who in self.processes():
-                if left.lost and ((who, office) in self.links or (office, who) in self.links):
-                    found.append(("loses its link", office, who))
-        for node, core in self.counters.items():
+                if left.lost and ((who, controller) in self.links or (controller, who) in self.links):
+                    found.append(("loses its link", controller, who))
+        for node, core in self.gateways.items():
             if core is None:
                 found.append(("starts", node))
             else:
@@ -194,7 +198,7 @@
                     found.append(("crashes", node))
                 if left.leaves and not core.leaving:
                     found.append(("is to end", node))
-        for name in (*OFFICES, *self.nodes):
+        for name in (*CONTROLLERS, *self.nodes):
             if name in self.frozen:
                 found.append(("wakes", name))
             elif left.freeze:
@@ -215,33 +219,33 @@
                 new.receive_next(me, rest[0])
             case "looks at the time":
                 new.unticked = self.unticked - {me}
-                core = new.counter(me)
+                core = new.gateway(me)
                 core.tick(self.now)
             case "time":
                 new.budget, new.now = new.budget.spend("time"), self.now + STEP
-                new.unticked = frozenset(node for node, core in self.counters.items() if core is not None)
+                new.unticked = frozenset(node for node, core in self.gateways.items() if core is not None)
             case "crashes":
-                new.budget = new.budget.spend("crash" if me in OFFICES else "dies")
+                new.budget = new.budget.spend("crash" if me in CONTROLLERS else "dies")
                 new.ends(me)
             case "starts":
-                if me in OFFICES:
+                if me in CONTROLLERS:
                     new.voters[me] = Voter(self.now, False)
                 else:
                     new.incarnations[me] += 1
-                    new.counters[me] = new.new_gateway(me)
+                    new.gateways[me] = new.new_gateway(me)
             case "loses its link":
                 new.budget = new.budget.spend("lost")
                 new.lost(rest[0], me)
             case "is to end":
                 new.budget = new.budget.spend("leaves")
-                core = new.counter(me)
+                core = new.gateway(me)
                 core.leave()
             case "stands still":
                 new.budget = new.budget.spend("freeze")
                 new.frozen = self.frozen | {me}
             case "wakes":
                 new.frozen = self.frozen - {me}
-        if me and me not in OFFICES:
+        if me and me not in CONTROLLERS:
             new.settle(me.partition("/")[0])
         new.check()
         return new
@@ -250,82 +254,86 @@
         """Process ids of the running gateways."""
         return [
             process_id(node, self.incarnations[node])
-            for node, core in self.counters.items()
+            for node, core in self.gateways.items()
             if core is not None
         ]
 
-    def counter(self, node: str) -> Ceilings:
-        known = self.counters[node]
+    def gateway(self, node: str) -> Ceilings:
+        known = self.gateways[node]
         assert known is not None
         core: Ceilings = Copier().copy(known)
         core.now = self.now
-        self.counters[node] = core
+        self.gateways[node] = core
         return core
 
     def receive_next(self, me: str, sender: str) -> None:
         encoded, *others = self.links.pop((sender, me))
         if others:
             self.links[sender, me] = tuple(others)
-        if me not in OFFICES:
-            self.counter(me.partition("/")[0]).leased(sender, decode(encoded))
+        if me not in CONTROLLERS:
+            self.gateway(me.partition("/")[0]).leased(sender, decode(encoded))
             return
         node, _, life = sender.partition("/")
         known = self.voters[me]
         assert known is not None
         voter = self.voters[me] = Voter(self.now, True)
         voter.leases = Copier().copy(known.leases)
-        mouth = LinkStub(Hello(node=node, role="counter", life=int(life)))
+        link = LinkStub(Hello(node=node, role="counter", life=int(life)))
         if (sender, me) in self.reported:
-            voter.reported_holders = {mouth: self.reported[sender, me]}
-        voter.handle(mouth, encoded[0], decode(encoded))
-        if mouth in voter.reported_holders:
-            self.reported[sender, me] = voter.reported_holders[mouth]
+            voter.reported_holders = {link: self.reported[sender, me]}
+        voter.handle(link, encoded[0], decode(encoded))
+        if link in voter.reported_holders:
+            self.reported[sender, me] = voter.reported_holders[link]
         if sender in self.processes():  # otherwise the link no longer exists
-            self.send_all(me, sender, mouth.out)
+            self.send_all(me, sender, link.out)
 
-    def send_all(self, me: str, to: str, words: list[EncodedMessage]) -> None:
-        there = (*self.links.get((me, to), ()), *words)
+    def send_all(self, me: str, to: str, messages: list[EncodedMessage]) -> None:
+        there = (*self.links.get((me, to), ()), *messages)
         if there:
             self.links[me, to] = there
 
     def settle(self, node: str) -> None:
-        core = self.counters[node]
+        core = self.gateways[node]
         if core is not None:
             sends, _ = core.effects()
-            for to, kind, word in sends:
-                for office in OFFICES if to == "offices" else ():
-                    if self.voters[office] is not None:
-                        self.send_all(process_id(node, self.incarnations[node]), office, [encode(kind, word)])
-
-    def lost(self, who: str, office: str) -> None:
+            for to, kind, message in sends:
+                for controller in CONTROLLERS if to == "offices" else ():
+                    if self.voters[controller] is not None:
+                        self.send_all(
+                            process_id(node, self.incarnations[node]), controller, [encode(kind, message)]
+                        )
+
+    def lost(self, who: str, controller: str) -> None:
         """Their link ends and loses its messages; a new one is established at once."""
-        for way in ((who, office), (office, who)):
-            self.links.pop(way, None)
-        self.reported.pop((who, office), None)
+        for direction in ((who, controller), (controller, who)):
+            self.links.pop(direction, None)
+        self.reported.pop((who, controller), None)
         if who in self.processes():
-            self.counter(who.partition("/")[0]).office_down(office)
+            self.gateway(who.partition("/")[0]).office_down(controller)
 
     def ends(self, me: str) -> None:
         self.frozen, self.unticked = self.frozen - {me}, self.unticked - {me}
-        if me in OFFICES:
-            for who in {way[0] for way in self.links if way[1] == me}.union(self.processes()):
+        if me in CONTROLLERS:
+            for who in {direction[0] for direction in self.links if direction[1] == me}.union(
+                self.processes()
+            ):
                 self.lost(who, me)
             self.voters[me] = None
             return
-        for office in OFFICES:  # messages that it sent still arrive
-            self.links.pop((office, process_id(me, self.incarnations[me])), None)
-            self.reported.pop((process_id(me, self.incarnations[me]), office), None)
-        self.counters[me] = None
+        for controller in CONTROLLERS:  # messages that it sent still arrive
+            self.links.pop((controller, process_id(me, self.incarnations[me])), None)
+            self.reported.pop((process_id(me, self.incarnations[me]), controller), None)
+        self.gateways[me] = None
 
     # ---- invariants
 
     def check(self) -> None:
         holders = []
-        for node, core in self.counters.items():
+        for node, core in self.gateways.items():
             if core is None:
                 continue
             was, core.now = core.now, self.now  # a suspended process reads the clock first when it resumes
-            held, core.now = core.current_lease(DUTY), was
+            held, core.now = core.current_lease(TASK), was
             if held is not None:
                 holders.append(node)
                 self.check_covered(node, held.expires_at)
@@ -340,9 +348,9 @@
             if voter is None:
                 covering += self.now + 1.5 >= end  # it grants nothing for the longest lease after it starts
             else:
-                held = voter.leases.grants.get(DUTY, ("", 0.0))
+                held = voter.leases.grants.get(TASK, ("", 0.0))
                 covering += voter.leases.no_grants_until >= end or (held[0] == who and held[1] >= end)
-        if covering <= len(OFFICES) // 2:
+        if covering <= len(CONTROLLERS) // 2:
             raise PropertyViolation(
                 "beyond its grant",
                 f"{node} holds for {until - self.now:.2f} s more, covered by {covering} controllers only",
--- a/opalwick/lab/verify/mutants.py
+++ b/opalwick/lab/verify/mutants.py
@@ -30,9 +30,9 @@
     Lease,
     Notice,
     Takeover,
-    depot,
+    fence,
     lease,
-    office,
+    takeover,
 )
 from opalwick.lab.verify.parts import (
     Answer as Asking,
@@ -102,7 +102,7 @@
 # ---- takeover
 
 
-@mutant("takeover", office(Takeover(puts=1, reorder=0), *SERVING), "lost")
+@mutant("takeover", takeover(Takeover(puts=1, reorder=0), *SERVING), "lost")
 def acknowledged_on_one_disk(patch: Patch) -> None:
     def alone(self: Views) -> None:
         first = self.queue[0]
@@ -113,16 +113,16 @@
     patch(Views, "write_next", alone)
 
 
-@mutant("takeover", office(Takeover(puts=1, reorder=0), *SUPERSEDED), "lost", "two texts", "stale answer")
+@mutant("takeover", takeover(Takeover(puts=1, reorder=0), *SUPERSEDED), "lost", "two texts", "stale answer")
 def stale_writes_accepted(patch: Patch) -> None:
-    def write(self: Views, sender: str, word: Any) -> None:
-        self.conf = word.conf
-        self.save((sender, "written", Written(epoch=word.epoch, number=word.number, ok=True)))
+    def write(self: Views, sender: str, message: Any) -> None:
+        self.conf = message.conf
+        self.save((sender, "written", Written(epoch=message.epoch, number=message.number, ok=True)))
 
     patch(Views, "write", write)
 
 
-@mutant("takeover", office(Takeover(reads=1, puts=1, reorder=0), *TAKEN_OVER), "stale answer")
+@mutant("takeover", takeover(Takeover(reads=1, puts=1, reorder=0), *TAKEN_OVER), "stale answer")
 def reads_answered_by_itself(patch: Patch) -> None:
     def read(self: Views, call: int, status: int = 200) -> None:
         self.answers.append(Answer(call, status))
@@ -130,7 +130,7 @@
     patch(Views, "read", read)
 
 
-@mutant("takeover", office(Takeover(puts=2, reorder=0), *SERVING), "two texts", "lost")
+@mutant("takeover", takeover(Takeover(puts=2, reorder=0), *SERVING), "two texts", "lost")
 def a_number_taken_again(patch: Patch) -> None:
     def put(self: Views, call: int, conf: bytes) -> None:
         self.queue.append(PendingChange(call, self.read_key(conf), conf, self.now + 0.8))
@@ -140,7 +140,7 @@
     patch(Views, "put", put)
 
 
-@mutant("takeover", office(Takeover(long=1, wipe=1, reorder=0), *SERVING), "voted unlearned")
+@mutant("takeover", takeover(Takeover(long=1, wipe=1, reorder=0), *SERVING), "voted unlearned")
 def a_lost_disk_forgotten(patch: Patch) -> None:
     init = Views.__init__
 
@@ -152,41 +152,41 @@
     patch(Views, "__init__", fresh)
 
 
-@mutant("takeover", office(Takeover(long=2, reorder=0), *SERVING), "early word")
+@mutant("takeover", takeover(Takeover(long=2, reorder=0), *SERVING), "early word")
 def votes_before_the_sync(patch: Patch) -> None:
     def save(self: Views, *then: Any) -> None:
-        for to, kind, word in then:
+        for to, kind, message in then:
             if kind == "vote" and to != self.ip:
-                self.send(to, kind, word)
+                self.send(to, kind, message)
         SAVE(self, *[one for one in then if one[1] != "vote" or one[0] == self.ip])
 
     SAVE = Views.save
     patch(Views, "save", save)
 
 
-@mutant("takeover", office(Takeover(long=2, reorder=1), *SERVING), "vote back")
+@mutant("takeover", takeover(Takeover(long=2, reorder=1), *SERVING), "vote back")
 def any_epoch_is_granted(patch: Patch) -> None:
     canvass = Views.canvass
 
-    def grants(self: Views, sender: str, word: Any) -> None:
-        self.promised, self.primary_seen_at = min(self.promised, int(word.epoch) - 1), -1e9
-        canvass(self, sender, word)
+    def grants(self: Views, sender: str, message: Any) -> None:
+        self.promised, self.primary_seen_at = min(self.promised, int(message.epoch) - 1), -1e9
+        canvass(self, sender, message)
 
     patch(Views, "canvass", grants)
 
 
-@mutant("takeover", office(Takeover(long=2, reorder=0), *LEARNED, ("crashes", "o1")), "lost")
+@mutant("takeover", takeover(Takeover(long=2, reorder=0), *LEARNED, ("crashes", "o1")), "lost")
 def a_learned_member_passes_for_whole(patch: Patch) -> None:
     learn = Views.learn
 
-    def learns(self: Views, sender: str, word: Any) -> None:
-        learn(self, sender, word)
+    def learns(self: Views, sender: str, message: Any) -> None:
+        learn(self, sender, message)
         self.member = self.member or (not self.lost_state and self.ip in self.view.members)
 
     patch(Views, "learn", learns)
 
 
-@mutant("takeover", office(Takeover(long=2, reorder=0), *OUTDATED), "lost", "two texts", "stale answer")
+@mutant("takeover", takeover(Takeover(long=2, reorder=0), *OUTDATED), "lost", "two texts", "stale answer")
 def the_oldest_view_is_taken_up(patch: Patch) -> None:
     offer = Views.offer
 
@@ -199,7 +199,7 @@
     patch(Views, "offer", oldest)
 
 
-@mutant("takeover", office(Takeover(reorder=0), *TAKEN_OVER), "lost")
+@mutant("takeover", takeover(Takeover(reorder=0), *TAKEN_OVER), "lost")
 def a_backup_installed_without_the_configuration(patch: Patch) -> None:
     offer_to = Views.offer_to
 
@@ -213,39 +213,39 @@
     patch(Views, "offer_to", bare)
 
 
-@mutant("takeover", office(Takeover(puts=1, again=1, reorder=0), *SERVING), "two confirmed")
+@mutant("takeover", takeover(Takeover(puts=1, again=1, reorder=0), *SERVING), "two confirmed")
 def another_content_is_confirmed(patch: Patch) -> None:
     patch(numbers, "match", lambda newest, given: numbers.Match.SAME)
 
 
-@mutant("takeover", office(Takeover(puts=1, again=1, reorder=0), *SERVING), "refused again")
+@mutant("takeover", takeover(Takeover(puts=1, again=1, reorder=0), *SERVING), "refused again")
 def a_repeated_order_is_refused(patch: Patch) -> None:
     patch(numbers, "match", lambda newest, given: numbers.Match.OTHER)
 
 
-@mutant("takeover", office(Takeover(puts=1, again=1, reorder=0), *TWO_WRITES), "forgotten")
+@mutant("takeover", takeover(Takeover(puts=1, again=1, reorder=0), *TWO_WRITES), "forgotten")
 def earlier_numbers_are_forgotten(patch: Patch) -> None:
     patch(numbers, "follow", lambda conf, newest: None)
 
 
-@mutant("takeover", office(Takeover(puts=2, short=1, slow=1, reorder=0), *SERVING), "lost")
+@mutant("takeover", takeover(Takeover(puts=2, short=1, slow=1, reorder=0), *SERVING), "lost")
 def an_older_word_is_written_over_a_newer(patch: Patch) -> None:
     read_key, write = Views.read_key, Views.write
 
-    def writes(self: Views, sender: str, word: Any) -> None:
+    def writes(self: Views, sender: str, message: Any) -> None:
         self.read_key = lambda conf: read_key(conf) if conf != self.conf else (-1, 0)  # type: ignore[method-assign]
-        write(self, sender, word)
+        write(self, sender, message)
         del self.read_key  # type: ignore[misc]
 
     patch(Views, "write", writes)
 
 
-@mutant("takeover", office(Takeover(puts=1, ends=1, reorder=0), *SERVING), "lost")
+@mutant("takeover", takeover(Takeover(puts=1, ends=1, reorder=0), *SERVING), "lost")
 def ends_with_what_rests_on_it(patch: Patch) -> None:
     patch(Views, "needed", False)
 
 
-@mutant("takeover", office(Takeover(short=3, ends=1, reorder=0), *SERVING), "lost")
+@mutant("takeover", takeover(Takeover(short=3, ends=1, reorder=0), *SERVING), "lost")
 def a_witness_is_not_asked_for_a_place(patch: Patch) -> None:
     """It resigns and takes the handover for complete: its copy is the only one beside its successor's."""
 
@@ -258,7 +258,7 @@
 # ---- fence
 
 
-def early(word: str) -> Callable[[Patch], None]:
+def early(kind: str) -> Callable[[Patch], None]:
     """Sends messages of that kind before the sync that they must follow."""
 
     def plant(patch: Patch) -> None:
@@ -267,8 +267,8 @@
         def sooner(self: MessageStore) -> Any:
             writes, sends, fetches = effects(self)
             for i, write in enumerate(writes):
-                sends += [Send(*said) for said in write.then if said[1] == word]
-                writes[i] = Write(write.kind, write.fields, tuple(t for t in write.then if t[1] != word))
+                sends += [Send(*sent) for sent in write.then if sent[1] == kind]
+                writes[i] = Write(write.kind, write.fields, tuple(t for t in write.then if t[1] != kind))
             return writes, sends, fetches
 
         patch(MessageStore, "effects", sooner)
@@ -276,28 +276,28 @@
     return plant
 
 
-@mutant("fence", depot(Fence(offers=1, reorder=0), *SETTLED), "early word", "early 202")
+@mutant("fence", fence(Fence(offers=1, reorder=0), *SETTLED), "early word", "early 202")
 def kept_said_before_the_sync(patch: Patch) -> None:
     early("kept")(patch)
 
 
-@mutant("fence", depot(Fence(sends=1, ends=1, reorder=0), *STORED), "early word")
+@mutant("fence", fence(Fence(sends=1, ends=1, reorder=0), *STORED), "early word")
 def ended_said_before_the_sync(patch: Patch) -> None:
     early("ended")(patch)
 
 
-@mutant("fence", depot(Fence(sends=1, ends=1, reorder=0), *STORED), "early word")
+@mutant("fence", fence(Fence(sends=1, ends=1, reorder=0), *STORED), "early word")
 def an_end_told_before_the_sync(patch: Patch) -> None:
     state = MessageStore.state
 
-    def told(self: MessageStore, mid: str) -> Any:
+    def reported(self: MessageStore, mid: str) -> Any:
         self.unsynced.clear()
         return state(self, mid)
 
-    patch(MessageStore, "state", told)
+    patch(MessageStore, "state", reported)
 
 
-@mutant("fence", depot(Fence(offers=1, reorder=0), *SETTLED), "early 202")
+@mutant("fence", fence(Fence(offers=1, reorder=0), *SETTLED), "early 202")
 def accepted_at_the_first_copy(patch: Patch) -> None:
     kept = Intake.kept
 
@@ -309,22 +309,22 @@
     patch(Intake, "kept", first)
 
 
-@mutant("fence", depot(Fence(time=6, reorder=0), *PARTITIONED), "two deliverers")
+@mutant("fence", fence(Fence(time=6, reorder=0), *PARTITIONED), "two deliverers")
 def a_lapsed_counter_goes_on(patch: Patch) -> None:
     patch(Gateway, "may_send", lambda self, item: True)
 
 
-@mutant("fence", depot(Fence(time=6, freeze=1, reorder=0), *STORED), "two deliverers")
+@mutant("fence", fence(Fence(time=6, freeze=1, reorder=0), *STORED), "two deliverers")
 def assigned_before_the_lapse(patch: Patch) -> None:
     patch(keeping, "LAPSE", 0.6)
 
 
-@mutant("fence", depot(Fence(time=6, freeze=1, reorder=0), *STORED), "two deliverers")
+@mutant("fence", fence(Fence(time=6, freeze=1, reorder=0), *STORED), "two deliverers")
 def goes_on_past_the_lapse(patch: Patch) -> None:
     patch(counter_role, "MARGIN", -0.5)
 
 
-@mutant("fence", depot(Fence(time=6, reorder=0), *ECHOES_HELD), "two deliverers")
+@mutant("fence", fence(Fence(time=6, reorder=0), *ECHOES_HELD), "two deliverers")
 def a_pulse_proves_its_arrival(patch: Patch) -> None:
     heard_by = Gateway.echoed
 
@@ -334,7 +334,7 @@
     patch(Gateway, "echoed", now)
 
 
-@mutant("fence", depot(Fence(time=3, reorder=0), *RECONNECTED), "two deliverers")
+@mutant("fence", fence(Fence(time=3, reorder=0), *RECONNECTED), "two deliverers")
 def sure_without_an_answer(patch: Patch) -> None:
     """Reconnected, it delivers again before its stores have confirmed that it owns its messages."""
 
@@ -344,7 +344,7 @@
     patch(Gateway, "may_send", may_send)
 
 
-@mutant("fence", depot(Fence(time=3, reorder=0), *RECONNECTED), "two deliverers")
+@mutant("fence", fence(Fence(time=3, reorder=0), *RECONNECTED), "two deliverers")
 def answered_before_the_others_know(patch: Patch) -> None:
     check = MessageStore.check
 
@@ -357,7 +357,7 @@
 
 @mutant(
     "fence",
-    depot(Fence(time=3, reorder=2), *ECHOES_HELD, *(TICK * 3), ("lets go", "d2", "c1")),
+    fence(Fence(time=3, reorder=2), *ECHOES_HELD, *(TICK * 3), ("lets go", "d2", "c1")),
     "two deliverers",
 )
 def a_lapse_that_is_not_told(patch: Patch) -> None:
@@ -371,12 +371,12 @@
     patch(Gateway, "awaits", lambda self, node, item: False)
 
 
-@mutant("fence", depot(Fence(time=6, cut=1, reorder=0), *STORED), "two deliverers")
+@mutant("fence", fence(Fence(time=6, cut=1, reorder=0), *STORED), "two deliverers")
 def depots_do_not_tell_whom_they_hear(patch: Patch) -> None:
     patch(MessageStore, "reports_for", lambda self, node: {})
 
 
-@mutant("fence", depot(Fence(time=2, retire=1, reorder=0), *STORED, names=("d1", "d2", "d3")), "copies")
+@mutant("fence", fence(Fence(time=2, retire=1, reorder=0), *STORED, names=("d1", "d2", "d3")), "copies")
 def moved_without_an_answer(patch: Patch) -> None:
     start = Rebalancing.start
 
@@ -389,8 +389,8 @@
 
 
 THREE = ("d1", "d2", "d3")
-REMOVED_UNHEARD = depot(Fence(time=4, offers=1, reorder=0), *DRAIN_ORDERED, names=THREE)
-REMOVED_RESTARTED = depot(Fence(time=2, offers=1, reorder=0), *RESTARTED, names=THREE)
+REMOVED_UNHEARD = fence(Fence(time=4, offers=1, reorder=0), *DRAIN_ORDERED, names=THREE)
+REMOVED_RESTARTED = fence(Fence(time=2, offers=1, reorder=0), *RESTARTED, names=THREE)
 
 
 @mutant("fence", REMOVED_UNHEARD, "copies", "early 202")
@@ -458,9 +458,9 @@
 def one_grant_is_enough(patch: Patch) -> None:
     leased = Ceilings.leased
 
-    def one(self: Ceilings, office: str, word: Any) -> None:
-        word.voters = 1
-        leased(self, office, word)
+    def one(self: Ceilings, controller: str, message: Any) -> None:
+        message.voters = 1
+        leased(self, controller, message)
 
     patch(Ceilings, "leased", one)
 
@@ -479,9 +479,9 @@
 def a_late_grant_counts_after_it_was_given_back(patch: Patch) -> None:
     leased = Ceilings.leased
 
-    def any_time(self: Ceilings, office: str, word: Any) -> None:
+    def any_time(self: Ceilings, controller: str, message: Any) -> None:
         self.released_at = {}
-        leased(self, office, word)
+        leased(self, controller, message)
 
     patch(Ceilings, "leased", any_time)
 
@@ -517,9 +517,9 @@
 def confirmed_by_the_voters_of_before(patch: Patch) -> None:
     known = Confirming.known
 
-    def forgets(self: Confirming, office: str, word: Any) -> None:
-        word.view.Clear()
-        known(self, office, word)
+    def forgets(self: Confirming, controller: str, message: Any) -> None:
+        message.view.Clear()
+        known(self, controller, message)
 
     patch(Confirming, "known", forgets)
 
--- a/opalwick/lab/verify/notices.py
+++ b/opalwick/lab/verify/notices.py
@@ -18,9 +18,9 @@
 from opalwick.post.wire_pb2 import Hello, View
 from opalwick.protocol.http import Message
 
-OFFICES = ("o1", "o2", "o3", "o4")  # o4 has no vote in the view that o1 has
+CONTROLLERS = ("o1", "o2", "o3", "o4")  # o4 has no vote in the view that o1 has
 GATEWAYS = ("g1", "g2")
-ADDRESS = {name: f"10.0.0.{number}" for number, name in enumerate((*OFFICES, *GATEWAYS), 1)}
+ADDRESS = {name: f"10.0.0.{number}" for number, name in enumerate((*CONTROLLERS, *GATEWAYS), 1)}
 NAME_OF = {ip: name for name, ip in ADDRESS.items()}
 WORKER = "w1"
 DRAINING = b'{"svc":"s","address":"10.9.0.1:80","capacity":1,"state":"draining","calls":2}'
@@ -43,9 +43,9 @@
     def __init__(self, model: NoticeModel, sender: str, peer: Hello) -> None:
         self.model, self.sender, self.peer, self.last_received = model, sender, peer, 0.0
 
-    def send(self, kind: str, word: Any) -> None:
+    def send(self, kind: str, message: Any) -> None:
         if kind in ("news", "spread", "known"):
-            self.model.queues.setdefault((self.sender, self.peer.node), []).append((kind, word))
+            self.model.queues.setdefault((self.sender, self.peer.node), []).append((kind, message))
 
 
 class WorkerCall:
@@ -66,7 +66,7 @@
 
 
 def settings(name: str) -> Settings:
-    seeds = ",".join(f"{ADDRESS[one]}:80" for one in OFFICES[:3])
+    seeds = ",".join(f"{ADDRESS[one]}:80" for one in CONTROLLERS[:3])
     return parse(
         f"node={name}\nrole=office\nip={ADDRESS[name]}\naz=n\nport_range=7240,7255\nseeds={seeds}\n"
         "bootstrap=true\nbinds.ctl=10.0.0.1:80\n",
@@ -74,7 +74,7 @@
     )
 
 
-SETTINGS = {name: settings(name) for name in OFFICES}
+SETTINGS = {name: settings(name) for name in CONTROLLERS}
 
 
 class NoticeModel(Replayed):
@@ -88,42 +88,46 @@
         self.queues: dict[tuple[str, str], list[tuple[str, Any]]] = {}
         self.cuts: set[tuple[str, str]] = set()
         self.cut_once: set[tuple[str, str]] = set()
-        self.offices = {name: SilentController(SETTINGS[name], 1, 10.0, None) for name in OFFICES}
+        self.controllers = {name: SilentController(SETTINGS[name], 1, 10.0, None) for name in CONTROLLERS}
         self.calls: list[WorkerCall] = []
         self.now = 10.0
-        for a in OFFICES:
-            for b in (*OFFICES, *GATEWAYS):
+        for a in CONTROLLERS:
+            for b in (*CONTROLLERS, *GATEWAYS):
                 if a != b:
                     self.link(a, b)
-        voters = [ADDRESS[name] for name in (OFFICES[1:] if self.replaced else OFFICES[:3])]
+        voters = [ADDRESS[name] for name in (CONTROLLERS[1:] if self.replaced else CONTROLLERS[:3])]
         self.newest = View(epoch=7 if self.replaced else 0, voters=voters, members=voters[:2])
-        for name in OFFICES[1:] if self.replaced else ():
-            self.offices[name].views.view = self.newest
+        for name in CONTROLLERS[1:] if self.replaced else ():
+            self.controllers[name].views.view = self.newest
         self.queues.clear()
 
     def link(self, a: str, b: str) -> None:
-        role = "office" if b in OFFICES else "counter"
-        self.offices[a].add_link(LinkStub(self, a, Hello(node=b, role=role, ip=ADDRESS[b], zone="n", life=1)))
+        role = "office" if b in CONTROLLERS else "counter"
+        self.controllers[a].add_link(
+            LinkStub(self, a, Hello(node=b, role=role, ip=ADDRESS[b], zone="n", life=1))
+        )
 
-    def has_notice(self, office: str) -> bool:
-        known = self.offices[office].directory.workers.get(WORKER)
+    def has_notice(self, controller: str) -> bool:
+        known = self.controllers[controller].directory.workers.get(WORKER)
         return known is not None and (known.draining or known.gone)
 
     def enabled(self) -> list[Transition]:
         left = self.budget
         # messages to a gateway are not delivered: they stay in transit, or are lost with their link
         found: list[Transition] = [
-            ("hears", to, sender) for sender, to in sorted(self.queues) if to in OFFICES
+            ("hears", to, sender) for sender, to in sorted(self.queues) if to in CONTROLLERS
         ]
-        for name in OFFICES[:2]:
+        for name in CONTROLLERS[:2]:
             found += [("is told of a drain", name)] * bool(left.drains)
             found += [("is told of an end", name)] * bool(left.leaves)
-        for pair in ((a, b) for a in OFFICES for b in (*OFFICES, *GATEWAYS) if a < b or b in GATEWAYS):
+        for pair in (
+            (a, b) for a in CONTROLLERS for b in (*CONTROLLERS, *GATEWAYS) if a < b or b in GATEWAYS
+        ):
             if left.cut and pair not in self.cuts:
                 found.append(("cut", *pair))
             if left.joined and pair in self.cuts:
                 found.append(("joined", *pair))
-        return found + [("later", name) for name in OFFICES[:1] if left.later]
+        return found + [("later", name) for name in CONTROLLERS[:1] if left.later]
 
     def spend(self, name: str) -> None:
         self.budget = self.budget._replace(**{name: getattr(self.budget, name) - 1})
@@ -132,37 +136,37 @@
         kind, me, *rest = step
         match kind:
             case "hears":
-                word, *others = self.queues.pop((rest[0], me))
+                message, *others = self.queues.pop((rest[0], me))
                 if others:
                     self.queues[rest[0], me] = others
-                self.receive(me, rest[0], *word)
+                self.receive(me, rest[0], *message)
             case "is told of a drain" | "is told of an end":
                 self.spend("drains" if kind == "is told of a drain" else "leaves")
                 call = WorkerCall(b"PUT" if kind == "is told of a drain" else b"DELETE")
                 self.calls.append(call)
-                self.offices[me].called(call)  # type: ignore[arg-type]
+                self.controllers[me].called(call)  # type: ignore[arg-type]
             case "cut" | "joined":
                 self.spend(kind)
                 self.cuts ^= {(me, rest[0])}
                 self.cut_once |= {(me, rest[0])}
                 for a, b in ((me, rest[0]), (rest[0], me)):
                     self.queues.pop((a, b), None)
-                    if a not in OFFICES:
+                    if a not in CONTROLLERS:
                         continue
                     if kind == "joined":
                         self.link(a, b)
                     else:
-                        self.offices[a].remove_link(self.offices[a].links[b][0])
+                        self.controllers[a].remove_link(self.controllers[a].links[b][0])
             case "later":
                 self.spend("later")
                 self.now += LATER
-                self.offices[me].clock(self.now)
-                self.offices[me].notices.tick(self.now)
+                self.controllers[me].clock(self.now)
+                self.controllers[me].notices.tick(self.now)
         self.check()
 
-    def receive(self, me: str, sender: str, kind: str, word: Any) -> None:
-        if (line := self.offices[me].link(sender)) is not None:
-            self.offices[me].receive(line, kind, word)
+    def receive(self, me: str, sender: str, kind: str, message: Any) -> None:
+        if (line := self.controllers[me].link(sender)) is not None:
+            self.controllers[me].receive(line, kind, message)
 
     def check(self) -> None:
         for call in self.calls:
@@ -170,7 +174,7 @@
                 self.check_confirmed()
 
     def check_confirmed(self) -> None:
-        informed = [name for name in OFFICES if self.has_notice(name)]
+        informed = [name for name in CONTROLLERS if self.has_notice(name)]
         voters = {NAME_OF[ip] for ip in self.newest.voters}
         if 2 * len(voters.intersection(informed)) <= len(voters):
             raise PropertyViolation(
@@ -179,9 +183,9 @@
         for gateway in GATEWAYS:
             linked = {name for name in voters if (name, gateway) not in self.cut_once}
             in_transit = any(
-                word.workers and any(w.draining or w.gone for w in word.workers)
-                for name in OFFICES
-                for _, word in self.queues.get((name, gateway), ())
+                message.workers and any(w.draining or w.gone for w in message.workers)
+                for name in CONTROLLERS
+                for _, message in self.queues.get((name, gateway), ())
             )
             if 2 * len(linked) > len(voters) and not in_transit:
                 raise PropertyViolation(
@@ -191,20 +195,20 @@
 
     def state(self) -> Any:
         queues = [
-            (way, [(kind, word.SerializeToString()) for kind, word in waits])
-            for way, waits in sorted(self.queues.items())
+            (direction, [(kind, message.SerializeToString()) for kind, message in waits])
+            for direction, waits in sorted(self.queues.items())
         ]
-        offices = [
+        controllers = [
             (
                 self.has_notice(name),
                 sorted(
                     (call, sorted(notice.known))
-                    for call, notice in self.offices[name].notices.waiting.items()
+                    for call, notice in self.controllers[name].notices.waiting.items()
                 ),
             )
-            for name in OFFICES
+            for name in CONTROLLERS
         ]
-        return queues, offices, sorted(self.cuts), [call.status for call in self.calls], self.now
+        return queues, controllers, sorted(self.cuts), [call.status for call in self.calls], self.now
 
 
 class ReplacedVotersModel(NoticeModel):
--- a/opalwick/lab/verify/offices.py
+++ b/opalwick/lab/verify/offices.py
@@ -16,9 +16,9 @@
 
 from google.protobuf.message import Message
 
-from opalwick.lab.verify.copying import Copier, Canonicalizer
+from opalwick.lab.verify.copying import Canonicalizer, Copier
 from opalwick.lab.verify.explorer import PropertyViolation, Transition
-from opalwick.lab.verify.words import EncodedMessage, encode, decode
+from opalwick.lab.verify.words import EncodedMessage, decode, encode
 from opalwick.post.office import numbers
 from opalwick.post.office.duties import LeaseTable
 from opalwick.post.office.role import Controller
@@ -266,10 +266,14 @@
                 found.append(("waits", me))
             if left.long:
                 found.append(("waits long", me))
-        for way in sorted(self.held):
-            found.append(("lets go", way[1], way[0]))
+        for direction in sorted(self.held):
+            found.append(("lets go", direction[1], direction[0]))
         if left.hold:
-            found += [("holds up", way[1], way[0]) for way in sorted(self.links) if way not in self.held]
+            found += [
+                ("holds up", direction[1], direction[0])
+                for direction in sorted(self.links)
+                if direction not in self.held
+            ]
         for a, b in combinations(self.names, 2):
             if (a, b) in self.cuts:
                 found.append(("joined", a, b))
@@ -285,14 +289,18 @@
                         )
                         if left_over
                     ]
-        found += [("comes at last", way[1], way[0]) for way in sorted(self.slow) if quiet]
+        found += [("comes at last", direction[1], direction[0]) for direction in sorted(self.slow) if quiet]
         return found
 
     def internal_transitions(self) -> list[Transition]:
-        """Transitions that happen by themselves; the first is the next one where `reorder` bounds deviations."""
-        late = [way for way in sorted(self.old) if way not in self.slow]
-        found: list[Transition] = [("hears late", way[1], way[0]) for way in late]
-        found += [("hears", way[1], way[0]) for way in sorted(self.links) if way not in self.held]
+        """Returns pending internal transitions; the first is the next where `reorder` bounds deviations."""
+        late = [direction for direction in sorted(self.old) if direction not in self.slow]
+        found: list[Transition] = [("hears late", direction[1], direction[0]) for direction in late]
+        found += [
+            ("hears", direction[1], direction[0])
+            for direction in sorted(self.links)
+            if direction not in self.held
+        ]
         found += [
             ("synced", me)
             for me, m in self.machines.items()
@@ -352,8 +360,8 @@
                 if others:
                     where[rest[0], me] = tuple(others)
                 controller = new.controller(me)
-                mouth = LinkStub(controller, Hello(ip=rest[0], node=rest[0], role="office"))
-                controller.handle(mouth, first[0], decode(first))
+                link = LinkStub(controller, Hello(ip=rest[0], node=rest[0], role="office"))
+                controller.handle(link, first[0], decode(first))
             case "synced":
                 controller = new.controller(me)
                 batch = controller.batch_on_way or []
@@ -396,9 +404,9 @@
             case "cut":
                 new.budget = new.budget.spend("cut")
                 new.cuts = self.cuts | {(me, rest[0])}
-                for way in ((me, rest[0]), (rest[0], me)):
-                    new.links.pop(way, None)
-                    new.held = new.held - {way}
+                for direction in ((me, rest[0]), (rest[0], me)):
+                    new.links.pop(direction, None)
+                    new.held = new.held - {direction}
                 new.machines[rest[0]] = self.machines[rest[0]].copy()
                 new.link_up(me, rest[0])
             case "joined":
@@ -407,10 +415,10 @@
                 new.link_up(me, rest[0])
             case "linked anew" | "linked anew, slowly":
                 new.budget = new.budget.spend("late" if kind == "linked anew" else "slow")
-                for way in ((me, rest[0]), (rest[0], me)):
-                    if way in new.links:
-                        new.detach_queue(way)
-                        new.slow = new.slow | ({way} if kind != "linked anew" else set())
+                for direction in ((me, rest[0]), (rest[0], me)):
+                    if direction in new.links:
+                        new.detach_queue(direction)
+                        new.slow = new.slow | ({direction} if kind != "linked anew" else set())
             case "comes at last":
                 new.slow = self.slow - {(rest[0], me)}
         if new.machines[me].controller is not None:
@@ -436,7 +444,7 @@
             self.away = self.away | {me}
         machine.controller = None
         self.frozen = self.frozen - {me}
-        self.held = frozenset(way for way in self.held if me not in way)
+        self.held = frozenset(direction for direction in self.held if me not in direction)
         self.open = frozenset(call for call in self.open if self.calls[call].at != me)
         for other in self.names:
             self.links.pop((other, me), None)
@@ -450,9 +458,9 @@
         controller = self.machines[me].controller
         return controller.views.linked if controller is not None else set()
 
-    def detach_queue(self, way: Direction) -> None:
+    def detach_queue(self, direction: Direction) -> None:
         """Lets the queued messages arrive interleaved with those sent from now on."""
-        self.old[way] = self.old.get(way, ()) + self.links.pop(way)
+        self.old[direction] = self.old.get(direction, ()) + self.links.pop(direction)
 
     def link_up(self, *of: str) -> None:
         """Updates each controller's set of linked peers; `of`: controllers already copied for mutation."""
--- a/opalwick/lab/verify/parts.py
+++ b/opalwick/lab/verify/parts.py
@@ -10,7 +10,7 @@
 from typing import Any, NamedTuple
 
 from opalwick.lab.verify import answers, depots, leases, notices, offices
-from opalwick.lab.verify.explorer import PropertyViolation, Transition, State
+from opalwick.lab.verify.explorer import PropertyViolation, State, Transition
 
 
 class Case(NamedTuple):
@@ -103,7 +103,9 @@
 DISK_RESTORED: tuple[Transition, ...] = (*LEARNED, ("waits", "o1"), ("put", "o1", 2, "b"))
 
 
-def office(budget: offices.Budget, *script: Transition, spares: tuple[str, ...] = ()) -> Callable[[], State]:
+def takeover(
+    budget: offices.Budget, *script: Transition, spares: tuple[str, ...] = ()
+) -> Callable[[], State]:
     full = Takeover._make([99] * (len(Takeover._fields) - 1) + [0])
     return lambda: settled_state(offices.ControllerModel(full, spares), budget, *script)
 
@@ -134,7 +136,7 @@
 )
 
 
-def depot(
+def fence(
     budget: depots.Budget, *script: Transition, names: tuple[str, ...] = ("d1", "d2")
 ) -> Callable[[], State]:
     full = Fence._make([99] * (len(Fence._fields) - 1) + [0])._replace(sends=0)
@@ -165,82 +167,90 @@
 
 PARTS: dict[str, tuple[Case, ...]] = {
     "takeover": (
-        Case("a put, the primary stands again, any order", office(Takeover(puts=1, long=1), *SERVING), 50000),
-        Case("the first start, any order", office(Takeover(puts=0, long=2)), 10000),
-        Case("a put, a crash, any order", office(Takeover(puts=1, long=1, crash=1), *SERVING), 15000),
-        Case("a crash", office(Takeover(puts=1, reads=1, long=2, crash=1, reorder=0), *SERVING), 20000),
-        Case("a lost disk", office(Takeover(puts=1, long=2, wipe=1, reorder=0), *SERVING), 20000),
+        Case(
+            "a put, the primary stands again, any order", takeover(Takeover(puts=1, long=1), *SERVING), 50000
+        ),
+        Case("the first start, any order", takeover(Takeover(puts=0, long=2)), 10000),
+        Case("a put, a crash, any order", takeover(Takeover(puts=1, long=1, crash=1), *SERVING), 15000),
+        Case("a crash", takeover(Takeover(puts=1, reads=1, long=2, crash=1, reorder=0), *SERVING), 20000),
+        Case("a lost disk", takeover(Takeover(puts=1, long=2, wipe=1, reorder=0), *SERVING), 20000),
         Case(
             "two disks, one after the other",
-            office(Takeover(1, long=2, wipe=1, reorder=0), *DISK_RESTORED),
+            takeover(Takeover(1, long=2, wipe=1, reorder=0), *DISK_RESTORED),
             15000,
         ),
         Case(
             "late words",
-            office(Takeover(puts=2, reads=1, long=1, hold=1, late=1, reorder=0), *SERVING),
+            takeover(Takeover(puts=2, reads=1, long=1, hold=1, late=1, reorder=0), *SERVING),
             15000,
         ),
         Case(
-            "one stands still", office(Takeover(1, 1, long=1, short=1, freeze=1, reorder=1), *SERVING), 15000
+            "one stands still",
+            takeover(Takeover(1, 1, long=1, short=1, freeze=1, reorder=1), *SERVING),
+            15000,
         ),
-        Case("cut in two", office(Takeover(puts=2, long=2, cut=1, reorder=0), *SERVING), 15000),
+        Case("cut in two", takeover(Takeover(puts=2, long=2, cut=1, reorder=0), *SERVING), 15000),
         Case(
-            "an old primary that was not told", office(Takeover(2, 1, long=1, reorder=1), *TAKEN_OVER), 15000
+            "an old primary that was not told",
+            takeover(Takeover(2, 1, long=1, reorder=1), *TAKEN_OVER),
+            15000,
         ),
-        Case("numbers sent again", office(Takeover(puts=3, long=1, again=1, reorder=0), *SERVING), 15000),
+        Case("numbers sent again", takeover(Takeover(puts=3, long=1, again=1, reorder=0), *SERVING), 15000),
         Case(
             "numbers sent again, a crash",
-            office(Takeover(puts=2, long=2, crash=1, again=1, reorder=0), *TWO_WRITES),
+            takeover(Takeover(puts=2, long=2, crash=1, again=1, reorder=0), *TWO_WRITES),
             15000,
         ),
         Case(
             "a word said again on two links",
-            office(Takeover(puts=2, short=1, slow=1, hold=1, reorder=0), *SERVING),
+            takeover(Takeover(puts=2, short=1, slow=1, hold=1, reorder=0), *SERVING),
             15000,
         ),
-        Case("a planned end", office(Takeover(puts=1, short=3, long=1, ends=1, reorder=0), *SERVING), 15000),
+        Case(
+            "a planned end", takeover(Takeover(puts=1, short=3, long=1, ends=1, reorder=0), *SERVING), 15000
+        ),
         Case(
             "a planned end, then a lost disk",
-            office(Takeover(puts=1, short=2, long=1, ends=1, wipe=1, reorder=0), *SERVING),
+            takeover(Takeover(puts=1, short=2, long=1, ends=1, wipe=1, reorder=0), *SERVING),
             15000,
         ),
         Case(
             "an office replaced, a crash",
-            office(Takeover(puts=1, short=2, long=1, crash=1, reorder=0), *REPLACED, spares=("o4",)),
+            takeover(Takeover(puts=1, short=2, long=1, crash=1, reorder=0), *REPLACED, spares=("o4",)),
             15000,
         ),
         Case(
             "an office replaced, a cut",
-            office(Takeover(short=2, long=1, cut=1, reorder=0), *REPLACED, spares=("o4",)),
+            takeover(Takeover(short=2, long=1, cut=1, reorder=0), *REPLACED, spares=("o4",)),
             15000,
         ),
         Case(
             "an office replaced that comes back",
-            office(Takeover(short=2, long=2, reorder=0), *AWAY, spares=("o4",)),
+            takeover(Takeover(short=2, long=2, reorder=0), *AWAY, spares=("o4",)),
             15000,
         ),
     ),
     "fence": (
-        Case("accepted, any order", depot(Fence(time=2, offers=1), *SETTLED), 50000),
+        Case("accepted, any order", fence(Fence(time=2, offers=1), *SETTLED), 50000),
         Case(
             "accepted, words read at once",
-            depot(Fence(time=4, offers=1, hold=1, together=1, reorder=0), *GATEWAY_RESTARTED),
+            fence(Fence(time=4, offers=1, hold=1, together=1, reorder=0), *GATEWAY_RESTARTED),
             5000,
         ),
-        Case("accepted, a crash, any order", depot(Fence(offers=1, crash=1), *SETTLED), 10000),
+        Case("accepted, a crash, any order", fence(Fence(offers=1, crash=1), *SETTLED), 10000),
         Case(
             "accepted, a lost disk",
-            depot(Fence(time=2, offers=1, wipe=1, sends=1, ends=1, reorder=1), *SETTLED),
+            fence(Fence(time=2, offers=1, wipe=1, sends=1, ends=1, reorder=1), *SETTLED),
             10000,
         ),
-        Case("a counter cut off", depot(Fence(time=7, reorder=0), *PARTITIONED), 20000),
-        Case("a counter that is heard late", depot(Fence(time=7, reorder=1), *ECHOES_HELD), 10000),
-        Case("two links cut", depot(Fence(time=7, sends=2, ends=1, cut=2, reorder=0), *STORED), 10000),
-        Case("one stands still", depot(Fence(time=7, sends=2, ends=1, freeze=1, reorder=0), *STORED), 10000),
-        Case("crashes", depot(Fence(time=5, sends=2, ends=1, crash=2, reorder=0), *STORED), 10000),
+        Case("a counter cut off", fence(Fence(time=7, reorder=0), *PARTITIONED), 20000),
+        Case("a counter that is heard late", fence(Fence(time=7, reorder=1), *ECHOES_HELD), 10000),
+        Case("two links cut", fence(Fence(time=7, sends=2, ends=1, cut=2, reorder=0), *STORED), 10000),
+        Case("one stands still", fence(Fence(time=7, sends=2, ends=1, freeze=1, reorder=0), *STORED), 10000),
+        Case("crashes", fence(Fence(time=5, sends=2, ends=1, crash=2, reorder=0), *STORED), 10000),
         Case(
             "moved",
-            depot(
+            fence(
                 Fence(time=3, sends=1, ends=1, retire=1, crash=1, reorder=0),
                 *STORED,
                 names=("d1", "d2", "d3"),
@@ -249,12 +259,12 @@
         ),
         Case(
             "taken away, one has not heard",
-            depot(Fence(time=5, offers=1, reorder=0), *DRAIN_ORDERED, names=("d1", "d2", "d3")),
+            fence(Fence(time=5, offers=1, reorder=0), *DRAIN_ORDERED, names=("d1", "d2", "d3")),
             10000,
         ),
         Case(
             "taken away, started anew",
-            depot(
+            fence(
                 Fence(time=4, offers=1, crash=1, unheard=1, reorder=0),
                 *RESTARTED,
                 names=("d1", "d2", "d3"),
@@ -263,7 +273,7 @@
         ),
         Case(
             "taken away, then a lost disk",
-            depot(Fence(time=6, retire=1, wipe=1, unheard=1, reorder=0), *STORED, names=("d1", "d2", "d3")),
+            fence(Fence(time=6, retire=1, wipe=1, unheard=1, reorder=0), *STORED, names=("d1", "d2", "d3")),
             10000,
         ),
     ),
--- a/tests/test_verify.py
+++ b/tests/test_verify.py
@@ -1,5 +1,6 @@
-"""`verify` in the small: each case's first states hold, each planted fault is caught, and what stands for a
-disk does as the disk does. `python -m opalwick verify` sees the rest."""
+"""Model checker: the first states of each case hold, each planted fault is caught, and the in-memory disk
+behaves like the store's disk. `python -m opalwick verify` searches the rest.
+"""
 
 from __future__ import annotations
 
@@ -14,15 +15,15 @@
 from opalwick.lab.verify import leases, offices
 from opalwick.lab.verify.explorer import PropertyViolation, replay, search
 from opalwick.lab.verify.mutants import MUTANTS, search_mutant
-from opalwick.lab.verify.parts import PARTS, SERVING, STORED, Fence, Takeover, depot, office
+from opalwick.lab.verify.parts import PARTS, SERVING, STORED, Fence, Takeover, fence, takeover
 from opalwick.lab.verify.rows import InMemoryDisk
 from opalwick.post.depot.disk import Disk
 
-FEW = 150  # states: what a second or two shows of all parts
+FEW = 150  # state limit for a case: all parts together take a second or two
 
 
 @pytest.mark.parametrize("part", sorted(PARTS))
-def test_nothing_is_broken_in_the_first_states(part: str) -> None:
+def test_the_first_states_of_each_case_have_no_violation(part: str) -> None:
     for case in PARTS[part]:
         found = search(case.root(), FEW)
         assert found.violation is None, (case.name, found.violation)
@@ -31,13 +32,13 @@
 
 @pytest.mark.parametrize("name", sorted(MUTANTS))
 def test_a_planted_fault_is_caught(name: str) -> None:
-    """And nothing is found without it, in as many states."""
+    """And no violation is found without it, in as many states."""
     found = search_mutant(name)
     assert found.violation is not None and found.violation.rule in MUTANTS[name].rules, found
     assert search(MUTANTS[name].root(), min(found.states, FEW)).violation is None
 
 
-def test_a_trace_is_played_again_to_the_same_breach() -> None:
+def test_replaying_a_trace_gives_the_same_violation() -> None:
     from opalwick.lab.verify.mutants import planted_mutant
 
     found = search_mutant("a_lapsed_counter_goes_on").violation
@@ -49,8 +50,8 @@
             replay(mutant.root(), found.trace)
 
 
-def test_a_copy_shares_nothing_that_alters() -> None:
-    """All that may follow is tried, and the world it was tried on is as before."""
+def test_a_successor_does_not_mutate_its_predecessor() -> None:
+    """Takes every enabled transition; the state that they start from stays unchanged."""
     for cases in PARTS.values():
         state = cases[-1].root()
         before = state.key()
@@ -60,7 +61,7 @@
         assert state.key() == before
 
 
-def test_leases_that_differ_by_an_exchange_of_offices_are_one() -> None:
+def test_lease_states_that_differ_by_a_permutation_of_controllers_are_equal() -> None:
     state = leases.LeaseModel(leases.Budget(time=2))
     one, other = (
         replay(state, (("hears", a, "c1/1"), ("hears", b, "c1/1"), ("hears", "c1/1", a)))
@@ -70,17 +71,17 @@
     assert one.key() != replay(state, (("hears", "o1", "c1/1"), ("hears", "o2", "c1/1"))).key()
 
 
-def test_two_depots_cut_off_from_each_other_both_deliver() -> None:
-    """The one way that is known and left open, in the design note: no case may come to it unseen."""
+def test_a_partition_between_two_stores_gives_two_deliverers() -> None:
+    """The one known violation, left open in the design note: no case may include it unnoticed."""
     for apart in ("d1", "d2"):
-        root = depot(Fence(time=6, reorder=0), *STORED, ("cut", "d1", "d2"), ("cut", "c1", apart))
+        root = fence(Fence(time=6, reorder=0), *STORED, ("cut", "d1", "d2"), ("cut", "c1", apart))
         found = search(root()).violation
         assert found is not None and found.rule == "two deliverers"
     assert not any(case.root().budget.split for case in PARTS["fence"])  # type: ignore[attr-defined]
 
 
-def test_a_lost_disk_that_survival_does_not_bear_is_not_played() -> None:
-    state = office(Takeover(wipe=2, reorder=0), *SERVING)()
+def test_the_loss_of_more_disks_than_can_be_survived_is_not_enabled() -> None:
+    state = takeover(Takeover(wipe=2, reorder=0), *SERVING)()
     state = state.successor(("loses its disk", "o2"))
     assert isinstance(state, offices.ControllerModel) and not any(
         s[0] == "loses its disk" for s in state.enabled()
@@ -88,7 +89,7 @@
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_rows_are_what_the_depots_disk_makes_of_the_same_writes(seed: int, tmp_path: Path) -> None:
+def test_the_in_memory_disk_equals_the_stores_disk_after_the_same_writes(seed: int, tmp_path: Path) -> None:
     draw, rows, disk = Random(seed), InMemoryDisk("d"), Disk(str(tmp_path))
     for _ in range(40):
         mid = f"m{draw.randrange(4)}"
@@ -108,20 +109,22 @@
     disk.close()
 
 
-def test_the_command_tells_states_and_names_what_is_faulty() -> None:
+def test_the_command_reports_states_and_rejects_invalid_options() -> None:
     run = CliRunner().invoke
     good = run(app, ["verify", "--part", "lease", "--share", "0.005", "--no-mutants", "--json"])
-    told = json.loads(good.stdout.splitlines()[-1])
-    assert good.exit_code == 0 and told["states"] > 100
+    report = json.loads(good.stdout.splitlines()[-1])
+    assert good.exit_code == 0 and report["states"] > 100
     assert (
-        told["broken"] == [] and told["mutants"] == told["caught"] == 0 and list(told["parts"]) == ["lease"]
+        report["broken"] == []
+        and report["mutants"] == report["caught"] == 0
+        and list(report["parts"]) == ["lease"]
     )
     for wrong, text in ((["--part", "office"], "takeover, fence, lease"), (["--share", "0"], "more than 0")):
         bad = run(app, ["verify", *wrong])
         assert bad.exit_code == 2 and text in bad.stderr
 
 
-def test_a_breach_is_told_with_its_way_and_code_1(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_violation_is_reported_with_its_trace_and_exit_code_1(monkeypatch: pytest.MonkeyPatch) -> None:
     def plant(where: object, name: str, what: object) -> None:
         monkeypatch.setattr(where, name, what)
 
