--- a/opalwick/lab/verify/depots.py
+++ b/opalwick/lab/verify/depots.py
@@ -47,10 +47,8 @@
 )
 # events that trigger no effects at their process until another event does
 WITHOUT_EFFECTS = {"stands still", "wakes", "time", "holds up", "lets go", "cut"}
-LOST, JOINED = (
-    ("lost", b""),
-    "joined",
-)  # markers in a link's queue: it has ended; it is up, with the peer's hello
+# markers in a link's queue: it has ended; it is up, with the peer's hello
+LOST, JOINED = ("lost", b""), "joined"
 
 Direction = tuple[str, str]
 
@@ -177,9 +175,8 @@
         self.names = (*stores, *self.gateways)
         self.machines = {me: Machine(me, InMemoryDisk(me) if me in stores else None) for me in self.names}
         self.links: dict[Direction, tuple[EncodedMessage, ...]] = {}
-        self.numbers: dict[Direction, int] = {
-            pair: 0 for pair in self.pairs()
-        }  # number of the current link of a pair
+        # number of the current link of a pair
+        self.numbers: dict[Direction, int] = {pair: 0 for pair in self.pairs()}
         self.unlinked: frozenset[Direction] = frozenset(self.pairs())  # pairs without a link
         self.cuts: frozenset[Direction] = frozenset()
         self.held: frozenset[Direction] = frozenset()
@@ -650,7 +647,7 @@
         item = role.rounds.items.get(mid) if role is not None else None
         if item is None or item.reassigned or item.closed:
             return False
-        was, role.now = role.now, self.now
+        previous, role.now = role.now, self.now
         able = role.may_send(item)
-        role.now = was
+        role.now = previous
         return bool(able)
--- a/opalwick/lab/verify/leases.py
+++ b/opalwick/lab/verify/leases.py
@@ -332,8 +332,11 @@
         for node, core in self.gateways.items():
             if core is None:
                 continue
-            was, core.now = core.now, self.now  # a suspended process reads the clock first when it resumes
-            held, core.now = core.current_lease(TASK), was
+            previous, core.now = (
+                core.now,
+                self.now,
+            )  # a suspended process reads the clock first when it resumes
+            held, core.now = core.current_lease(TASK), previous
             if held is not None:
                 holders.append(node)
                 self.check_covered(node, held.expires_at)
--- a/opalwick/lab/verify/mutants.py
+++ b/opalwick/lab/verify/mutants.py
@@ -88,8 +88,8 @@
     try:
         yield
     finally:
-        for where, name, was in reversed(undo):
-            setattr(where, name, was)
+        for where, name, original in reversed(undo):
+            setattr(where, name, original)
 
 
 def search_mutant(name: str, max_states: int = MAX_STATES) -> SearchResult:
@@ -326,10 +326,10 @@
 
 @mutant("fence", fence(Fence(time=6, reorder=0), *ECHOES_HELD), "two deliverers")
 def a_pulse_proves_its_arrival(patch: Patch) -> None:
-    heard_by = Gateway.echoed
+    echoed = Gateway.echoed
 
     def now(self: Gateway, node: str, at: float) -> None:
-        heard_by(self, node, self.now)
+        echoed(self, node, self.now)
 
     patch(Gateway, "echoed", now)
 
--- a/opalwick/lab/verify/offices.py
+++ b/opalwick/lab/verify/offices.py
@@ -61,9 +61,7 @@
     cut: int = 0  # a link ends and its messages are lost
     late: int = 0  # a link ends; its messages arrive interleaved with those of the next link
     slow: int = 0  # the same, but they arrive after any number of other events
-    freeze: int = (
-        0  # a controller is suspended until it resumes; implied where all interleavings are explored
-    )
+    freeze: int = 0  # a controller is suspended until it resumes; exploring all interleavings implies it
     hold: int = 0  # messages in one direction of a link arrive later, in order
     again: int = 0  # numbers are sent again, with either text
     ends: int = 0  # a controller is ordered to shut down, and ends once it is no longer needed
@@ -89,8 +87,8 @@
     def __init__(self, controller: ControllerUnderTest, peer: Hello) -> None:
         self.controller, self.peer, self.last_received = controller, peer, 0.0
 
-    def send(self, kind: str, word: Any) -> None:
-        self.controller.said(self.peer.ip, kind, word)
+    def send(self, kind: str, message: Any) -> None:
+        self.controller.enqueue(self.peer.ip, kind, message)
 
 
 class ControllerUnderTest(Controller):
@@ -114,8 +112,8 @@
     def controller_link(self, ip: str) -> LinkStub | None:  # type: ignore[override]
         return LinkStub(self, Hello(ip=ip, node=ip, role="office")) if ip in self.views.linked else None
 
-    def said(self, to: str, kind: str, word: Any) -> None:
-        self.out.append((to, encode(kind, word)))
+    def enqueue(self, to: str, kind: str, message: Any) -> None:
+        self.out.append((to, encode(kind, message)))
 
     def publish(self, conf: bytes) -> None:
         self.recorded_confs.append(conf)
@@ -169,18 +167,16 @@
         self.cuts: frozenset[Direction] = frozenset()
         self.frozen: frozenset[str] = frozenset()
         self.held: frozenset[Direction] = frozenset()
-        self.slow: frozenset[Direction] = (
-            frozenset()
-        )  # directions in which messages of an earlier link still wait
+        # directions in which messages of an earlier link still wait
+        self.slow: frozenset[Direction] = frozenset()
         # history variables, used by the invariants
         self.contents: tuple[tuple[Key, bytes], ...] = ()  # in force at any controller
         self.newest: Key = (-1, 0)  # acknowledged
         self.calls: tuple[Call, ...] = ()
         self.confirmed: tuple[tuple[int, str], ...] = ()  # number, text
         self.open: frozenset[int] = frozenset()  # calls not yet answered
-        self.promised: tuple[tuple[str, int, str], ...] = tuple(
-            (me, 0, "") for me in self.names
-        )  # per controller: epoch and candidate of its last promise sent
+        # per controller: epoch and candidate of its last promise sent
+        self.promised: tuple[tuple[str, int, str], ...] = tuple((me, 0, "") for me in self.names)
         self.wiped = 0
         self.away: frozenset[str] = frozenset()  # shut down as planned, with their disks removed
         self.link_up(*NAMES)
@@ -376,11 +372,11 @@
                 new.budget = new.budget.spend("puts")
                 gen, text = rest
                 new.call(me, "put", (gen, 0), text)
-                views, told = new.controller(me).views, Conf(gen=gen, said=text.encode())
+                views, conf = new.controller(me).views, Conf(gen=gen, said=text.encode())
                 newest = Conf.FromString(views.newest())
                 if gen > newest.gen:
-                    numbers.follow(told, newest)
-                views.put(len(new.calls) - 1, told.SerializeToString())
+                    numbers.follow(conf, newest)
+                views.put(len(new.calls) - 1, conf.SerializeToString())
             case "read":
                 new.budget = new.budget.spend("reads")
                 new.call(me, "read", (-1, 0))
@@ -486,10 +482,10 @@
         if controller.batch_on_way is None and controller.saves:
             controller.batch_on_way = controller.batch()
         out, controller.out = controller.out, []
-        for to, said in out:
-            self.check_message(me, to, machine, said)
+        for to, encoded in out:
+            self.check_message(me, to, machine, encoded)
             if self.machines[to].controller is not None and tuple(sorted((me, to))) not in self.cuts:
-                self.links[me, to] = (*self.links.get((me, to), ()), said)
+                self.links[me, to] = (*self.links.get((me, to), ()), encoded)
         for number, fields in controller.recorded_events:
             if number == 203:
                 self.check_primary(me, controller, fields["epoch"])
@@ -503,12 +499,12 @@
 
     # ---- invariants
 
-    def check_message(self, me: str, to: str, machine: Machine, said: EncodedMessage) -> None:
-        word, kind = decode(said), said[0]
+    def check_message(self, me: str, to: str, machine: Machine, encoded: EncodedMessage) -> None:
+        message, kind = decode(encoded), encoded[0]
         # a vote request promises nothing: a candidate repeats it before its own vote is on its disk
-        if not ((kind == "vote" and word.granted) or (kind == "installed" and word.ok)):
+        if not ((kind == "vote" and message.granted) or (kind == "installed" and message.ok)):
             return
-        epoch = word.epoch
+        epoch = message.epoch
         if not machine.held:
             raise PropertyViolation(
                 "voted unlearned", f"{me} lost its disk and sends {kind} for epoch {epoch}"
@@ -543,18 +539,18 @@
 
     def check_conf(self, me: str, controller: ControllerUnderTest, conf: bytes) -> None:
         """Checks a configuration that this controller publishes as in force."""
-        key, said = read(conf)
+        key, content = read(conf)
         known = dict(self.contents)
-        if known.setdefault(key, said) != said:
+        if known.setdefault(key, content) != content:
             raise PropertyViolation(
-                "two texts", f"{me} has {key} in force as {said!r}, which was {known[key]!r} before"
+                "two texts", f"{me} has {key} in force as {content!r}, formerly {known[key]!r}"
             )
         self.contents = tuple(known.items())
         if key < controller.in_force[0]:
             raise PropertyViolation(
                 "stepped back", f"{me} had {controller.in_force[0]} in force, and now has {key}"
             )
-        controller.in_force = key, said
+        controller.in_force = key, content
 
     def check_answer(self, me: str, controller: ControllerUnderTest, call: int, status: int) -> None:
         if call not in self.open:
