--- a/opalwick/lab/verify/depots.py
+++ b/opalwick/lab/verify/depots.py
@@ -586,20 +586,20 @@
         """Returns the number of disks that hold the message or (if `ends`) its end."""
         return sum(
             machine.disk is not None
-            and (mid in machine.disk.letters_of or (ends and mid in machine.disk.ends_of))
+            and (mid in machine.disk.messages_by_id or (ends and mid in machine.disk.ends_by_id))
             for machine in self.machines.values()
         )
 
     @staticmethod
     def has_end(machine: Machine, mid: str) -> bool:
-        return machine.disk is not None and mid in machine.disk.ends_of
+        return machine.disk is not None and mid in machine.disk.ends_by_id
 
     def check_message(self, me: str, to: str, machine: Machine, encoded: EncodedMessage) -> None:
         if machine.disk is None or encoded[0] not in ("kept", "ended"):
             return
         message = decode(encoded)
-        there = message.mid in machine.disk.ends_of or (
-            encoded[0] == "kept" and message.mid in machine.disk.letters_of
+        there = message.mid in machine.disk.ends_by_id or (
+            encoded[0] == "kept" and message.mid in machine.disk.messages_by_id
         )
         if encoded[0] == "kept" and message.mid in machine.disk.dropped:
             # dropped in the batch that stored it: whoever ordered that has given it up and promises nothing
--- a/opalwick/lab/verify/rows.py
+++ b/opalwick/lab/verify/rows.py
@@ -16,8 +16,8 @@
 
     def __init__(self, name: str) -> None:
         self.id, self.rotten = name, 0
-        self.letters_of: dict[str, Row] = {}
-        self.ends_of: dict[str, tuple[str, int, str, float, str]] = {}
+        self.messages_by_id: dict[str, Row] = {}
+        self.ends_by_id: dict[str, tuple[str, int, str, float, str]] = {}
         self.sealed: tuple[int, int] | None = None
         self.dropped: set[str] = set()
 
@@ -25,36 +25,36 @@
         return self.sealed
 
     def letters(self) -> Iterator[Row]:
-        return iter(list(self.letters_of.values()))
+        return iter(list(self.messages_by_id.values()))
 
     def ends(self) -> list[tuple[str, int, str, float, str]]:
-        return list(self.ends_of.values())
+        return list(self.ends_by_id.values())
 
     def letter(self, mid: str) -> bytes | None:
-        found = self.letters_of.get(mid)
+        found = self.messages_by_id.get(mid)
         return None if found is None else found.letter
 
     def commit(self, writes: Sequence[tuple[str, tuple[Any, ...]]]) -> None:
-        letters, ends = self.letters_of, self.ends_of
+        messages, ends = self.messages_by_id, self.ends_by_id
         for kind, fields in writes:
             if kind in ("seal", "unseal"):
                 self.sealed = (fields[0], fields[1]) if kind == "seal" else None
                 continue
             mid = fields[0]
-            known = letters.get(mid)
+            known = messages.get(mid)
             if kind == "keep":
-                letters.setdefault(mid, Row._make((*fields, "")))
+                messages.setdefault(mid, Row._make((*fields, "")))
             elif kind == "end":
                 ends.setdefault(mid, (mid, *fields[1:]))
                 if fields[1]:
-                    letters.pop(mid, None)
+                    messages.pop(mid, None)
             elif kind == "tried" and known is not None:
-                letters[mid] = known._replace(due=fields[1], fails=fields[2], lost=fields[3])
+                messages[mid] = known._replace(due=fields[1], fails=fields[2], lost=fields[3])
             elif kind == "holders" and known is not None:
-                letters[mid] = known._replace(holders=fields[1])
+                messages[mid] = known._replace(holders=fields[1])
             elif kind == "drop":
-                letters.pop(mid, None)
+                messages.pop(mid, None)
                 self.dropped.add(mid)
             elif kind == "forget":
-                letters.pop(mid, None)
+                messages.pop(mid, None)
                 ends.pop(mid, None)
