--- a/opalwick/lab/verify/depots.py
+++ b/opalwick/lab/verify/depots.py
@@ -1,9 +1,11 @@
-"""A message's copies and who delivers it: depots and counters as roles, their disks, their links.
+"""Model of a message's replicas and its owner: stores and gateways as roles, their disks and links.
 
-One clock for all, in steps of `STEP`: lapse and margin rest on clocks that run alike. Pulses come at each
-step, but where a link is cut: there words wait, and come late, in order. Workers and the desk's choice
-among them are left out: an attempt is one delivery that may begin, asked as the last thing, and its end, or
-none.
+All processes share one clock with steps of `STEP`, as lapse and margin assume that clocks run at the same
+rate. Heartbeats arrive at each step, except on a link that is cut: there messages wait, and arrive late, in
+order. Workers and the dispatcher's choice among them are left out: an attempt is one delivery that may start,
+checked immediately before, and its end, or none.
+
+The wire's names for store and gateway are "depot" and "counter".
 """
 
 from __future__ import annotations
@@ -14,10 +16,10 @@
 from types import SimpleNamespace
 from typing import Any, NamedTuple
 
-from opalwick.lab.verify.copying import Copier, Seen
-from opalwick.lab.verify.explorer import Broken, Step
-from opalwick.lab.verify.rows import Rows
-from opalwick.lab.verify.words import Said, packed, unpacked
+from opalwick.lab.verify.copying import Canonicalizer, Copier
+from opalwick.lab.verify.explorer import PropertyViolation, Transition
+from opalwick.lab.verify.rows import InMemoryDisk
+from opalwick.lab.verify.words import EncodedMessage, decode, encode
 from opalwick.post.counter.desks import Dispatcher, WaitQueue
 from opalwick.post.counter.item import Start
 from opalwick.post.counter.role import Gateway
@@ -31,57 +33,62 @@
 from opalwick.post.wire_pb2 import Conf, Hello, Letter, News, Route, Service
 from opalwick.routing.reducer import Send
 
-STEP = 0.5  # s: the margin; a lapse is four, a depot that acts is away after three, none stood still for one
-FAR = 4.0  # s: older than this is just old: the longest span in play is SETTLE's double, 3
-COPIES = 2  # survive.boxes + 1
-RETAIN = 60.0  # s that a message is worth keeping: longer than any history
+# s: the margin; a lapse is four steps, an acting store counts as away after three, and one step is too short
+# to count as a suspension
+STEP = 0.5
+FAR = 4.0  # s: ages beyond this are equivalent: the longest span used is twice SETTLE, 3
+REPLICAS = 2  # survive.boxes + 1
+RETAIN = 60.0  # s of retention: longer than any history
 CONF = Conf(
     gen=1,
     body_bytes=100,
     services=[Service(name="s")],
     routes=[Route(name="r", host="h", stem="/", svc="s", tries=3, retain=RETAIN, limit=1.5, deferred=True)],
 )
-# nothing follows at the one it befalls until something else does
-QUIET = {"stands still", "wakes", "time", "holds up", "lets go", "cut"}
-LOST, JOINED = ("lost", b""), "joined"  # in a link's words: it has ended; it is up, and who is there
+# events that trigger no effects at their process until another event does
+WITHOUT_EFFECTS = {"stands still", "wakes", "time", "holds up", "lets go", "cut"}
+# markers in a link's queue: it has ended; it is up, with the peer's hello
+LOST, JOINED = ("lost", b""), "joined"
 
-Way = tuple[str, str]
+Direction = tuple[str, str]
 
 
 class Budget(NamedTuple):
-    """How often each may happen in one history."""
+    """How often each event may happen in one history."""
 
     time: int = 0
-    offers: int = 0  # messages that clients bring
-    sends: int = 0  # deliveries that begin
-    ends: int = 0  # of them that end in a success
+    offers: int = 0  # messages that clients submit
+    sends: int = 0  # deliveries that start
+    ends: int = 0  # deliveries that succeed
     crash: int = 0
     wipe: int = 0
     freeze: int = 0
-    cut: int = 0  # of a counter from a depot: words wait, or are lost with the link
-    hold: int = 0  # what goes one way between them comes later, in order
-    split: int = 0  # of two depots
+    cut: int = 0  # between a gateway and a store: messages wait, or are lost with the link
+    hold: int = 0  # messages in one direction between them arrive later, in order
+    split: int = 0  # between two stores
     retire: int = 0
-    unheard: int = 0  # processes that hear of the retirement later, or start without having heard of it
-    together: int = 0  # a process reads all that has come to it before it carries out what follows
-    turns: int = -1  # how often another than the next comes first; -1: all orders are seen
+    unheard: int = 0  # processes that receive the retirement later, or start without having received it
+    together: int = 0  # a process reads all pending messages before it carries out the effects
+    reorder: int = -1  # deviations from the fixed order of events; -1: all interleavings
 
-    def less(self, name: str) -> Budget:
+    def spend(self, name: str) -> Budget:
         return self._replace(**{name: getattr(self, name) - 1})
 
 
-class Line:
-    """A link, as a role sees it."""
+class LinkStub:
+    """A role's link: collects the messages sent on it."""
 
-    def __init__(self, peer: Hello, number: int, out: list[tuple[str, int, Said]], now: float) -> None:
+    def __init__(
+        self, peer: Hello, number: int, out: list[tuple[str, int, EncodedMessage]], now: float
+    ) -> None:
         self.peer, self.number, self.out, self.last_received = peer, number, out, now
 
-    def send(self, kind: str, word: Any) -> None:
-        self.out.append((self.peer.node, self.number, packed(kind, word)))
+    def send(self, kind: str, message: Any) -> None:
+        self.out.append((self.peer.node, self.number, encode(kind, message)))
 
 
 class Client:
-    """A call of a client: what it was answered."""
+    """A client's call: records the status of its answer."""
 
     def __init__(self, answers: list[int]) -> None:
         self.answers = answers
@@ -91,7 +98,7 @@
 
 
 class OneWorker(Dispatcher):
-    """A desk with one worker, which takes all."""
+    """A dispatcher with one worker, which accepts everything."""
 
     def __init__(self, service: Service) -> None:
         self.service, self.wake_at, self.permit_queue, self.cancels = service, math.inf, WaitQueue(), 0
@@ -117,13 +124,13 @@
     def decay_load_estimates(self) -> None: ...
 
 
-class StillChance:
+class FixedRandom:
     def draw(self) -> float:
         return 0.5
 
 
-class Taking(Gateway):
-    last_mid = ""  # of the message that was offered last
+class GatewayUnderTest(Gateway):
+    last_mid = ""  # of the last message offered
 
     def event(self, number: int, **fields: Any) -> None: ...
 
@@ -132,19 +139,19 @@
         self.last_mid = message.mid
 
 
-class Holding(StoreRole):
+class StoreUnderTest(StoreRole):
     def event(self, number: int, **fields: Any) -> None: ...
 
 
 class Machine:
-    """A process, if it runs, its disk, its clients' answers and its deliveries."""
+    """A process (if it runs), its disk, the answers to its clients and its deliveries."""
 
-    def __init__(self, me: str, disk: Rows | None) -> None:
+    def __init__(self, me: str, disk: InMemoryDisk | None) -> None:
         self.me, self.disk, self.life = me, disk, 0
         self.role: Any = None
-        self.out: list[tuple[str, int, Said]] = []
+        self.out: list[tuple[str, int, EncodedMessage]] = []
         self.answers: list[int] = []
-        self.flights: list[Start] = []
+        self.deliveries: list[Start] = []
         self.batch: tuple[list[Write], list[Fetch]] | None = None
 
 
@@ -154,29 +161,30 @@
 
 
 SETTINGS = {me: settings(me) for me in ("c1", "c2", "d1", "d2", "d3")}
-SHARED = (Settings, Routes, StillChance)
-# bookkeeping, and what never changes
-OUT = ("settings", "chance", "wanted", "heard_at_line", "names", "routes", "directory", "desk_service")
+SHARED = (Settings, Routes, FixedRandom)
+# attributes that hold statistics or never change
+IGNORED = ("settings", "chance", "wanted", "heard_at_line", "names", "routes", "directory", "desk_service")
 
 
-class Depots:
+class StoreModel:
     """Rules: `early 202`, `early word`, `copies`, `two deliverers`."""
 
-    def __init__(self, budget: Budget, depots: tuple[str, ...] = ("d1", "d2")) -> None:
+    def __init__(self, budget: Budget, stores: tuple[str, ...] = ("d1", "d2")) -> None:
         self.budget, self.now = budget, 0.0
-        self.depots, self.counters = depots, ("c1", "c2")
-        self.names = (*depots, *self.counters)
-        self.machines = {me: Machine(me, Rows(me) if me in depots else None) for me in self.names}
-        self.links: dict[Way, tuple[Said, ...]] = {}
-        self.numbers: dict[Way, int] = {pair: 0 for pair in self.pairs()}  # of the link between two
-        self.apart: frozenset[Way] = frozenset(self.pairs())  # no link
-        self.cuts: frozenset[Way] = frozenset()
-        self.held: frozenset[Way] = frozenset()
+        self.stores, self.gateways = stores, ("c1", "c2")
+        self.names = (*stores, *self.gateways)
+        self.machines = {me: Machine(me, InMemoryDisk(me) if me in stores else None) for me in self.names}
+        self.links: dict[Direction, tuple[EncodedMessage, ...]] = {}
+        # number of the current link of a pair
+        self.numbers: dict[Direction, int] = {pair: 0 for pair in self.pairs()}
+        self.unlinked: frozenset[Direction] = frozenset(self.pairs())  # pairs without a link
+        self.cuts: frozenset[Direction] = frozenset()
+        self.held: frozenset[Direction] = frozenset()
         self.frozen: frozenset[str] = frozenset()
         self.retiring: frozenset[str] = frozenset()
-        self.unheard: frozenset[str] = frozenset()  # who has not heard of that yet
-        self.complete: frozenset[str] = frozenset()  # depots that said that they are empty
-        self.away: frozenset[str] = frozenset()  # taken away after the operator was told that they are empty
+        self.unheard: frozenset[str] = frozenset()  # processes that have not received the retirement
+        self.complete: frozenset[str] = frozenset()  # stores that reported that they are empty
+        self.away: frozenset[str] = frozenset()  # stores removed after they reported that they are empty
         self.accepted: frozenset[str] = frozenset()  # answered 202
         self.offered = 0
         self.wiped = 0
@@ -184,45 +192,45 @@
         for me in self.names:
             self.start(me)
 
-    def pairs(self) -> list[Way]:
-        """Who has links with whom; in one order."""
-        found = [(a, b) for a in self.depots for b in self.depots if a < b]
-        return found + [(c, d) for c in self.counters for d in self.depots]
+    def pairs(self) -> list[Direction]:
+        """Returns the pairs of processes that may be linked, in a fixed order."""
+        found = [(a, b) for a in self.stores for b in self.stores if a < b]
+        return found + [(c, d) for c in self.gateways for d in self.stores]
 
-    def pair(self, a: str, b: str) -> Way:
+    def pair(self, a: str, b: str) -> Direction:
         return (a, b) if (a, b) in self.numbers else (b, a)
 
     # ---- states
 
-    def copy(self) -> Depots:
-        new = Depots.__new__(Depots)
+    def copy(self) -> StoreModel:
+        new = StoreModel.__new__(StoreModel)
         new.__dict__.update(self.__dict__)
         for name in ("machines", "links", "numbers", "marks"):
             setattr(new, name, dict(getattr(self, name)))
         return new
 
     def at(self, me: str) -> Machine:
-        """To be altered."""
+        """Returns that machine for mutation: a copy, unless this state already has its own."""
         known = self.machines[me]
         if known not in self.fresh:
             self.machines[me] = Copier(SHARED).copy(known)
             self.fresh.append(self.machines[me])
         return self.machines[me]
 
-    fresh: list[Machine]  # those that this world alone has
+    fresh: list[Machine]  # machines that no other state shares
 
     def key(self) -> bytes:
         parts = []
         for me, machine in self.machines.items():
             mark = self.marks.get(me)
             if mark is None or mark[0] is not machine or mark[1] != self.now:
-                text = repr(Seen(self.now, FAR, SHARED, OUT).seen(machine))
+                text = repr(Canonicalizer(self.now, FAR, SHARED, IGNORED).canonical(machine))
                 mark = self.marks[me] = machine, self.now, text
             parts.append(mark[2])
         rest = (
             sorted(self.links.items()),
             sorted(self.numbers.items()),
-            sorted(self.apart),
+            sorted(self.unlinked),
             sorted(self.cuts),
             sorted(self.held),
             sorted(self.frozen),
@@ -238,49 +246,55 @@
         )
         return blake2b(repr((parts, rest)).encode(), digest_size=12).digest()
 
-    # ---- what may happen
+    # ---- transitions
 
-    def open(self, sender: str, me: str) -> bool:
+    def is_open(self, sender: str, me: str) -> bool:
         return (sender, me) not in self.held and self.pair(sender, me) not in self.cuts
 
     def runs(self, me: str) -> bool:
         return self.machines[me].role is not None and me not in self.frozen
 
-    def of_itself(self) -> list[Step]:
-        found: list[Step] = [
-            ("hears", way[1], way[0]) for way in sorted(self.links) if self.runs(way[1]) and self.open(*way)
+    def internal_transitions(self) -> list[Transition]:
+        found: list[Transition] = [
+            ("hears", direction[1], direction[0])
+            for direction in sorted(self.links)
+            if self.runs(direction[1]) and self.is_open(*direction)
         ]
         found += [
-            ("synced", me) for me in self.depots if self.runs(me) and self.machines[me].batch is not None
+            ("synced", me) for me in self.stores if self.runs(me) and self.machines[me].batch is not None
         ]
         if self.budget.sends:
             found += [
-                ("sends", me) for me in self.counters if self.runs(me) and self.machines[me].role.commands
+                ("sends", me) for me in self.gateways if self.runs(me) and self.machines[me].role.commands
             ]
         return found
 
-    def steps(self) -> list[Step]:
+    def enabled(self) -> list[Transition]:
         left = self.budget
-        ready = self.of_itself()
-        found = ready if left.turns else ready[:1]
-        if left.together:  # all that lies in its sockets, before it looks at what follows
+        ready = self.internal_transitions()
+        found = ready if left.reorder else ready[:1]
+        if left.together:  # reads all pending messages before it carries out the effects
             for me in self.names:
-                senders = [way[0] for way in sorted(self.links) if way[1] == me and self.open(*way)]
+                senders = [
+                    direction[0]
+                    for direction in sorted(self.links)
+                    if direction[1] == me and self.is_open(*direction)
+                ]
                 if self.runs(me) and sum(len(self.links[one, me]) for one in senders) > 1:
                     found.append(("hears all", me, *senders))
-        if left.time and not any(step[0] == "hears" for step in ready) and (left.turns or not ready):
+        if left.time and not any(step[0] == "hears" for step in ready) and (left.reorder or not ready):
             found.append(("time", ""))
-        quiet = left.turns != 0 or not ready
+        quiet = left.reorder != 0 or not ready
         if left.offers and quiet:
-            found += [("offers", me) for me in self.counters[:1] if self.runs(me)]
+            found += [("offers", me) for me in self.gateways[:1] if self.runs(me)]
         if left.retire and quiet and not self.retiring:
-            found.append(("retires", self.depots[0]))
+            found.append(("retires", self.stores[0]))
             if left.unheard:
-                found += [("retires, unheard", self.depots[0], me) for me in self.names if self.runs(me)]
+                found += [("retires, unheard", self.stores[0], me) for me in self.names if self.runs(me)]
         found += [("hears of it", me) for me in sorted(self.unheard) if self.runs(me) and quiet]
         found += [("is taken away", me) for me in sorted(self.complete - self.away)]
-        for me in self.counters:
-            if left.ends and quiet and self.runs(me) and self.machines[me].flights:
+        for me in self.gateways:
+            if left.ends and quiet and self.runs(me) and self.machines[me].deliveries:
                 found.append(("has a success", me))
         for me, machine in self.machines.items():
             if me in self.away:
@@ -294,7 +308,7 @@
                 found.append(("crashes", me))
                 if machine.batch is not None:
                     found.append(("crashes, written", me))
-            if left.wipe and me in self.depots and not self.wiped:
+            if left.wipe and me in self.stores and not self.wiped:
                 found.append(("loses its disk", me))
             if me in self.frozen:
                 found.append(("wakes", me))
@@ -303,36 +317,36 @@
         for a, b in self.pairs():
             if (a, b) in self.cuts:
                 found.append(("joined", a, b))
-                if (a, b) not in self.apart:
+                if (a, b) not in self.unlinked:
                     found.append(("give each other up", a, b))
-            for way in ((a, b), (b, a)):
-                if way in self.held:
-                    found.append(("lets go", way[1], way[0]))
-                elif left.hold and a in self.counters and (a, b) not in self.apart:
-                    found.append(("holds up", way[1], way[0]))
-            if (a, b) not in self.cuts | self.apart and (left.cut if a in self.counters else left.split):
+            for direction in ((a, b), (b, a)):
+                if direction in self.held:
+                    found.append(("lets go", direction[1], direction[0]))
+                elif left.hold and a in self.gateways and (a, b) not in self.unlinked:
+                    found.append(("holds up", direction[1], direction[0]))
+            if (a, b) not in self.cuts | self.unlinked and (left.cut if a in self.gateways else left.split):
                 found.append(("cut", a, b))
         return found
 
-    def after(self, step: Step) -> Depots:
+    def successor(self, step: Transition) -> StoreModel:
         kind, me, *rest = step
         new = self.copy()
         new.fresh = []
-        ready = self.of_itself() if self.budget.turns > 0 else []
+        ready = self.internal_transitions() if self.budget.reorder > 0 else []
         if (
             ready
             and step != ready[0]
             and kind in ("hears", "synced", "sends", "time", "offers", "retires", "has a success")
         ):
-            new.budget = new.budget.less("turns")
+            new.budget = new.budget.spend("reorder")
         match kind:
             case "hears":
-                new.hears(me, rest[0])
+                new.receive_next(me, rest[0])
             case "hears all":
-                new.budget = new.budget.less("together")
+                new.budget = new.budget.spend("together")
                 for sender in rest:
                     while (sender, me) in new.links:
-                        new.hears(me, sender)
+                        new.receive_next(me, sender)
             case "synced":
                 machine = new.at(me)
                 assert machine.batch is not None
@@ -340,109 +354,113 @@
                 machine.role.clock(new.now)
                 machine.role.synced(*batch, run_batch(machine.disk, 0.0, *batch))  # type: ignore[arg-type]
             case "sends" | "has a success":
-                new.delivers(me, kind)
+                new.deliver(me, kind)
             case "time":
-                new.budget, new.now = new.budget.less("time"), self.now + STEP
+                new.budget, new.now = new.budget.spend("time"), self.now + STEP
                 new.time()
             case "offers":
-                new.budget, new.offered = new.budget.less("offers"), self.offered + 1
+                new.budget, new.offered = new.budget.spend("offers"), self.offered + 1
                 role = new.at(me).role
                 role.clock(new.now)
-                letter = Letter(rid=f"r{new.offered}", host=b"h", method=b"POST", target=b"/", body=b"x")
-                role.offered(Client(new.machines[me].answers), SimpleNamespace(first_at=new.now), letter, 0.0)
+                message = Letter(rid=f"r{new.offered}", host=b"h", method=b"POST", target=b"/", body=b"x")
+                role.offered(
+                    Client(new.machines[me].answers), SimpleNamespace(first_at=new.now), message, 0.0
+                )
             case "retires":
-                new.budget, new.retiring = new.budget.less("retire"), frozenset({me})
-                new.told_all()
+                new.budget, new.retiring = new.budget.spend("retire"), frozenset({me})
+                new.update_directories()
             case "retires, unheard":
-                new.budget = new.budget.less("retire").less("unheard")
+                new.budget = new.budget.spend("retire").spend("unheard")
                 new.retiring, new.unheard = frozenset({me}), frozenset(rest)
-                new.told_all()
+                new.update_directories()
             case "hears of it":
                 new.unheard = self.unheard - {me}
-                new.news(me)
+                new.update_directory(me)
             case "is taken away":
                 new.ends(me, "is taken away")
             case "crashes" | "crashes, written" | "loses its disk":
-                new.budget = new.budget.less("wipe" if kind == "loses its disk" else "crash")
+                new.budget = new.budget.spend("wipe" if kind == "loses its disk" else "crash")
                 new.ends(me, kind)
             case "starts":
                 new.start(me)
             case "starts, unheard":
-                new.budget, new.unheard = new.budget.less("unheard"), self.unheard | {me}
+                new.budget, new.unheard = new.budget.spend("unheard"), self.unheard | {me}
                 new.start(me)
             case "stands still":
-                new.budget, new.frozen = new.budget.less("freeze"), self.frozen | {me}
+                new.budget, new.frozen = new.budget.spend("freeze"), self.frozen | {me}
             case "wakes":
                 new.frozen = self.frozen - {me}
             case "cut":
-                new.budget = new.budget.less("cut" if me in self.counters else "split")
+                new.budget = new.budget.spend("cut" if me in self.gateways else "split")
                 new.cuts = self.cuts | {(me, rest[0])}
             case "holds up":
-                new.budget, new.held = new.budget.less("hold"), self.held | {(rest[0], me)}
+                new.budget, new.held = new.budget.spend("hold"), self.held | {(rest[0], me)}
             case "lets go":
                 new.held = self.held - {(rest[0], me)}
             case "give each other up":
                 for a, b in ((me, rest[0]), (rest[0], me)):
-                    if (
-                        a not in self.frozen
-                    ):  # what lies in the sockets of one that stands still is read first
+                    if a not in self.frozen:  # a suspended process first reads what its socket buffers hold
                         new.links.pop((b, a), None)
-                new.part(me, rest[0])
+                new.link_down(me, rest[0])
             case "joined":
                 new.cuts = self.cuts - {(me, rest[0])}
-                new.join(me, rest[0])
-        if me and new.machines[me].role is not None and kind not in QUIET:
+                new.link_up(me, rest[0])
+        if me and new.machines[me].role is not None and kind not in WITHOUT_EFFECTS:
             new.settle(me)
-        new.judge()
+        new.check()
         return new
 
     # ---- links
 
-    def part(self, a: str, b: str) -> None:
+    def link_down(self, a: str, b: str) -> None:
         pair = self.pair(a, b)
-        if pair in self.apart or pair not in self.numbers:
+        if pair in self.unlinked or pair not in self.numbers:
             return
-        self.apart |= {pair}
+        self.unlinked |= {pair}
         for me, other in ((a, b), (b, a)):
             if self.machines[me].role is not None:
                 self.links[other, me] = (*self.links.get((other, me), ()), LOST)
 
-    def join(self, a: str, b: str) -> None:
-        """A link comes up, where both run and none is cut off."""
+    def link_up(self, a: str, b: str) -> None:
+        """Establishes a link if both processes run and the pair is not cut."""
         pair = self.pair(a, b)
         if (
-            pair not in self.apart
+            pair not in self.unlinked
             or pair in self.cuts
             or None in (self.machines[a].role, self.machines[b].role)
         ):
             return
-        self.apart -= {pair}
+        self.unlinked -= {pair}
         self.numbers[pair] += 1
         for me, other in ((a, b), (b, a)):
-            said = JOINED, self.machines[other].role.hello().SerializeToString()
-            self.links[other, me] = (*self.links.get((other, me), ()), said)
+            encoded = JOINED, self.machines[other].role.hello().SerializeToString()
+            self.links[other, me] = (*self.links.get((other, me), ()), encoded)
 
-    def hears(self, me: str, sender: str) -> None:
-        said, *others = self.links.pop((sender, me))
+    def receive_next(self, me: str, sender: str) -> None:
+        encoded, *others = self.links.pop((sender, me))
         if others:
             self.links[sender, me] = tuple(others)
         machine = self.at(me)
         role = machine.role
         role.clock(self.now)
         line = role.link(sender)
-        if said == LOST:
+        if encoded == LOST:
             if line is not None:
                 role.remove_link(line)
-        elif said[0] == JOINED:
+        elif encoded[0] == JOINED:
             role.add_link(
-                Line(Hello.FromString(said[1]), self.numbers[self.pair(me, sender)], machine.out, self.now)
+                LinkStub(
+                    Hello.FromString(encoded[1]), self.numbers[self.pair(me, sender)], machine.out, self.now
+                )
             )
         elif line is not None:
             line.last_received = self.now
-            role.receive(line, said[0], unpacked(said))
+            role.receive(line, encoded[0], decode(encoded))
 
     def time(self) -> None:
-        """All look at the time, and say their pulses; those come at once where nothing is before them."""
+        """Runs all ticks and sends the heartbeats, which arrive at once where no message is queued before
+        them.
+        """
         there = [me for me in self.names if self.runs(me)]
         for me in there:
             role = self.at(me).role
@@ -452,20 +470,20 @@
         quick = []
         for me in there:
             role = self.at(me).role
-            if me in self.depots and role.store.rebalancing.empty:
+            if me in self.stores and role.store.rebalancing.empty:
                 self.complete |= {me}
             for other in self.names:
                 line = role.link(other) if other != me else None
                 if line is None or line.number != self.numbers[self.pair(me, other)]:
                     continue
                 line.send("pulse", role.heartbeat(line))
-                if (me, other) not in self.links and self.runs(other) and self.open(me, other):
+                if (me, other) not in self.links and self.runs(other) and self.is_open(me, other):
                     quick.append((me, other))
             self.settle(me)
-        for way in quick:
-            if len(self.links.get(way, ())) == 1:
-                self.hears(way[1], way[0])
-                self.settle(way[1])
+        for direction in quick:
+            if len(self.links.get(direction, ())) == 1:
+                self.receive_next(direction[1], direction[0])
+                self.settle(direction[1])
 
     # ---- processes
 
@@ -474,36 +492,36 @@
             self.fresh = list(self.machines.values())
         machine = self.at(me)
         machine.life += 1
-        if me in self.depots:
+        if me in self.stores:
             assert machine.disk is not None
-            role: Any = Holding(SETTINGS[me], machine.life, self.now, machine.disk.id)
+            role: Any = StoreUnderTest(SETTINGS[me], machine.life, self.now, machine.disk.id)
             load(role, machine.disk, 0.0)  # type: ignore[arg-type]
-            # as offices tell it: who is there
+            # the set of nodes, as controllers report it
             role.store.expected = {other for other in self.names if other != me}
         else:
-            role = Taking(SETTINGS[me], machine.life, self.now, 8, bytes)
-            role.rounds.chance = StillChance()
+            role = GatewayUnderTest(SETTINGS[me], machine.life, self.now, 8, bytes)
+            role.rounds.chance = FixedRandom()
             role.confirmed = True
         machine.role = role
         role.clock(self.now)
-        self.news(me)
+        self.update_directory(me)
         for other in self.names:
             if other != me:
-                self.join(*self.pair(me, other))
+                self.link_up(*self.pair(me, other))
 
-    def told_all(self) -> None:
+    def update_directories(self) -> None:
         for me in self.names:
             if self.machines[me].role is not None:
-                self.news(me)
+                self.update_directory(me)
 
-    def news(self, me: str) -> None:
+    def update_directory(self, me: str) -> None:
         role = self.at(me).role
         conf = Conf.FromString(CONF.SerializeToString())
         retiring = frozenset() if me in self.unheard else self.retiring
         conf.seq = len(retiring)
         conf.retiring.extend(sorted(retiring))
         role.directory.merge(News(conf=conf))
-        if me in self.depots:
+        if me in self.stores:
             role.store.ordered((int(conf.gen), int(conf.seq)), set(retiring))
             return
         role.intake.retiring = set(retiring)
@@ -517,117 +535,119 @@
             run_batch(machine.disk, 0.0, *machine.batch)  # type: ignore[arg-type]
         elif how == "loses its disk":
             self.wiped += 1
-            machine.disk = Rows(f"{me}-{machine.life}")
-        elif how == "is taken away":  # with its disk, which is no loss: it has said that it is empty
+            machine.disk = InMemoryDisk(f"{me}-{machine.life}")
+        elif how == "is taken away":  # with its disk, which is no loss: it has reported that it is empty
             self.away |= {me}
-            machine.disk = Rows(f"{me}-none")
-        machine.role, machine.batch, machine.flights, machine.answers, machine.out = None, None, [], [], []
+            machine.disk = InMemoryDisk(f"{me}-none")
+        machine.role, machine.batch, machine.deliveries, machine.answers, machine.out = None, None, [], [], []
         self.frozen -= {me}
         for other in self.names:
             if other != me:
                 self.links.pop((other, me), None)
-                self.part(me, other)
+                self.link_down(me, other)
 
     def settle(self, me: str) -> None:
-        """What follows is carried out: words go onto their links, what is to be written to the disk."""
+        """Carries out the effects: messages go onto their links, writes into a batch for the disk."""
         machine = self.at(me)
         role = machine.role
         role.settle()
-        if me in self.depots and machine.batch is None and role.queue:
+        if me in self.stores and machine.batch is None and role.queue:
             machine.batch = role.batch()
         out = list(machine.out)
         machine.out.clear()
-        for to, number, said in out:
-            self.judge_word(me, to, machine, said)
+        for to, number, encoded in out:
+            self.check_message(me, to, machine, encoded)
             pair = self.pair(me, to)
-            if number == self.numbers[pair] and pair not in self.apart:
-                self.links[me, to] = (*self.links.get((me, to), ()), said)
+            if number == self.numbers[pair] and pair not in self.unlinked:
+                self.links[me, to] = (*self.links.get((me, to), ()), encoded)
         for status in machine.answers:
-            self.judge_answer(status)
+            self.check_answer(status)
         machine.answers.clear()
 
-    def delivers(self, me: str, kind: str) -> None:
+    def deliver(self, me: str, kind: str) -> None:
         machine = self.at(me)
         role = machine.role
         role.clock(self.now)
         if kind == "has a success":
-            self.budget = self.budget.less("ends")
-            role.delivery_ended(machine.flights.pop(0), DeliveryOutcome.DONE, "seal", None, False)
+            self.budget = self.budget.spend("ends")
+            role.delivery_ended(machine.deliveries.pop(0), DeliveryOutcome.DONE, "seal", None, False)
             return
         order = role.commands.pop(0)
         if isinstance(order, Start):
             if role.may_start(order):
-                self.budget = self.budget.less("sends")
-                machine.flights.append(order)
+                self.budget = self.budget.spend("sends")
+                machine.deliveries.append(order)
             else:
                 role.delivery_ended(order, DeliveryOutcome.NOT_SENT, "", None, False)
 
-    # ---- properties
+    # ---- invariants
 
     def has(self, mid: str, ends: bool = True) -> int:
-        """On how many disks it is, or its end."""
+        """Returns the number of disks that hold the message or (if `ends`) its end."""
         return sum(
             machine.disk is not None
-            and (mid in machine.disk.letters_of or (ends and mid in machine.disk.ends_of))
+            and (mid in machine.disk.messages_by_id or (ends and mid in machine.disk.ends_by_id))
             for machine in self.machines.values()
         )
 
     @staticmethod
     def has_end(machine: Machine, mid: str) -> bool:
-        return machine.disk is not None and mid in machine.disk.ends_of
+        return machine.disk is not None and mid in machine.disk.ends_by_id
 
-    def judge_word(self, me: str, to: str, machine: Machine, said: Said) -> None:
-        if machine.disk is None or said[0] not in ("kept", "ended"):
+    def check_message(self, me: str, to: str, machine: Machine, encoded: EncodedMessage) -> None:
+        if machine.disk is None or encoded[0] not in ("kept", "ended"):
             return
-        word = unpacked(said)
-        there = word.mid in machine.disk.ends_of or (
-            said[0] == "kept" and word.mid in machine.disk.letters_of
+        message = decode(encoded)
+        there = message.mid in machine.disk.ends_by_id or (
+            encoded[0] == "kept" and message.mid in machine.disk.messages_by_id
         )
-        if said[0] == "kept" and word.mid in machine.disk.dropped:
-            # dropped in the batch that it was kept in: who ordered that has given it up, and promises nothing
+        if encoded[0] == "kept" and message.mid in machine.disk.dropped:
+            # dropped in the batch that stored it: whoever ordered that has given it up and promises nothing
             role = self.machines[to].role
-            there = there or role is None or (to in self.counters and word.mid not in role.intake.pending)
-        if not there and not (said[0] == "kept" and word.refused):
-            raise Broken("early word", f"{me} says {said[0]} of {word.mid}, which is not on its disk")
+            there = there or role is None or (to in self.gateways and message.mid not in role.intake.pending)
+        if not there and not (encoded[0] == "kept" and message.refused):
+            raise PropertyViolation(
+                "early word", f"{me} sends {encoded[0]} for {message.mid}, which is not on its disk"
+            )
 
-    def judge_answer(self, status: int) -> None:
+    def check_answer(self, status: int) -> None:
         if status != 202:
             return
         mid = self.mid()
-        if self.has(mid) + self.wiped < COPIES:
-            raise Broken("early 202", f"{mid} is on {self.has(mid)} disks")
+        if self.has(mid) + self.wiped < REPLICAS:
+            raise PropertyViolation("early 202", f"{mid} is on {self.has(mid)} disks")
         self.accepted |= {mid}
 
     def mid(self) -> str:
-        """The message that was offered last: one at a time is."""
+        """Returns the id of the last message offered; only one is offered at a time."""
         return str(self.machines["c1"].role.last_mid)
 
-    def judge(self) -> None:
-        if all(self.has(mid) >= COPIES for mid in self.accepted) and self.offered == len(self.accepted):
-            self.wiped = 0  # all is whole again
+    def check(self) -> None:
+        if all(self.has(mid) >= REPLICAS for mid in self.accepted) and self.offered == len(self.accepted):
+            self.wiped = 0  # all replicas are restored
         for mid in self.accepted:
-            if self.has(mid) + self.wiped < COPIES:
-                raise Broken("copies", f"{mid} was accepted and is on {self.has(mid)} disks")
-            able = [me for me in self.counters if self.may_send(me, mid)]
+            if self.has(mid) + self.wiped < REPLICAS:
+                raise PropertyViolation("copies", f"{mid} was accepted and is on {self.has(mid)} disks")
+            able = [me for me in self.gateways if self.may_send(me, mid)]
             if len(able) > 1:
-                raise Broken("two deliverers", f"{' and '.join(able)} may send {mid}")
-        for me in self.depots:
+                raise PropertyViolation("two deliverers", f"{' and '.join(able)} may send {mid}")
+        for me in self.stores:
             machine = self.machines[me]
             if machine.role is not None:
                 for mid in machine.role.store.ends:
                     state = machine.role.store.state(mid).state
                     if state == MessageState.COMPLETE and not self.has_end(machine, mid):
-                        raise Broken(
-                            "early word", f"{me} tells askers that {mid} is complete, not on its disk"
+                        raise PropertyViolation(
+                            "early word", f"{me} reports {mid} as complete before that is on its disk"
                         )
 
     def may_send(self, me: str, mid: str) -> bool:
-        """Whether that counter, as it wakes if it stands still, would send it now."""
+        """Returns whether that gateway would deliver it now (once resumed, if it is suspended)."""
         role = self.machines[me].role
         item = role.rounds.items.get(mid) if role is not None else None
         if item is None or item.reassigned or item.closed:
             return False
-        was, role.now = role.now, self.now
+        previous, role.now = role.now, self.now
         able = role.may_send(item)
-        role.now = was
+        role.now = previous
         return bool(able)
--- a/opalwick/lab/verify/notices.py
+++ b/opalwick/lab/verify/notices.py
@@ -1,32 +1,34 @@
-"""That a worker drains is confirmed by a majority: offices as they are in service, gateways that hear them.
+"""Model of a worker's drain notice, which a majority of controllers must confirm: production controllers, and
+gateways that receive from them.
 
-The office's own code takes the call, spreads the notice, takes it in and answers. Who is linked to whom is
-cut and joined at any moment; words wait on each link, in order. What holds here rests on no clock but the
-patience after which an office says that it could not confirm.
+The controller's own code accepts the call, replicates the notice and answers. Links may be cut and restored
+at any time; messages wait on each link, in order. The invariants depend on no clock but the time limit after
+which a controller reports that it could not confirm. The wire's names for controller and gateway are "office"
+and "counter".
 """
 
 from __future__ import annotations
 
 from typing import Any, NamedTuple
 
-from opalwick.lab.verify.explorer import Broken, Step
+from opalwick.lab.verify.explorer import PropertyViolation, Transition
 from opalwick.lab.verify.replayed import Replayed
 from opalwick.post.office.role import Controller
 from opalwick.post.settings import Settings, parse
 from opalwick.post.wire_pb2 import Hello, View
 from opalwick.protocol.http import Message
 
-OFFICES = ("o1", "o2", "o3", "o4")  # o4 has no vote by the view that o1 knows
+CONTROLLERS = ("o1", "o2", "o3", "o4")  # o4 has no vote in the view that o1 has
 GATEWAYS = ("g1", "g2")
-ADDRESS = {name: f"10.0.0.{number}" for number, name in enumerate((*OFFICES, *GATEWAYS), 1)}
-NAME = {ip: name for name, ip in ADDRESS.items()}
+ADDRESS = {name: f"10.0.0.{number}" for number, name in enumerate((*CONTROLLERS, *GATEWAYS), 1)}
+NAME_OF = {ip: name for name, ip in ADDRESS.items()}
 WORKER = "w1"
 DRAINING = b'{"svc":"s","address":"10.9.0.1:80","capacity":1,"state":"draining","calls":2}'
-LATER = 1.0  # s: over the patience for a majority's answers
+LATER = 1.0  # s: longer than the time limit for a majority's answers
 
 
 class Budget(NamedTuple):
-    """How often each may happen in one history."""
+    """How often each event may happen in one history."""
 
     drains: int = 1
     leaves: int = 0
@@ -35,19 +37,19 @@
     later: int = 0
 
 
-class Line:
-    """A link as an office sees it: what is said on it waits on the way."""
+class LinkStub:
+    """A controller's link: messages sent on it are queued in the model."""
 
-    def __init__(self, world: Notices, sender: str, peer: Hello) -> None:
-        self.world, self.sender, self.peer, self.last_received = world, sender, peer, 0.0
+    def __init__(self, model: NoticeModel, sender: str, peer: Hello) -> None:
+        self.model, self.sender, self.peer, self.last_received = model, sender, peer, 0.0
 
-    def send(self, kind: str, word: Any) -> None:
+    def send(self, kind: str, message: Any) -> None:
         if kind in ("news", "spread", "known"):
-            self.world.words.setdefault((self.sender, self.peer.node), []).append((kind, word))
+            self.model.queues.setdefault((self.sender, self.peer.node), []).append((kind, message))
 
 
-class Worker:
-    """A call of a worker and what it was answered."""
+class WorkerCall:
+    """A worker's HTTP call and the status of its answer."""
 
     def __init__(self, method: bytes) -> None:
         self.message = Message(0.0)
@@ -59,12 +61,12 @@
         self.status = status
 
 
-class Quiet(Controller):
+class SilentController(Controller):
     def event(self, number: int, **fields: Any) -> None: ...
 
 
 def settings(name: str) -> Settings:
-    seeds = ",".join(f"{ADDRESS[one]}:80" for one in OFFICES[:3])
+    seeds = ",".join(f"{ADDRESS[one]}:80" for one in CONTROLLERS[:3])
     return parse(
         f"node={name}\nrole=office\nip={ADDRESS[name]}\naz=n\nport_range=7240,7255\nseeds={seeds}\n"
         "bootstrap=true\nbinds.ctl=10.0.0.1:80\n",
@@ -72,131 +74,142 @@
     )
 
 
-SETTINGS = {name: settings(name) for name in OFFICES}
+SETTINGS = {name: settings(name) for name in CONTROLLERS}
 
 
-class Notices(Replayed):
-    """Rules: `confirmed alone`, `confirmed untold`. o2, o3 and o4 vote by a view that o1 has not heard of, if
-    `replaced`.
+class NoticeModel(Replayed):
+    """Rules: `confirmed alone`, `confirmed untold`. If `replaced`, o2, o3 and o4 vote by a view that o1 has
+    not received.
     """
 
     replaced = False
 
-    def begin(self) -> None:
-        self.words: dict[tuple[str, str], list[tuple[str, Any]]] = {}
+    def initialize(self) -> None:
+        self.queues: dict[tuple[str, str], list[tuple[str, Any]]] = {}
         self.cuts: set[tuple[str, str]] = set()
         self.cut_once: set[tuple[str, str]] = set()
-        self.offices = {name: Quiet(SETTINGS[name], 1, 10.0, None) for name in OFFICES}
-        self.calls: list[Worker] = []
+        self.controllers = {name: SilentController(SETTINGS[name], 1, 10.0, None) for name in CONTROLLERS}
+        self.calls: list[WorkerCall] = []
         self.now = 10.0
-        for a in OFFICES:
-            for b in (*OFFICES, *GATEWAYS):
+        for a in CONTROLLERS:
+            for b in (*CONTROLLERS, *GATEWAYS):
                 if a != b:
                     self.link(a, b)
-        voters = [ADDRESS[name] for name in (OFFICES[1:] if self.replaced else OFFICES[:3])]
+        voters = [ADDRESS[name] for name in (CONTROLLERS[1:] if self.replaced else CONTROLLERS[:3])]
         self.newest = View(epoch=7 if self.replaced else 0, voters=voters, members=voters[:2])
-        for name in OFFICES[1:] if self.replaced else ():
-            self.offices[name].views.view = self.newest
-        self.words.clear()
+        for name in CONTROLLERS[1:] if self.replaced else ():
+            self.controllers[name].views.view = self.newest
+        self.queues.clear()
 
     def link(self, a: str, b: str) -> None:
-        role = "office" if b in OFFICES else "counter"
-        self.offices[a].add_link(Line(self, a, Hello(node=b, role=role, ip=ADDRESS[b], zone="n", life=1)))
+        role = "office" if b in CONTROLLERS else "counter"
+        self.controllers[a].add_link(
+            LinkStub(self, a, Hello(node=b, role=role, ip=ADDRESS[b], zone="n", life=1))
+        )
 
-    def knows(self, office: str) -> bool:
-        known = self.offices[office].directory.workers.get(WORKER)
+    def has_notice(self, controller: str) -> bool:
+        known = self.controllers[controller].directory.workers.get(WORKER)
         return known is not None and (known.draining or known.gone)
 
-    def steps(self) -> list[Step]:
+    def enabled(self) -> list[Transition]:
         left = self.budget
-        # what is on its way to a gateway comes, or is lost with its link
-        found: list[Step] = [("hears", to, sender) for sender, to in sorted(self.words) if to in OFFICES]
-        for name in OFFICES[:2]:
+        # messages to a gateway are not delivered: they stay in transit, or are lost with their link
+        found: list[Transition] = [
+            ("hears", to, sender) for sender, to in sorted(self.queues) if to in CONTROLLERS
+        ]
+        for name in CONTROLLERS[:2]:
             found += [("is told of a drain", name)] * bool(left.drains)
             found += [("is told of an end", name)] * bool(left.leaves)
-        for pair in ((a, b) for a in OFFICES for b in (*OFFICES, *GATEWAYS) if a < b or b in GATEWAYS):
+        for pair in (
+            (a, b) for a in CONTROLLERS for b in (*CONTROLLERS, *GATEWAYS) if a < b or b in GATEWAYS
+        ):
             if left.cut and pair not in self.cuts:
                 found.append(("cut", *pair))
             if left.joined and pair in self.cuts:
                 found.append(("joined", *pair))
-        return found + [("later", name) for name in OFFICES[:1] if left.later]
+        return found + [("later", name) for name in CONTROLLERS[:1] if left.later]
 
     def spend(self, name: str) -> None:
         self.budget = self.budget._replace(**{name: getattr(self.budget, name) - 1})
 
-    def do(self, step: Step) -> None:
+    def apply(self, step: Transition) -> None:
         kind, me, *rest = step
         match kind:
             case "hears":
-                word, *others = self.words.pop((rest[0], me))
+                message, *others = self.queues.pop((rest[0], me))
                 if others:
-                    self.words[rest[0], me] = others
-                self.hears(me, rest[0], *word)
+                    self.queues[rest[0], me] = others
+                self.receive(me, rest[0], *message)
             case "is told of a drain" | "is told of an end":
                 self.spend("drains" if kind == "is told of a drain" else "leaves")
-                call = Worker(b"PUT" if kind == "is told of a drain" else b"DELETE")
+                call = WorkerCall(b"PUT" if kind == "is told of a drain" else b"DELETE")
                 self.calls.append(call)
-                self.offices[me].called(call)  # type: ignore[arg-type]
+                self.controllers[me].called(call)  # type: ignore[arg-type]
             case "cut" | "joined":
                 self.spend(kind)
                 self.cuts ^= {(me, rest[0])}
                 self.cut_once |= {(me, rest[0])}
                 for a, b in ((me, rest[0]), (rest[0], me)):
-                    self.words.pop((a, b), None)
-                    if a not in OFFICES:
+                    self.queues.pop((a, b), None)
+                    if a not in CONTROLLERS:
                         continue
                     if kind == "joined":
                         self.link(a, b)
                     else:
-                        self.offices[a].remove_link(self.offices[a].links[b][0])
+                        self.controllers[a].remove_link(self.controllers[a].links[b][0])
             case "later":
                 self.spend("later")
                 self.now += LATER
-                self.offices[me].clock(self.now)
-                self.offices[me].notices.tick(self.now)
-        self.judge()
+                self.controllers[me].clock(self.now)
+                self.controllers[me].notices.tick(self.now)
+        self.check()
 
-    def hears(self, me: str, sender: str, kind: str, word: Any) -> None:
-        if (line := self.offices[me].link(sender)) is not None:
-            self.offices[me].receive(line, kind, word)
+    def receive(self, me: str, sender: str, kind: str, message: Any) -> None:
+        if (line := self.controllers[me].link(sender)) is not None:
+            self.controllers[me].receive(line, kind, message)
 
-    def judge(self) -> None:
+    def check(self) -> None:
         for call in self.calls:
             if call.status == 200:
-                self.judge_confirmed()
-
-    def judge_confirmed(self) -> None:
-        knowing = [name for name in OFFICES if self.knows(name)]
-        voters = {NAME[ip] for ip in self.newest.voters}
-        if 2 * len(voters.intersection(knowing)) <= len(voters):
-            raise Broken("confirmed alone", f"{' and '.join(knowing)} know, of {sorted(voters)}")
+                self.check_confirmed()
+
+    def check_confirmed(self) -> None:
+        informed = [name for name in CONTROLLERS if self.has_notice(name)]
+        voters = {NAME_OF[ip] for ip in self.newest.voters}
+        if 2 * len(voters.intersection(informed)) <= len(voters):
+            raise PropertyViolation(
+                "confirmed alone", f"{' and '.join(informed)} have the notice, of the voters {sorted(voters)}"
+            )
         for gateway in GATEWAYS:
             linked = {name for name in voters if (name, gateway) not in self.cut_once}
-            coming = any(
-                word.workers and any(w.draining or w.gone for w in word.workers)
-                for name in OFFICES
-                for _, word in self.words.get((name, gateway), ())
+            in_transit = any(
+                message.workers and any(w.draining or w.gone for w in message.workers)
+                for name in CONTROLLERS
+                for _, message in self.queues.get((name, gateway), ())
             )
-            if 2 * len(linked) > len(voters) and not coming:
-                raise Broken("confirmed untold", f"{gateway} hears {sorted(linked)}, and nothing comes")
+            if 2 * len(linked) > len(voters) and not in_transit:
+                raise PropertyViolation(
+                    "confirmed untold",
+                    f"{gateway} is linked to {sorted(linked)}, and no notice is in transit",
+                )
 
     def state(self) -> Any:
-        words = [
-            (way, [(kind, word.SerializeToString()) for kind, word in waits])
-            for way, waits in sorted(self.words.items())
+        queues = [
+            (direction, [(kind, message.SerializeToString()) for kind, message in waits])
+            for direction, waits in sorted(self.queues.items())
         ]
-        offices = [
+        controllers = [
             (
-                self.knows(name),
+                self.has_notice(name),
                 sorted(
                     (call, sorted(notice.known))
-                    for call, notice in self.offices[name].notices.waiting.items()
+                    for call, notice in self.controllers[name].notices.waiting.items()
                 ),
             )
-            for name in OFFICES
+            for name in CONTROLLERS
         ]
-        return words, offices, sorted(self.cuts), [call.status for call in self.calls], self.now
+        return queues, controllers, sorted(self.cuts), [call.status for call in self.calls], self.now
 
 
-class Replaced(Notices):
+class ReplacedVotersModel(NoticeModel):
     replaced = True
--- a/opalwick/lab/verify/parts.py
+++ b/opalwick/lab/verify/parts.py
@@ -1,7 +1,7 @@
-"""What is explored: each case begins where a short, calm way leads, and bounds what may happen from there.
+"""The cases that are searched: each starts after a short run without faults and bounds the events from there.
 
-A case with `turns` -1 sees all orders of what happens; the others take what is next in one order and leave
-it as often as `turns` says, so that they reach deeper; faults may happen at each state of either.
+A case with `reorder` -1 explores all interleavings. The others take pending events in one fixed order and
+deviate from it at most `reorder` times, so that they reach deeper. Faults may happen in each state of either.
 """
 
 from __future__ import annotations
@@ -10,62 +10,65 @@
 from typing import Any, NamedTuple
 
 from opalwick.lab.verify import answers, depots, leases, notices, offices
-from opalwick.lab.verify.explorer import Broken, Step, World
+from opalwick.lab.verify.explorer import PropertyViolation, State, Transition
 
 
 class Case(NamedTuple):
     name: str
-    root: Callable[[], World]
-    most: int  # states until it stops; by what a minute of a slow core sees of all
+    root: Callable[[], State]
+    max_states: int  # state limit; together the cases take about a minute on a slow core
 
 
-def calm(world: Any, budget: Any, *script: Step) -> Any:
-    """After that script, with all that follows from each of its steps; from there the budget counts."""
-    gone: list[Step] = []
+def settled_state(state: Any, budget: Any, *script: Transition) -> Any:
+    """Returns the state after the script and all internal transitions that follow each of its steps.
 
-    def go(step: Step) -> None:
-        nonlocal world
-        gone.append(step)
-        world = world.after(step)
+    The budget applies from there on. Raises `PropertyViolation` with the trace so far.
+    """
+    taken: list[Transition] = []
+
+    def take(step: Transition) -> None:
+        nonlocal state
+        taken.append(step)
+        state = state.successor(step)
 
     try:
         for step in ((), *script):
             if step:
-                go(step)
-            while ready := world.of_itself():
-                go(ready[0])
-    except Broken as problem:
-        problem.trace = tuple(gone)
+                take(step)
+            while ready := state.internal_transitions():
+                take(ready[0])
+    except PropertyViolation as problem:
+        problem.trace = tuple(taken)
         raise
-    world = world.copy()
-    world.budget = budget
-    return world
+    state = state.copy()
+    state.budget = budget
+    return state
 
 
-# ---- takeover: o1 is the primary and o2 its backup, number 1 is acknowledged, if nothing else is said
+# ---- takeover: unless noted, o1 is the primary, o2 its backup, and number 1 is acknowledged
 
 Takeover = offices.Budget
-FIRST: tuple[Step, ...] = (("waits long", "o1"),)
-SERVES: tuple[Step, ...] = (*FIRST, ("put", "o1", 1, "a"))
-# o1 hears nothing of the others any more, and o3 takes over with o2
-TAKEN: tuple[Step, ...] = (
-    *SERVES,
+ELECTED: tuple[Transition, ...] = (("waits long", "o1"),)
+SERVING: tuple[Transition, ...] = (*ELECTED, ("put", "o1", 1, "a"))
+# o1 receives nothing from the others any more, and o3 takes over with o2
+TAKEN_OVER: tuple[Transition, ...] = (
+    *SERVING,
     ("holds up", "o1", "o2"),
     ("holds up", "o1", "o3"),
     ("waits long", "o2"),
     ("waits long", "o3"),
 )
-# a write of o1's is still on its way to o2
-OVERTAKEN: tuple[Step, ...] = (
-    *SERVES,
+# a write of o1 is still in transit to o2
+SUPERSEDED: tuple[Transition, ...] = (
+    *SERVING,
     ("holds up", "o2", "o1"),
     ("put", "o1", 2, "b"),
     ("waits long", "o2"),
     ("waits long", "o3"),
 )
-# o3 has 2 in force with o2, and dies; o1 knows nothing of it
-ALONE: tuple[Step, ...] = (
-    *SERVES,
+# o3 has number 2 in force with o2 and crashes; o1 has not received it
+OUTDATED: tuple[Transition, ...] = (
+    *SERVING,
     ("cut", "o1", "o2"),
     ("cut", "o1", "o3"),
     ("waits long", "o2"),
@@ -74,20 +77,20 @@
     ("crashes", "o3"),
     ("joined", "o1", "o2"),
 )
-# the backup has lost its disk, has learned and is not whole yet
-LEARNED: tuple[Step, ...] = (*SERVES, ("loses its disk", "o2"), ("starts", "o2"), ("waits", "o2"))
-# o3 is gone for good, and o4 is there in its place; the primary does not know yet
-REPLACED: tuple[Step, ...] = (
-    *SERVES,
+# the backup has lost its disk and learned the configuration, but is not a full member yet
+LEARNED: tuple[Transition, ...] = (*SERVING, ("loses its disk", "o2"), ("starts", "o2"), ("waits", "o2"))
+# o3 has lost its disk and o4 has started in its place; the primary has not registered that yet
+REPLACED: tuple[Transition, ...] = (
+    *SERVING,
     ("loses its disk", "o3"),
     ("starts", "o4"),
     ("waits", "o4"),
     ("waits", "o1"),
     ("waits", "o1"),
 )
-# o3 is away, and comes back with what it had, whenever it does
-AWAY: tuple[Step, ...] = (
-    *SERVES,
+# o3 is down and may come back with its disk at any time
+AWAY: tuple[Transition, ...] = (
+    *SERVING,
     ("crashes", "o3"),
     ("starts", "o4"),
     ("waits", "o4"),
@@ -95,62 +98,66 @@
     ("waits", "o1"),
     ("waits", "o1"),
 )
-# 1 and 2 have been in force, and a put of 2 with another text was sent
-TWO: tuple[Step, ...] = (*SERVES, ("put", "o1", 2, "b"))
-MENDED: tuple[Step, ...] = (*LEARNED, ("waits", "o1"), ("put", "o1", 2, "b"))
+# numbers 1 and 2 have been in force, and a put of 2 with another text was sent
+TWO_WRITES: tuple[Transition, ...] = (*SERVING, ("put", "o1", 2, "b"))
+DISK_RESTORED: tuple[Transition, ...] = (*LEARNED, ("waits", "o1"), ("put", "o1", 2, "b"))
 
 
-def office(budget: offices.Budget, *script: Step, spares: tuple[str, ...] = ()) -> Callable[[], World]:
+def takeover(
+    budget: offices.Budget, *script: Transition, spares: tuple[str, ...] = ()
+) -> Callable[[], State]:
     full = Takeover._make([99] * (len(Takeover._fields) - 1) + [0])
-    return lambda: calm(offices.Offices(full, spares), budget, *script)
+    return lambda: settled_state(offices.ControllerModel(full, spares), budget, *script)
 
 
-# ---- fence: all have settled after five steps of the clock
+# ---- fence: all processes have settled after five steps of the clock
 
 Fence = depots.Budget
-LATER: tuple[Step, ...] = (("time", ""),)
-SETTLED: tuple[Step, ...] = LATER * 5
-# the gateway c1 has just started anew, and no store has echoed a word of it yet
-LINKED: tuple[Step, ...] = (*SETTLED, ("crashes", "c1"), ("starts", "c1"))
-KEPT: tuple[Step, ...] = (*SETTLED, ("offers", "c1"))
-CUT: tuple[Step, ...] = (*KEPT, ("cut", "c1", "d1"), ("cut", "c1", "d2"))
-# it is heard again, by one of them, as the other is about to let it lapse
-BACK: tuple[Step, ...] = (*CUT, *(LATER * 3), ("joined", "c1", "d2"))
-UNHEARD: tuple[Step, ...] = (*KEPT, ("holds up", "d1", "c1"), ("holds up", "d2", "c1"))
-
-
-# d1 is to be taken away; c1 has not heard of it
-ORDERED: tuple[Step, ...] = (*SETTLED, ("retires, unheard", "d1", "c1"))
-# after that was said it is started anew, and has not heard of it
-STARTED: tuple[Step, ...] = (
-    *ORDERED,
-    *(LATER * 2),
+TICK: tuple[Transition, ...] = (("time", ""),)
+SETTLED: tuple[Transition, ...] = TICK * 5
+# gateway c1 has just restarted, and no store has echoed a heartbeat of it yet
+GATEWAY_RESTARTED: tuple[Transition, ...] = (*SETTLED, ("crashes", "c1"), ("starts", "c1"))
+STORED: tuple[Transition, ...] = (*SETTLED, ("offers", "c1"))
+PARTITIONED: tuple[Transition, ...] = (*STORED, ("cut", "c1", "d1"), ("cut", "c1", "d2"))
+# one store receives from it again when its lapse at the other is imminent
+RECONNECTED: tuple[Transition, ...] = (*PARTITIONED, *(TICK * 3), ("joined", "c1", "d2"))
+ECHOES_HELD: tuple[Transition, ...] = (*STORED, ("holds up", "d1", "c1"), ("holds up", "d2", "c1"))
+
+
+# d1 is to be removed; c1 has not received that configuration
+DRAIN_ORDERED: tuple[Transition, ...] = (*SETTLED, ("retires, unheard", "d1", "c1"))
+# after that d1 is restarted and has not received that configuration
+RESTARTED: tuple[Transition, ...] = (
+    *DRAIN_ORDERED,
+    *(TICK * 2),
     ("crashes", "d1"),
     ("starts, unheard", "d1"),
-    *(LATER * 4),
+    *(TICK * 4),
 )
 
 
-def depot(budget: depots.Budget, *script: Step, names: tuple[str, ...] = ("d1", "d2")) -> Callable[[], World]:
+def fence(
+    budget: depots.Budget, *script: Transition, names: tuple[str, ...] = ("d1", "d2")
+) -> Callable[[], State]:
     full = Fence._make([99] * (len(Fence._fields) - 1) + [0])._replace(sends=0)
-    return lambda: calm(depots.Depots(full, names), budget, *script)
+    return lambda: settled_state(depots.StoreModel(full, names), budget, *script)
 
 
-# ---- lease: the first words are on their way
+# ---- lease: the first messages are in transit
 
 Lease = leases.Budget
 
 
-def lease(budget: leases.Budget, *script: Step) -> Callable[[], World]:
+def lease(budget: leases.Budget, *script: Transition) -> Callable[[], State]:
     if not script:
-        return lambda: leases.Leases(budget)
+        return lambda: leases.LeaseModel(budget)
     full = Lease._make([99] * (len(Lease._fields) - 1) + [0])
-    return lambda: calm(leases.Leases(full), budget, *script)
+    return lambda: settled_state(leases.LeaseModel(full), budget, *script)
 
 
-HELD: tuple[Step, ...] = (("time", ""),) * 2
+LEASE_HELD: tuple[Transition, ...] = (("time", ""),) * 2
 
-# ---- notice: all offices and gateways are linked, and no word is on its way
+# ---- notice: all controllers and gateways are linked, and no message is in transit
 
 Notice = notices.Budget
 
@@ -160,114 +167,134 @@
 
 PARTS: dict[str, tuple[Case, ...]] = {
     "takeover": (
-        Case("a put, the primary stands again, any order", office(Takeover(puts=1, long=1), *SERVES), 50000),
-        Case("the first start, any order", office(Takeover(puts=0, long=2)), 10000),
-        Case("a put, a crash, any order", office(Takeover(puts=1, long=1, crash=1), *SERVES), 15000),
-        Case("a crash", office(Takeover(puts=1, reads=1, long=2, crash=1, turns=0), *SERVES), 20000),
-        Case("a lost disk", office(Takeover(puts=1, long=2, wipe=1, turns=0), *SERVES), 20000),
-        Case("two disks, one after the other", office(Takeover(1, long=2, wipe=1, turns=0), *MENDED), 15000),
         Case(
-            "late words", office(Takeover(puts=2, reads=1, long=1, hold=1, late=1, turns=0), *SERVES), 15000
+            "a put, the primary stands again, any order", takeover(Takeover(puts=1, long=1), *SERVING), 50000
+        ),
+        Case("the first start, any order", takeover(Takeover(puts=0, long=2)), 10000),
+        Case("a put, a crash, any order", takeover(Takeover(puts=1, long=1, crash=1), *SERVING), 15000),
+        Case("a crash", takeover(Takeover(puts=1, reads=1, long=2, crash=1, reorder=0), *SERVING), 20000),
+        Case("a lost disk", takeover(Takeover(puts=1, long=2, wipe=1, reorder=0), *SERVING), 20000),
+        Case(
+            "two disks, one after the other",
+            takeover(Takeover(1, long=2, wipe=1, reorder=0), *DISK_RESTORED),
+            15000,
+        ),
+        Case(
+            "late words",
+            takeover(Takeover(puts=2, reads=1, long=1, hold=1, late=1, reorder=0), *SERVING),
+            15000,
+        ),
+        Case(
+            "one stands still",
+            takeover(Takeover(1, 1, long=1, short=1, freeze=1, reorder=1), *SERVING),
+            15000,
+        ),
+        Case("cut in two", takeover(Takeover(puts=2, long=2, cut=1, reorder=0), *SERVING), 15000),
+        Case(
+            "an old primary that was not told",
+            takeover(Takeover(2, 1, long=1, reorder=1), *TAKEN_OVER),
+            15000,
         ),
-        Case("one stands still", office(Takeover(1, 1, long=1, short=1, freeze=1, turns=1), *SERVES), 15000),
-        Case("cut in two", office(Takeover(puts=2, long=2, cut=1, turns=0), *SERVES), 15000),
-        Case("an old primary that was not told", office(Takeover(2, 1, long=1, turns=1), *TAKEN), 15000),
-        Case("numbers sent again", office(Takeover(puts=3, long=1, again=1, turns=0), *SERVES), 15000),
+        Case("numbers sent again", takeover(Takeover(puts=3, long=1, again=1, reorder=0), *SERVING), 15000),
         Case(
             "numbers sent again, a crash",
-            office(Takeover(puts=2, long=2, crash=1, again=1, turns=0), *TWO),
+            takeover(Takeover(puts=2, long=2, crash=1, again=1, reorder=0), *TWO_WRITES),
             15000,
         ),
         Case(
             "a word said again on two links",
-            office(Takeover(puts=2, short=1, slow=1, hold=1, turns=0), *SERVES),
+            takeover(Takeover(puts=2, short=1, slow=1, hold=1, reorder=0), *SERVING),
             15000,
         ),
-        Case("a planned end", office(Takeover(puts=1, short=3, long=1, ends=1, turns=0), *SERVES), 15000),
+        Case(
+            "a planned end", takeover(Takeover(puts=1, short=3, long=1, ends=1, reorder=0), *SERVING), 15000
+        ),
         Case(
             "a planned end, then a lost disk",
-            office(Takeover(puts=1, short=2, long=1, ends=1, wipe=1, turns=0), *SERVES),
+            takeover(Takeover(puts=1, short=2, long=1, ends=1, wipe=1, reorder=0), *SERVING),
             15000,
         ),
         Case(
             "an office replaced, a crash",
-            office(Takeover(puts=1, short=2, long=1, crash=1, turns=0), *REPLACED, spares=("o4",)),
+            takeover(Takeover(puts=1, short=2, long=1, crash=1, reorder=0), *REPLACED, spares=("o4",)),
             15000,
         ),
         Case(
             "an office replaced, a cut",
-            office(Takeover(short=2, long=1, cut=1, turns=0), *REPLACED, spares=("o4",)),
+            takeover(Takeover(short=2, long=1, cut=1, reorder=0), *REPLACED, spares=("o4",)),
             15000,
         ),
         Case(
             "an office replaced that comes back",
-            office(Takeover(short=2, long=2, turns=0), *AWAY, spares=("o4",)),
+            takeover(Takeover(short=2, long=2, reorder=0), *AWAY, spares=("o4",)),
             15000,
         ),
     ),
     "fence": (
-        Case("accepted, any order", depot(Fence(time=2, offers=1), *SETTLED), 50000),
+        Case("accepted, any order", fence(Fence(time=2, offers=1), *SETTLED), 50000),
         Case(
             "accepted, words read at once",
-            depot(Fence(time=4, offers=1, hold=1, together=1, turns=0), *LINKED),
+            fence(Fence(time=4, offers=1, hold=1, together=1, reorder=0), *GATEWAY_RESTARTED),
             5000,
         ),
-        Case("accepted, a crash, any order", depot(Fence(offers=1, crash=1), *SETTLED), 10000),
+        Case("accepted, a crash, any order", fence(Fence(offers=1, crash=1), *SETTLED), 10000),
         Case(
             "accepted, a lost disk",
-            depot(Fence(time=2, offers=1, wipe=1, sends=1, ends=1, turns=1), *SETTLED),
+            fence(Fence(time=2, offers=1, wipe=1, sends=1, ends=1, reorder=1), *SETTLED),
             10000,
         ),
-        Case("a counter cut off", depot(Fence(time=7, turns=0), *CUT), 20000),
-        Case("a counter that is heard late", depot(Fence(time=7, turns=1), *UNHEARD), 10000),
-        Case("two links cut", depot(Fence(time=7, sends=2, ends=1, cut=2, turns=0), *KEPT), 10000),
-        Case("one stands still", depot(Fence(time=7, sends=2, ends=1, freeze=1, turns=0), *KEPT), 10000),
-        Case("crashes", depot(Fence(time=5, sends=2, ends=1, crash=2, turns=0), *KEPT), 10000),
+        Case("a counter cut off", fence(Fence(time=7, reorder=0), *PARTITIONED), 20000),
+        Case("a counter that is heard late", fence(Fence(time=7, reorder=1), *ECHOES_HELD), 10000),
+        Case("two links cut", fence(Fence(time=7, sends=2, ends=1, cut=2, reorder=0), *STORED), 10000),
+        Case("one stands still", fence(Fence(time=7, sends=2, ends=1, freeze=1, reorder=0), *STORED), 10000),
+        Case("crashes", fence(Fence(time=5, sends=2, ends=1, crash=2, reorder=0), *STORED), 10000),
         Case(
             "moved",
-            depot(
-                Fence(time=3, sends=1, ends=1, retire=1, crash=1, turns=0), *KEPT, names=("d1", "d2", "d3")
+            fence(
+                Fence(time=3, sends=1, ends=1, retire=1, crash=1, reorder=0),
+                *STORED,
+                names=("d1", "d2", "d3"),
             ),
             10000,
         ),
         Case(
             "taken away, one has not heard",
-            depot(Fence(time=5, offers=1, turns=0), *ORDERED, names=("d1", "d2", "d3")),
+            fence(Fence(time=5, offers=1, reorder=0), *DRAIN_ORDERED, names=("d1", "d2", "d3")),
             10000,
         ),
         Case(
             "taken away, started anew",
-            depot(
-                Fence(time=4, offers=1, crash=1, unheard=1, turns=0),
-                *STARTED,
+            fence(
+                Fence(time=4, offers=1, crash=1, unheard=1, reorder=0),
+                *RESTARTED,
                 names=("d1", "d2", "d3"),
             ),
             10000,
         ),
         Case(
             "taken away, then a lost disk",
-            depot(Fence(time=6, retire=1, wipe=1, unheard=1, turns=0), *KEPT, names=("d1", "d2", "d3")),
+            fence(Fence(time=6, retire=1, wipe=1, unheard=1, reorder=0), *STORED, names=("d1", "d2", "d3")),
             10000,
         ),
     ),
     "lease": (
         Case("from the first word, any order", lease(Lease(time=2)), 10000),
-        Case("held, any order", lease(Lease(time=3), *HELD), 10000),
-        Case("links and offices lost", lease(Lease(time=8, lost=1, crash=1, turns=0)), 50000),
-        Case("the holder dies or leaves", lease(Lease(time=7, dies=1, leaves=1, turns=1)), 15000),
-        Case("one stands still", lease(Lease(time=7, freeze=1, lost=1, turns=0), *HELD), 50000),
-        Case("offices start anew, words late", lease(Lease(time=6, crash=2, turns=1), *HELD), 15000),
+        Case("held, any order", lease(Lease(time=3), *LEASE_HELD), 10000),
+        Case("links and offices lost", lease(Lease(time=8, lost=1, crash=1, reorder=0)), 50000),
+        Case("the holder dies or leaves", lease(Lease(time=7, dies=1, leaves=1, reorder=1)), 15000),
+        Case("one stands still", lease(Lease(time=7, freeze=1, lost=1, reorder=0), *LEASE_HELD), 50000),
+        Case("offices start anew, words late", lease(Lease(time=6, crash=2, reorder=1), *LEASE_HELD), 15000),
     ),
     "notice": (
-        Case("a worker drains", lambda: notices.Notices(Notice()), 1000),
-        Case("a worker drains, a cut", lambda: notices.Notices(Notice(cut=1, later=1)), 3000),
-        Case("a worker drains, cut and joined", lambda: notices.Notices(Notice(cut=1, joined=1)), 3000),
-        Case("a worker drains and leaves", lambda: notices.Notices(Notice(leaves=1)), 3000),
-        Case("by a view of before", lambda: notices.Replaced(Notice(later=1)), 1000),
-        Case("by a view of before, a cut", lambda: notices.Replaced(Notice(cut=1)), 3000),
+        Case("a worker drains", lambda: notices.NoticeModel(Notice()), 1000),
+        Case("a worker drains, a cut", lambda: notices.NoticeModel(Notice(cut=1, later=1)), 3000),
+        Case("a worker drains, cut and joined", lambda: notices.NoticeModel(Notice(cut=1, joined=1)), 3000),
+        Case("a worker drains and leaves", lambda: notices.NoticeModel(Notice(leaves=1)), 3000),
+        Case("by a view of before", lambda: notices.ReplacedVotersModel(Notice(later=1)), 1000),
+        Case("by a view of before, a cut", lambda: notices.ReplacedVotersModel(Notice(cut=1)), 3000),
     ),
     "answer": (
-        Case("two requests", lambda: answers.Answers(Answer(requests=2)), 1000),
-        Case("four requests", lambda: answers.Answers(Answer(requests=4)), 3000),
+        Case("two requests", lambda: answers.ResponseModel(Answer(requests=2)), 1000),
+        Case("four requests", lambda: answers.ResponseModel(Answer(requests=4)), 3000),
     ),
 }
--- a/opalwick/lab/verify/replayed.py
+++ b/opalwick/lab/verify/replayed.py
@@ -1,6 +1,7 @@
-"""A world that is its history: each state is played anew from the first.
+"""A model state represented by its history: each state is rebuilt by replaying that from the initial state.
 
-For small worlds whose parts hold callbacks, which cannot be copied: what a state costs grows with its depth.
+For small models whose objects hold callbacks, which cannot be copied. The cost of a state grows
+with its depth.
 """
 
 from __future__ import annotations
@@ -8,34 +9,34 @@
 from hashlib import blake2b
 from typing import Any, Self
 
-from opalwick.lab.verify.explorer import Step
+from opalwick.lab.verify.explorer import Transition
 
 
 class Replayed:
-    """A subclass builds its first state in `begin`, and takes a step in `do`: `Broken` where a property does
-    not hold there. `state` is all that what may follow depends on.
+    """Base class: `initialize` builds the initial state, `apply` takes a transition and raises
+    `PropertyViolation` if an invariant fails. `state` returns all that the future behaviour depends on.
     """
 
-    def __init__(self, budget: Any, history: tuple[Step, ...] = ()) -> None:
-        self.first, self.budget, self.history = budget, budget, history
-        self.begin()
+    def __init__(self, budget: Any, history: tuple[Transition, ...] = ()) -> None:
+        self.initial_budget, self.budget, self.history = budget, budget, history
+        self.initialize()
         for step in history:
-            self.do(step)
+            self.apply(step)
 
-    def begin(self) -> None:
+    def initialize(self) -> None:
         raise NotImplementedError
 
-    def do(self, step: Step) -> None:
+    def apply(self, step: Transition) -> None:
         raise NotImplementedError
 
-    def steps(self) -> list[Step]:
+    def enabled(self) -> list[Transition]:
         raise NotImplementedError
 
     def state(self) -> Any:
         raise NotImplementedError
 
-    def after(self, step: Step) -> Self:
-        return type(self)(self.first, (*self.history, step))
+    def successor(self, step: Transition) -> Self:
+        return type(self)(self.initial_budget, (*self.history, step))
 
     def key(self) -> bytes:
         return blake2b(repr((self.budget, self.state())).encode(), digest_size=12).digest()
