--- a/opalwick/protocol/__init__.py
+++ b/opalwick/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Formats: clients', workers', discovery's, peers' and the settings'; names and ids end here."""
+"""Wire formats of clients, workers, discovery and peers, and of the settings; maps their names to objects."""
--- a/opalwick/protocol/clients.py
+++ b/opalwick/protocol/clients.py
@@ -1,4 +1,4 @@
-"""The clients' side: what a request must say to be a work item, and what is answered to it."""
+"""Clients' requests: how a work item is decoded from a request, and how it is answered."""
 
 from __future__ import annotations
 
@@ -18,19 +18,21 @@
 
 
 _NUMBER = re.compile(rb"[0-9]{1,12}([.][0-9]{1,12})?")  # a million seconds in microseconds
-_MARK = re.compile(rb"[!-~]{0,128}")  # far longer than any id; odd letters would be closed on
+_TOKEN = re.compile(
+    rb"[!-~]{0,128}"
+)  # far longer than any id; printable ASCII, as workers close the connection on other characters
 
 
 class Call(conversation.Call):
-    """One that may be a work item."""
+    """A client's request that may be a work item."""
 
     __slots__ = ("taken", "again", "category")
 
     def __init__(self, message: Message, close: bool, changed: Event) -> None:
         super().__init__(message, close, changed)
-        self.taken = False  # handed on as a work item
-        self.again = False  # a hand-off was decided anew, as this process stood still
-        self.category: Category | None = None  # where it asks for one
+        self.taken = False  # passed on to the scheduler as a work item
+        self.again = False  # an attempt was decided anew after this process had been stalled
+        self.category: Category | None = None  # of a work item
 
     @property
     def id(self) -> bytes:
@@ -38,49 +40,49 @@
 
 
 class Takes(conversation.House, Protocol):
-    """What the scheduler does for the clients' side; nothing of it waits."""
+    """What a client's connection requires of the scheduler. No method blocks."""
 
     counts: Counts
-    advice: tuple[str, ...]  # fields that tell when to come back
+    advice: tuple[str, ...]  # header fields with the time after which to retry
 
-    def lets_in(self) -> bool: ...
+    def lets_in(self) -> bool: ...  # whether new work is accepted (readiness)
 
-    def room_for(self, body: int) -> bool: ...
+    def room_for(self, body: int) -> bool: ...  # whether an item with `body` bytes is within the limits
 
-    def holds(self, id: bytes) -> bool: ...
+    def holds(self, id: bytes) -> bool: ...  # whether a work item with this id is open
 
-    def take(self, call: Call, *fields: Any) -> None: ...
+    def take(self, call: Call, *fields: Any) -> None: ...  # accepts an item; fields as of decode()
 
-    def left(self, call: Call) -> None: ...
+    def left(self, call: Call) -> None: ...  # the client disconnected before an item's answer
 
-    def done(self, call: Call) -> None: ...
+    def done(self, call: Call) -> None: ...  # the call has ended, answered or not; once for each
 
 
-def _number(message: Message, what: str) -> float | None:
-    """A number of nought or more; none where the field is missing."""
-    text = message.headers.get(what.lower().encode())
+def _number(message: Message, field: str) -> float | None:
+    """Returns a header field's number, 0 or more; None if it is missing. Raises Malformed."""
+    text = message.headers.get(field.lower().encode())
     if text is not None and not _NUMBER.fullmatch(text):
-        raise Malformed(400, f"{what} is malformed")
+        raise Malformed(400, f"{field} is malformed")
     return None if text is None else float(text)
 
 
-def _mark(message: Message, what: str, needed: bool) -> bytes:
-    """An id or a key: a worker can use only what is one word."""
-    text = message.headers.get(what.lower().encode(), b"")
-    if needed and not text:
-        raise Malformed(400, f"{what} is missing")
-    if not _MARK.fullmatch(text):
-        raise Malformed(400, f"{what} is malformed")
+def _token(message: Message, field: str, required: bool) -> bytes:
+    """Returns an id or a key: workers accept only one word of printable ASCII. Raises Malformed."""
+    text = message.headers.get(field.lower().encode(), b"")
+    if required and not text:
+        raise Malformed(400, f"{field} is missing")
+    if not _TOKEN.fullmatch(text):
+        raise Malformed(400, f"{field} is malformed")
     return text
 
 
 def come_back(seconds: float) -> tuple[str, ...]:
-    """The field that tells a client when to come back, where it may be told."""
+    """Returns the Retry-After header field; nothing if `seconds` is 0, where it is not allowed."""
     return (f"Retry-After: {seconds:g}",) if seconds > 0 else ()
 
 
 def facts(text: bytes | None) -> dict[bytes, float]:
-    """Odd ones are passed over."""
+    """Parses a header of `name=number` pairs. Malformed pairs are ignored."""
     found = {}
     for pair in (text or b"").split(b","):
         name, _, value = pair.partition(b"=")
@@ -92,12 +94,15 @@
 
 
 def subject(last: bytes) -> int:
-    """What a work item is about, the last part of a path of several; 0: nothing."""
+    """Returns a hash of a work item's subject (the last part of its path); 0 if there is none."""
     return zlib.crc32(last) + 1 if last else 0
 
 
 def decode(message: Message, names: Names, now: float) -> tuple:
-    """The fields of a work item: category, customer, taken at, expiry at, hint, slots, subject, repeat."""
+    """Decodes a work item: category, customer, accepted at, expiry at, hint, slots, subject, repeat.
+
+    Times are in seconds on the process's clock; the hint is the expected work in seconds. Raises Malformed.
+    """
     parts = message.target.split(b"?", 1)[0].split(b"/")
     first = parts[1] if len(parts) > 1 else b""
     name = message.headers.get(b"x-service-class") or first
@@ -106,11 +111,11 @@
         raise Malformed(404, "no such class")
     if message.method != b"POST":
         raise Malformed(405, "only POST")
-    _mark(message, "X-Correlation-Id", True)
-    _mark(message, "Idempotency-Key", category.effect is Effect.KEYED)
-    left = _number(message, "X-Time-Left-Ms")
-    # counted from the sending: its first byte
-    expiry_at = message.first_at + (category.expiry if left is None else left / 1000.0)
+    _token(message, "X-Correlation-Id", True)
+    _token(message, "Idempotency-Key", category.effect is Effect.KEYED)
+    time_left = _number(message, "X-Time-Left-Ms")
+    # the time left is counted from the arrival of the request's first byte
+    expiry_at = message.first_at + (category.expiry if time_left is None else time_left / 1000.0)
     customer: Customer | None = names.customers.get(message.headers.get(b"x-account", b"").decode("latin-1"))
     hint = (_number(message, "X-Weight-Hint") or 0.0) * 1e-6
     slots = facts(message.headers.get(b"x-facts")).get(b"slots", 1.0)
@@ -127,7 +132,7 @@
 
 
 class Conversation(conversation.Conversation):
-    """A client's connection."""
+    """A client's connection that carries work items and readiness checks."""
 
     kind = Call
 
@@ -139,7 +144,7 @@
 
     def whole(self, message: Message, now: float) -> None:
         if message.target.split(b"?", 1)[0] == b"/-/ready":
-            # which makes no usual client of those that ask so and stay
+            # a readiness check doesn't count as a request that makes its sender an active client
             return self.asks(message, False).answer(200 if self.scheduler.lets_in() else 503)
         fields = decode(message, self.names, now)
         if self.scheduler.holds(message.headers[b"x-correlation-id"]):
--- a/opalwick/protocol/conversation.py
+++ b/opalwick/protocol/conversation.py
@@ -1,6 +1,7 @@
-"""One connection of clients, whatever they ask for: requests in, answers out in the order asked.
+"""A server's side of one HTTP connection: reads requests and writes the responses in the order of the
+requests.
 
-One greenlet reads a connection, one writes it.
+One greenlet reads the connection, another one writes it.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 
 class Call:
-    """One request and the answer that is owed for it."""
+    """One request and its response."""
 
     __slots__ = ("message", "reply", "close", "changed")
 
@@ -29,63 +30,66 @@
         self.reply: tuple[int, bytes, tuple[str, ...]] | None = None
 
     def answer(self, status: int, body: bytes = b"", *fields: str) -> None:
+        """Sets the response; the first one counts. `fields`: further header lines."""
         if self.reply is None:
             self.reply = status, body, fields
             self.changed.set()
 
 
 class House(Protocol):
-    """What is the same for all connections of a process."""
+    """What all connections of a process share."""
 
     pulse: Pulse
 
     @property
     def closing(self) -> bool:
-        """Connections are closed as soon as nothing is owed on them."""
+        """Whether connections are to be closed as soon as no response is pending on them."""
 
 
 class Conversation:
-    """A client's connection. What is asked is a subclass's: it overrides the hooks, none of which waits."""
+    """A client's connection. Subclasses interpret the requests by overriding the hooks, which must not
+    block."""
 
-    kind: type[Any] = Call  # of the calls made here; hooks get that
+    kind: type[Any] = Call  # class of the calls that are made here and passed to the hooks
 
     def __init__(self, connection: Connection, limits: Limits, house: House, full: bool = False) -> None:
         self.connection, self.limits, self.house = connection, limits, house
-        self.full = full  # at the brim: one answer, then it goes
-        self.owed: deque[Any] = deque()  # in the order asked
-        self.changed = Event()  # an answer is there, or reading is over
-        self.written = Event()  # an answer was written, or writing is over
+        self.full = full  # accepted above the limit of connections: closed after one response
+        self.owed: deque[Any] = deque()  # calls without a written response, in the order of requests
+        self.changed = Event()  # a response is set, or reading has ended
+        self.written = Event()  # a response was written, or writing has ended
         self.over = False
-        self.last = False  # nothing more is taken: what comes is read and dropped
-        self.asked = 0  # times, for what counts and in order
-        self.dropped = 0  # bytes
-        self.came: list[Message] = []  # whole, of what is being read, and not yet looked at
+        self.last = False  # no further request is accepted: data is read and discarded
+        self.asked = 0  # number of valid requests, without those that do not count
+        self.dropped = 0  # bytes read and discarded
+        self.came: list[Message] = []  # complete requests that are not yet processed
         self.parser = Parser(httptools.HttpRequestParser, limits, self.came.append, self.expects)
 
-    # ---- hooks; calls of the connection's own, a fault or leave to send, are answered and done as well
+    # ---- hooks; `answered` and `done` are also called for the connection's own calls: an error, 100 Continue
 
     def whole(self, message: Message, now: float) -> None:
-        """A request is whole: `asks` makes its call; Malformed, raised, is its answer and the last one.
-        `now`: when its last byte had come."""
+        """A request is complete: `asks` makes its call. Raises Malformed, which becomes its response and the
+        last one. `now`: when its last byte arrived."""
         raise NotImplementedError
 
     def answered(self, call: Any, status: int) -> None:
-        """Its final answer was written."""
+        """The final response was written."""
 
     def left(self, call: Any) -> None:
-        """The client has gone before there was an answer."""
+        """The client disconnected before there was a response."""
 
     def done(self, call: Any) -> None:
-        """It is over either way; once for each."""
+        """The call has ended, answered or not. Called once for each."""
 
     # ---- between requests
 
     def waits(self, least: float = 0.0) -> tuple[int, float] | None:
-        """How often it has asked, nought, once or more; and since when it waits for the next request, for the
-        rest of one that drips or for the other side's end. None: it may not go, or has not waited so long.
+        """Returns the rank for eviction: the number of requests (0, 1, or 2 for more), and since when it
+        waits for the next request, the rest of an incomplete one or the client's close. None if it must not
+        be closed, or has waited for less than `least` seconds or the limit of its rank.
 
-        One that asks again is worth more: whoever comes and says nothing, or asks once and stays, must not
-        take a usual client's place.
+        Clients with repeated requests rank higher: those that connect and send nothing, or send one request
+        and stay connected, must not displace regular clients.
         """
         if self.owed or self.over:
             return None
@@ -97,14 +101,15 @@
         return (min(self.asked, 2), since) if time.monotonic() >= since + least else None
 
     def silent(self) -> bool:
+        """Whether no request, nor a part of one, was received."""
         return not (self.asked or self.owed or self.over or self.parser.begun)
 
     def reads(self) -> bool:
-        """Something has come that it has not read yet."""
+        """Whether the beginning of a request is unread in the socket."""
         return not self.parser.begun and self.connection.readable()
 
     def due_at(self) -> float:
-        """When its next request must have come whole."""
+        """When the next request must be complete."""
         if not self.asked:
             return self.connection.opened_at + self.limits.first
         if self.parser.begun:
@@ -113,11 +118,12 @@
 
     def close(self) -> None:
         self.over = True
-        self.connection.close()  # whoever waits on it finds out
+        self.connection.close()  # wakes the greenlets that wait on it
         self.changed.set()
         self.written.set()
 
     def run(self) -> None:
+        """Serves the connection until it is closed."""
         writer = gevent.spawn(self.write)
         try:
             self.read()
@@ -126,7 +132,7 @@
         finally:
             self.close()
             writer.join()
-            for call in self.owed:  # the client has gone away
+            for call in self.owed:  # the client disconnected
                 if call.reply is None:
                     self.left(call)
                 self.done(call)
@@ -135,7 +141,7 @@
     # ---- reading
 
     def read(self) -> None:
-        """Until the other side's end."""
+        """Reads until the client closes."""
         while not self.over:
             while len(self.owed) >= self.limits.pipelined and not self.over:
                 self.written.clear()
@@ -149,7 +155,7 @@
                 )
             except TimeoutError:
                 if self.owed and not self.parser.begun or time.monotonic() < self.due_at():
-                    continue  # it was answered meanwhile, or still waits for that
+                    continue  # a response was written meanwhile, or is still pending
                 if not self.parser.begun:
                     return
                 self.fault(Malformed(408, "the request came too slowly"))
@@ -161,8 +167,12 @@
             self.feed(data)
 
     def feed(self, data: memoryview) -> None:
-        """71 late sends of 12 schedulers stopped for 6 s: what the kernel took in meanwhile counts from when
-        it came, not from when it is read, or it gets a new life after its expiry."""
+        """Parses received data, with the time at which it arrived.
+
+        Data that the kernel received while this process was stalled counts from its arrival, not from when it
+        is read. Otherwise items get a new deadline after their expiry: 12 schedulers that were stopped for 6
+        s made 71 attempts too late.
+        """
         connection = self.connection
         problem, now = None, connection.came_at(time.monotonic(), self.house.pulse)
         try:
@@ -174,15 +184,15 @@
             self.fault(problem)
 
     def settle(self, followed: bool) -> None:
-        """Looks at what has come whole, in order. The kernel's word is of the last byte that came: those
-        before the last one, where clients send without waiting, may have lain from the beginning."""
+        """Processes the complete requests in order. The kernel reports the arrival of the last byte only:
+        earlier pipelined requests may have arrived any time since the previous read."""
         came, self.came[:] = self.came[:], []
         for i, message in enumerate(came):
             now = self.parser.now
             if followed or i + 1 < len(came):
                 now = min(now, self.connection.lain_since)
                 message.first_at = min(message.first_at, now)
-            if self.last:  # what follows a last request is not taken
+            if self.last:  # requests after the last accepted one are discarded
                 continue
             try:
                 self.whole(message, now)
@@ -190,21 +200,21 @@
                 self.fault(problem)
 
     def drop(self) -> None:
-        """What still comes is read on, as closing on it would reset the connection and take the answer along:
-        until the other side's end, but not for ever."""
+        """Reads and discards data until the client closes, or up to a limit: closing with unread data would
+        reset the connection, and the client would lose the response."""
         while not self.over and self.dropped < self.limits.dropped:
             if not (count := self.connection.skip()):
                 return
             self.dropped += count
 
     def fault(self, problem: Malformed) -> None:
-        """It ends with this answer: one that asks for the same again has to come back first."""
+        """Ends the connection with this error: a client that repeats the request has to reconnect first."""
         self.last = True
         self.parser.begun = False
         self.owe(self.kind(Message(0.0), True, self.changed)).answer(problem.status, problem.text.encode())
 
     def asks(self, message: Message, counts: bool = True) -> Any:
-        """The call of a request. `counts`: it makes a usual client of one that asks so again and stays."""
+        """Makes the call of a request. `counts`: it counts as a request for the rank of the connection."""
         self.last = self.full or not message.keep_alive
         self.asked += counts
         return self.owe(self.kind(message, self.last, self.changed))
@@ -214,7 +224,7 @@
         return call
 
     def expects(self) -> None:
-        """Called by the parser: the client waits for leave to send the body."""
+        """Called by the parser: the client waits for 100 Continue before it sends the body."""
         self.settle(True)
         self.owe(self.kind(Message(0.0), False, self.changed)).answer(100)
 
@@ -229,7 +239,7 @@
                     self.changed.wait()
                     continue
                 call = self.owed[0]
-                # decided now: it may have been told to close since the request came
+                # checked now: closing may have begun since the request arrived
                 if self.house.closing and len(self.owed) == 1 and not self.parser.begun:
                     self.last = call.close = True
                 status, body, fields = reply
@@ -241,7 +251,7 @@
                 self.done(call)
                 self.written.set()
                 if call.close:
-                    # the reader reads on and drops, for as long as it finds something
+                    # the reader goes on discarding as long as data arrives, within the limits
                     self.connection.shut()
                     until, before = time.monotonic() + self.limits.leaving, -1
                     while not self.over and self.dropped > before and time.monotonic() < until:
@@ -249,7 +259,7 @@
                         self.changed.clear()
                         self.changed.wait(self.limits.linger)
                     return
-        except OSError:  # gone, or it does not read
+        except OSError:  # disconnected, or the client does not read
             pass
         finally:
             self.close()
--- a/opalwick/protocol/discovery.py
+++ b/opalwick/protocol/discovery.py
@@ -1,4 +1,4 @@
-"""The list of workers: a watch kept without a gap, and its entries."""
+"""The list of workers: a continuous watch (long poll) at discovery, and decoding of its entries."""
 
 from __future__ import annotations
 
@@ -15,10 +15,11 @@
 from opalwick.transport.limits import Limits
 
 _PHASES = {"ready": Phase.READY, "draining": Phase.DRAINING, "gone": Phase.GONE}
-LONG_AGO = -1e9  # before any start of a clock
+LONG_AGO = -1e9  # seconds; before the origin of any process's clock
 
 
 def address(text: Any, least: int = 1) -> Address:
+    """Parses `host:port`, with a port of at least `least`. Raises ValueError."""
     host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not host or not colon or not port.isdigit() or not least <= int(port) < 65536:
         raise ValueError(f"not an address: {text!r}")
@@ -26,27 +27,27 @@
 
 
 def _share(given: Any) -> float:
-    """A worker's size; an odd one counts as untold, which costs nobody the worker."""
+    """Returns a worker's size; 0 (unknown) if it is malformed, so that the worker stays usable."""
     return float(given) if isinstance(given, (int, float)) and 0 < given < 1e6 else 0.0
 
 
-def rows(told: Any, names: Names, unix: float) -> tuple[int, bool, list[tuple]]:
-    """The version, whether the list is whole, and its entries as the reducer takes them.
+def rows(data: Any, names: Names, unix: float) -> tuple[int, bool, list[tuple]]:
+    """Decodes a list: its version, whether it is complete, and its entries as the reducer's rows.
 
-    `unix` is the Unix time at which the clock stood at nought. ValueError where a list is no list; an odd
-    entry is passed over, as one worker more or less must not cost the others.
+    `unix` is the Unix time at the origin of the process's clock. Raises ValueError if it is not a list of
+    workers; a malformed entry is skipped, as it must not make the other workers unusable.
     """
     try:
-        version, whole, hosts = int(told["seq"]), bool(told["whole"]), list(told["hosts"])
+        version, whole, hosts = int(data["seq"]), bool(data["whole"]), list(data["hosts"])
     except (TypeError, KeyError, OverflowError) as problem:
         raise ValueError(f"not a list of workers: {problem}") from None
     found = []
     for entry in hosts:
         try:
             name, born, zone = str(entry["host"]), float(entry.get("born_ms", 0)), names.zone(entry["site"])
-            if zone > 255:  # a word to another scheduler gives it a byte
+            if zone > 255:  # peer messages have one byte for a zone
                 continue
-            # the same number at every scheduler
+            # a hash, so that a worker has the same id at every scheduler
             number = zlib.crc32(name.encode())
             found.append(
                 (
@@ -67,9 +68,9 @@
 
 
 def listing(version: int, found: Iterable[tuple], names: Names, unix: float) -> dict[str, Any]:
-    """The inverse of `rows`."""
+    """Encodes rows to a complete list: the inverse of `rows`."""
     zones, kinds = ({i: name for name, i in given.items()} for given in (names.zones, names.kinds))
-    words = {phase: word for word, phase in _PHASES.items()}
+    health = {phase: text for text, phase in _PHASES.items()}
     return {
         "seq": version,
         "whole": True,
@@ -80,7 +81,7 @@
                 "site": zones[zone],
                 "class": kinds[kind],
                 "block": cell,
-                "health": words[phase],
+                "health": health[phase],
                 "share": share,
                 "born_ms": round((ready_at + unix) * 1000.0) if ready_at > LONG_AGO else 0,
             }
@@ -90,7 +91,8 @@
 
 
 class Discovery:
-    """Calls are made one after the other, by the greenlet that runs `watch`."""
+    """Watches the list of workers over one connection, by sequential calls from the greenlet that runs
+    `watch`."""
 
     def __init__(
         self,
@@ -104,16 +106,17 @@
         self.place, self.version, self.names, self.unix = place, version, names, unix
         self.limits, self.listed = limits, listed
         self.connection: Connection | None = None
-        self.moved = False  # since the call that is on its way began
+        self.moved = False  # the address changed since the current call began
 
     def move(self, place: Address) -> None:
-        """What is on its way is broken off: the old place may stay silent, or tell nothing any more."""
+        """Changes the address. Aborts the current call: the old address may not answer, or have no more
+        updates."""
         self.place, self.moved = place, True
         self.close()
 
     def watch(self) -> None:
-        """Until a call fails: then the reducer asks for another watch when it sees fit."""
-        wait = 0.0  # the first answer comes at once: the watch is on
+        """Runs until a call fails; then the reducer decides when to start another watch."""
+        wait = 0.0  # the first call returns at once, which confirms the watch
         try:
             while True:
                 self.moved = False
@@ -123,7 +126,7 @@
                     if not self.moved:
                         raise
                     self.close()
-                    wait = 0.0  # begun anew elsewhere, without a pause
+                    wait = 0.0  # restarted at the new address, without a pause
                     continue
                 self.version = version
                 if found or whole or not wait:
@@ -132,12 +135,14 @@
         except (OSError, Malformed, ValueError):
             pass
         finally:
-            # whatever ended it: a watch that is not known to have failed would never be asked for again
+            # on any exception: a watch that is not reported as failed would never be restarted
             self.close()
             self.listed(ListForm.FAILED, [])
 
     def call(self, wait: float) -> tuple[int, bool, list[tuple]]:
-        # calls that do not wait still queue at discovery, which fails them itself when that takes too long
+        """Makes one call that waits up to `wait` seconds for changes. Raises OSError, Malformed,
+        ValueError."""
+        # calls that do not wait still queue at discovery, which fails them itself if that takes too long
         until = time.monotonic() + (wait + self.limits.silent if wait else self.limits.queued)
         target = f"/api/targets?since={self.version}&timeout_ms={max(1, int(wait * 1000))}"
         data = f"GET {target} HTTP/1.1\r\nHost: discovery\r\n\r\n".encode()
@@ -155,7 +160,7 @@
         return rows(json.loads(found.body), self.names, self.unix)
 
     def unread(self) -> bool:
-        """Whether a list, or a part of one, lies in its socket."""
+        """Whether unread data, a list or a part of one, is in the socket."""
         return self.connection is not None and self.connection.readable()
 
     def close(self) -> None:
--- a/opalwick/protocol/settings.py
+++ b/opalwick/protocol/settings.py
@@ -1,4 +1,5 @@
-"""The settings that a scheduler gets at its start: decoded once, for every front; their names end here."""
+"""Decodes the settings that a scheduler is started with; the keys of settings are used in this module
+only."""
 
 from __future__ import annotations
 
@@ -12,25 +13,28 @@
 _EFFECTS = {"repeatable": Effect.IDEMPOTENT, "by_key": Effect.KEYED, "once": Effect.AT_MOST_ONCE}
 _REPORT = {"active": LoadMetric.IN_FLIGHT, "waiting": LoadMetric.WAITING}
 _REPORTS = {"piggyback": ReportSource.RESPONSES, "pull": ReportSource.PROBES, "silent": ReportSource.NONE}
-# what the list tells of sizes: under load `live` is no size
+# whether the worker list gives fixed sizes; `live` is a figure that varies with load, not a size
 _SIZED = {"silent": False, "live": False, "nominal": True, "rough": True}
 _MICRO = 1e-6
 
 
 class BadStart(Exception):
-    """A start value that is needed is missing or malformed."""
+    """A required setting is missing, or a setting is malformed or contradicts another."""
 
 
 def flat(nested: Any, path: str = "") -> dict[str, str]:
-    """Nested settings as path and text: plain lists joined by commas, lists of objects numbered."""
+    """Flattens nested settings to a map from dotted path to text.
+
+    A list of plain values becomes one text joined by commas, a list of objects `count` and numbered paths.
+    """
     if isinstance(nested, Mapping):
-        inside = [(str(key), value) for key, value in nested.items()]
+        entries = [(str(key), value) for key, value in nested.items()]
     elif isinstance(nested, list) and any(isinstance(value, Mapping) for value in nested):
-        inside = [("count", len(nested)), *((str(i), value) for i, value in enumerate(nested))]
+        entries = [("count", len(nested)), *((str(i), value) for i, value in enumerate(nested))]
     else:
         return {path: ",".join(map(_text, nested)) if isinstance(nested, list) else _text(nested)}
     values: dict[str, str] = {}
-    for key, value in inside:
+    for key, value in entries:
         values |= flat(value, f"{path}.{key}" if path else key)
     return values
 
@@ -42,13 +46,18 @@
 
 
 class Values:
+    """Typed access to flattened settings; times are returned in seconds.
+
+    Methods raise BadStart where a value is missing without a default, or malformed.
+    """
+
     def __init__(self, values: Mapping[str, str]) -> None:
         self._values = values
 
     def text(self, key: str, default: str | None = None) -> str:
         value = self._values.get(key, default)
         if value is None:
-            raise BadStart(f"start value {key} is missing")
+            raise BadStart(f"setting {key} is missing")
         return value
 
     def number(self, key: str, default: float | None = None) -> float:
@@ -58,7 +67,7 @@
         except ValueError:
             value = math.nan
         if not math.isfinite(value) or value < 0:
-            raise BadStart(f"start value {key} is malformed: {text!r}")
+            raise BadStart(f"setting {key} is malformed: {text!r}")
         return value
 
     def seconds(self, key: str, default: float | None = None) -> float:
@@ -67,7 +76,7 @@
     def flag(self, key: str, default: str | None = None) -> bool:
         text = self.text(key, default)
         if text not in ("true", "false"):
-            raise BadStart(f"start value {key} is malformed: {text!r}")
+            raise BadStart(f"setting {key} is malformed: {text!r}")
         return text == "true"
 
     def choice(self, key: str, choices: Any, default: str | None = None) -> Any:
@@ -75,38 +84,42 @@
         try:
             return choices[text]
         except (KeyError, TypeError):
-            raise BadStart(f"start value {key} is malformed: {text!r}") from None
+            raise BadStart(f"setting {key} is malformed: {text!r}") from None
 
     def row(self, key: str) -> list[str]:
+        """Returns the elements of a list of plain values; an empty list if the key is missing."""
         return [part for part in self._values.get(key, "").split(",") if part]
 
 
 def read_terms(given: Mapping[str, str]) -> SchedulerConfig:
+    """Builds the scheduler's configuration. Raises BadStart."""
     values = Values(given)
     stretches = values.row("family-info.class-stretch")
     groups, kinds = {group.value: group for group in Group}, values.row("family-info.class-kind")
     known = {"-1", *map(str, range(len(values.row("skus"))))}
     for kind in kinds:
         if kind not in known:
-            raise BadStart(f"start value family-info.class-kind is malformed: {kind!r} is no place in skus")
+            raise BadStart(f"setting family-info.class-kind is malformed: {kind!r} is no index into skus")
     categories = []
     for i in range(int(values.number("categories.count"))):
-        at = f"categories.{i}."
+        prefix = f"categories.{i}."
         try:
-            stretch = float(stretches[i]) if i < len(stretches) else values.number(at + "aim-stretch", 0.0)
+            stretch = (
+                float(stretches[i]) if i < len(stretches) else values.number(prefix + "aim-stretch", 0.0)
+            )
         except ValueError:
-            raise BadStart(f"start value family-info.class-stretch is malformed: {stretches[i]!r}") from None
-        expiry = values.seconds(at + "expiry-us")
+            raise BadStart(f"setting family-info.class-stretch is malformed: {stretches[i]!r}") from None
+        expiry = values.seconds(prefix + "expiry-us")
         categories.append(
             Category(
-                values.number(at + "credit"),
-                values.choice(at + "effect", _EFFECTS),
-                values.choice(at + "group", groups, "all"),
-                values.seconds(at + "due-time-us"),
+                values.number(prefix + "credit"),
+                values.choice(prefix + "effect", _EFFECTS),
+                values.choice(prefix + "group", groups, "all"),
+                values.seconds(prefix + "due-time-us"),
                 stretch,
                 expiry,
-                values.number(at + "tardy-credit", 0.0),
-                values.seconds(at + "window-us", expiry),
+                values.number(prefix + "tardy-credit", 0.0),
+                values.seconds(prefix + "window-us", expiry),
                 int(kinds[i]) if i < len(kinds) else -1,
             )
         )
@@ -158,7 +171,7 @@
 
 
 def refuse_mixed(given: Mapping[str, str]) -> None:
-    """A scheduler's own check of its start: settings of one shape beside those of another."""
+    """Raises BadStart if settings of load reports contradict each other."""
     values = Values(given)
     names, how = values.row("load-report.names"), values.text("load-report.how", "piggyback")
     for name in names:
@@ -167,29 +180,36 @@
     if how == "silent" and names:
         raise BadStart(f"load-report.names holds {names[0]!r}, but load-report.how is 'silent'")
     if how == "pull" and not names:
-        raise BadStart("load-report.names is empty, but load-report.how is 'pull': probes would tell nothing")
+        raise BadStart(
+            "load-report.names is empty, but load-report.how is 'pull': probes would report nothing"
+        )
     if how == "pull" and not values.flag("ceilings.may-probe", "false"):
-        raise BadStart("ceilings.may-probe is not true, but load-report.how is 'pull': nothing would be told")
+        raise BadStart(
+            "ceilings.may-probe is not true, but load-report.how is 'pull': nothing would be reported"
+        )
 
 
 @dataclass(slots=True)
 class Names:
-    """What the names on the sockets stand for."""
+    """Maps names used on the wire to categories, customers and indices."""
 
     categories: dict[str, Category]
     customers: dict[str, Customer]
     zones: dict[str, int]
     kinds: dict[str, int]
-    figures: list[str]  # of a worker's report, in the order of `Terms.report`
+    figures: list[str]  # of a load report, in the order of SchedulerConfig.load_metrics
 
     def zone(self, name: str) -> int:
+        """Returns the index of a zone; assigns the next one to a new name."""
         return self.zones.setdefault(name, len(self.zones))
 
     def kind(self, name: str) -> int:
+        """Returns the index of a kind of worker; assigns the next one to a new name."""
         return self.kinds.setdefault(name, len(self.kinds))
 
 
 def read_names(given: Mapping[str, str], terms: SchedulerConfig) -> Names:
+    """Builds the maps of names. Raises BadStart."""
     values = Values(given)
     zones, kinds = ({name: i for i, name in enumerate(values.row(key))} for key in ("localities", "skus"))
     return Names(
--- a/opalwick/protocol/words.py
+++ b/opalwick/protocol/words.py
@@ -1,4 +1,4 @@
-"""What schedulers tell each other, as octets of at most 256, for every front."""
+"""Binary encoding of the messages between schedulers; a message has at most 256 bytes."""
 
 from __future__ import annotations
 
@@ -8,14 +8,15 @@
 
 from opalwick.interface import LoadRow, LoadTotals, LoadReport, Worker
 
-# kind, zone, mark and, in sums, how many were heard; then a row a worker: the low and high half of its id
-# folded, half slots, and seconds to run on a scale of even ratios
-_WORD, _SUM, _ROW = struct.Struct("<BBI"), struct.Struct("<BBIH"), struct.Struct("<HBB")
-_FIT = (256 - _SUM.size) // _ROW.size
+# Header: kind, zone, mark and, in load totals, the number of schedulers included. Then one row per worker:
+# its id folded to 16 bits, load in half slots, and the seconds of work left on a logarithmic scale.
+_REPORT, _TOTALS, _ROW = struct.Struct("<BBI"), struct.Struct("<BBIH"), struct.Struct("<HBB")
+_MAX_ROWS = (256 - _TOTALS.size) // _ROW.size
 _SECONDS = [math.expm1(step / 20.0) / 20.0 for step in range(256)]
 
 
 def short(wid: int) -> int:
+    """Folds a worker's 32-bit id to 16 bits."""
     return (wid ^ wid >> 16) & 0xFFFF
 
 
@@ -31,28 +32,33 @@
 
 
 def packed(decision: LoadReport | LoadTotals) -> Iterator[bytes]:
+    """Yields the messages that encode a load report or load totals."""
     if isinstance(decision, LoadReport):
-        # one message, as a second would take the first's place: the heaviest that fit
-        heaviest = sorted(decision.rows, key=lambda row: -row[2])[:_FIT]
-        yield _WORD.pack(0, decision.zone, decision.mark) + _rows(heaviest)
+        # A receiver replaces the previous report by a new one, so only one message is sent: the rows with the
+        # most remaining work that fit.
+        heaviest = sorted(decision.rows, key=lambda row: -row[2])[:_MAX_ROWS]
+        yield _REPORT.pack(0, decision.zone, decision.mark) + _rows(heaviest)
         return
-    # a zone of more workers than fit takes several: what is left out would stay as last told
-    for at in range(0, max(1, len(decision.rows)), _FIT):
+    # A zone with more workers than fit takes several messages: a worker left out would keep its last total.
+    for at in range(0, max(1, len(decision.rows)), _MAX_ROWS):
         yield (
-            _SUM.pack(1, decision.zone, decision.mark, decision.schedulers)
-            + _rows(decision.rows[at : at + _FIT])
+            _TOTALS.pack(1, decision.zone, decision.mark, decision.schedulers)
+            + _rows(decision.rows[at : at + _MAX_ROWS])
         )
 
 
-def unpacked(octets: bytes, shorts: dict[int, Worker | None]) -> tuple[str, list] | None:
-    """The balancer's input and its fields, without who said it; None for what is not one of ours."""
-    head = {0: _WORD, 1: _SUM}.get(octets[0]) if octets else None
-    if head is None or len(octets) < head.size or (len(octets) - head.size) % _ROW.size:
+def unpacked(data: bytes, shorts: dict[int, Worker | None]) -> tuple[str, list] | None:
+    """Decodes a message to a reducer input and its fields, without the sender; None if it is not valid.
+
+    Rows of unknown workers are left out.
+    """
+    head = {0: _REPORT, 1: _TOTALS}.get(data[0]) if data else None
+    if head is None or len(data) < head.size or (len(data) - head.size) % _ROW.size:
         return None
-    _, zone, mark, *heard = head.unpack_from(octets)
+    _, zone, mark, *schedulers = head.unpack_from(data)
     rows = [
         (w, slots * 0.5, _SECONDS[left])
-        for key, slots, left in _ROW.iter_unpack(octets[head.size :])
+        for key, slots, left in _ROW.iter_unpack(data[head.size :])
         if (w := shorts.get(key)) is not None
     ]
-    return ("told", [mark, zone, rows]) if head is _WORD else ("summed", [mark, zone, *heard, rows])
+    return ("told", [mark, zone, rows]) if head is _REPORT else ("summed", [mark, zone, *schedulers, rows])
--- a/opalwick/protocol/workers.py
+++ b/opalwick/protocol/workers.py
@@ -1,4 +1,4 @@
-"""The workers' side: one hand-off, from its connection to its outcome."""
+"""One delivery attempt to a worker over HTTP, from its connection to its outcome."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 
 
 def figures(load: Any, names: Sequence[str]) -> tuple[float, ...]:
-    """A load report, as an object or as text, in the order of the names.
+    """Parses a load report, a JSON object or text `name=figure,...`, to figures in the order of the names.
 
-    What is missing or odd counts as less than nothing, which the module passes over.
+    A missing or malformed figure becomes -1, which the balancer ignores. Empty if there is no report.
     """
     if isinstance(load, bytes):
         load = dict(pair.split("=", 1) for pair in load.decode("latin-1").split(",") if "=" in pair)
@@ -42,6 +42,7 @@
 
 
 def request(message: Message, dial: str, time_left: float) -> bytes:
+    """Encodes a work item's request; `time_left` in seconds."""
     lines = [b"%b %b HTTP/1.1" % (message.method, message.target), b"Host: " + dial.encode()]
     for name in (b"X-Correlation-Id", b"Idempotency-Key", b"X-Service-Class", b"Content-Type"):
         if (value := message.headers.get(name.lower())) is not None:
@@ -52,21 +53,21 @@
 
 
 class Answer(errand.Answer):
-    """A worker's answer as it comes: an object a line."""
+    """Parses a worker's streamed response: one JSON object per line."""
 
     def __init__(self, limits: Limits) -> None:
         super().__init__(limits)
-        self.line = b""  # begun, not whole
-        self.lines: list[bytes] = []  # not yet looked at
+        self.line = b""  # incomplete last line
+        self.lines: list[bytes] = []  # complete, not yet processed
 
     def on_body(self, part: bytes) -> None:
         self.unread = 0
         if self.parser.get_status_code() != 200:
             return
-        *whole, self.line = (self.line + part).split(b"\n")
-        if len(self.line) > 8 * self.limits.body:  # a result may be escaped, with six bytes for one
-            self.wrong(502, "a line too long")
-        self.lines += whole
+        *complete, self.line = (self.line + part).split(b"\n")
+        if len(self.line) > 8 * self.limits.body:  # JSON escapes may take six bytes for one of the result
+            self.wrong(502, "line too long")
+        self.lines += complete
 
     def ended(self, message: Message) -> None:
         if self.line:
@@ -74,11 +75,11 @@
         super().ended(message)
 
 
-End = tuple[Outcome, tuple[float, ...], bytes]  # with the load report and the result that came along
+End = tuple[Outcome, tuple[float, ...], bytes]  # with the load report and the result of the response
 
 
 class HandingOff(errand.Errand):
-    """One hand-off on its way; `tell` gets the reducer's inputs of it."""
+    """One attempt in progress; `tell` is called with the reducer's inputs about it."""
 
     __slots__ = ("id", "names", "counts", "tell", "fault")
     answer: Answer
@@ -99,12 +100,12 @@
         super().__init__(address, data, until, wanted, pool, limits, Answer(limits))
         self.id = message.headers[b"x-correlation-id"].decode("latin-1")
         self.names, self.counts, self.tell = names, counts, tell
-        self.fault = 0  # the status by which the worker blames the client
+        self.fault = 0  # the status with which the worker rejected the request as the client's error
 
     def told(self, end: End, kept: bool) -> None:
         outcome, load, result = end
         self.tell("ended", outcome, bool(self.fault), load, result, kept)
-        del self.tell  # which knows this one, as `wanted` does
+        del self.tell  # breaks the reference cycle, as for `wanted`
 
     def bare(self, outcome: Outcome) -> End:
         return outcome, (), b""
@@ -136,38 +137,39 @@
             return self.bare(self.failed(connection, problem))
 
     def line(self, line: bytes) -> End | None:
-        """The outcome, if this line tells it."""
+        """Processes a line of the response; returns the end if the line is a final state."""
         try:
-            told = json.loads(line)
-            state = told["state"]
-            if told.get("id", self.id) != self.id:
+            event = json.loads(line)
+            state = event["state"]
+            if event.get("id", self.id) != self.id:
                 return None  # of another request
         except (ValueError, TypeError, KeyError, AttributeError):
-            return None  # an odd line is passed over
+            return None  # a malformed line is ignored
         if state == "started":
             self.tell("began")
         elif state == "running":
-            share = told.get("share")
+            share = event.get("share")
             if isinstance(share, (int, float)):
                 self.tell("progressed", float(share))
         elif state in _STATES:
-            result, outcome = told.get("result"), _STATES[state]
+            result, outcome = event.get("result"), _STATES[state]
             if outcome is Outcome.FINISHED and not isinstance(result, str):
-                outcome = Outcome.ERROR  # it ran, but there is nothing to hand on
-            return outcome, figures(told.get("load"), self.names), result.encode() if result else b""
+                outcome = Outcome.ERROR  # it ran, but there is no result to return
+            return outcome, figures(event.get("load"), self.names), result.encode() if result else b""
         return None
 
     def cut(self, answer: Answer) -> End:
-        """The connection has ended. An answer without a length ends so, and its fields tell the outcome."""
+        """The worker closed the connection. That ends a response without a length: its header has the
+        outcome."""
         answer.message.status = answer.parser.get_status_code() if answer.headed else 200
         return self.status(answer.message)
 
-    def status(self, last: Message) -> End:
-        """The outcome of an answer without a last line."""
-        load = figures(last.headers.get(b"x-backend-load"), self.names)
-        if last.status == 200:
+    def status(self, response: Message) -> End:
+        """Returns the end for a response that has no final line."""
+        load = figures(response.headers.get(b"x-backend-load"), self.names)
+        if response.status == 200:
             return Outcome.BROKEN, load, b""
-        if blames(last.status):
-            self.fault = last.status
-        never_ran = last.status in (503, 504) and last.headers.get(b"x-unprocessed") == b"1"
+        if blames(response.status):
+            self.fault = response.status
+        never_ran = response.status in (503, 504) and response.headers.get(b"x-unprocessed") == b"1"
         return (Outcome.FULL if never_ran else Outcome.ERROR), load, b""
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -150,11 +150,11 @@
         ),
         (
             {"load-report": {"how": "pull", "names": ["x0"]}},
-            "ceilings.may-probe is not true, but load-report.how is 'pull': nothing would be told",
+            "ceilings.may-probe is not true, but load-report.how is 'pull': nothing would be reported",
         ),
         (
             PULL | {"load-report": {"how": "pull", "names": []}},
-            "load-report.names is empty, but load-report.how is 'pull': probes would tell nothing",
+            "load-report.names is empty, but load-report.how is 'pull': probes would report nothing",
         ),
         ({"load-report": {"names": ["x0", "active", "x0"]}}, "load-report.names holds 'x0' twice"),
     ],
@@ -168,7 +168,7 @@
 
 
 MIXED = SETTINGS | {"load-report": {"how": "pull", "names": ["x0"]}}
-SAID = "settings: ceilings.may-probe is not true, but load-report.how is 'pull': nothing would be told"
+SAID = "settings: ceilings.may-probe is not true, but load-report.how is 'pull': nothing would be reported"
 
 
 def test_every_command_refuses_mixed_settings_in_one_plain_line(tmp_path) -> None:
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -270,9 +270,9 @@
         "limits.sockets is malformed: 'many' is not a number of 1 or more",
         "settings is missing",
         "known is malformed: [] is not dict",
-        "settings: start value ceilings.max-hand-offs is missing",
-        "settings: start value categories.0.expiry-us is missing",
-        "settings: start value discovery is malformed: 'rumour'",
+        "settings: setting ceilings.max-hand-offs is missing",
+        "settings: setting categories.0.expiry-us is missing",
+        "settings: setting discovery is malformed: 'rumour'",
         "BALANCER_CONFIG is missing",
     ]
 
