--- a/opalwick/protocol/errand.py
+++ b/opalwick/protocol/errand.py
@@ -1,4 +1,4 @@
-"""One request to the other side over a kept connection: from its sending to its outcome."""
+"""One outgoing request over a pooled connection, from its sending to its outcome."""
 
 from __future__ import annotations
 
@@ -16,18 +16,19 @@
 
 
 class Answer(Parser):
-    """The other side's answer as it comes."""
+    """Parses the response."""
 
     def __init__(self, limits: Limits, most: int = 0) -> None:
         super().__init__(httptools.HttpResponseParser, limits, self.ended, most=most)
-        self.last: Message | None = None  # the whole answer, once it is over
+        self.last: Message | None = None  # the response, once it is complete
 
     def ended(self, message: Message) -> None:
         self.last = message
 
 
 class Errand:
-    """What it ends with is a subclass's: that listens, and tells it. Here an outcome is an end."""
+    """An outgoing request. Subclasses read the response and report the end: a value of their own that
+    contains the outcome. Here the end is the outcome alone."""
 
     __slots__ = ("address", "data", "until", "wanted", "pool", "limits", "connection", "answer", "given_up")
 
@@ -49,39 +50,43 @@
     # ---- hooks
 
     def listen(self, connection: Connection) -> Any:
-        """The end; it waits for the answer, and closes the connection if that breaks off."""
+        """Waits for the response and returns the end. Closes the connection if it fails."""
         raise NotImplementedError
 
     def greet(self, connection: Connection) -> None:
-        """On a connection that is up, before the request goes out on it: OSError if it must not."""
+        """Called once connected, before the request is written. Raises OSError if it must not be written."""
 
     def write(self, connection: Connection) -> None:
-        """The whole request; OSError where that fails."""
+        """Writes the whole request. Raises OSError if that fails."""
         connection.write(self.data, self.until - time.monotonic())
 
     def told(self, end: Any, kept: bool) -> None:
-        """Tells the end, once. `kept`: a connection from before broke without a word."""
+        """Reports the end, once. `kept`: a reused connection broke without a response."""
         raise NotImplementedError
 
     def bare(self, outcome: Outcome) -> Any:
-        """The end where nothing came that could be heard: not sent, or broken."""
+        """Returns the end for an outcome without a response, such as not sent or broken."""
         return outcome
 
     def broke(self, end: Any) -> bool:
+        """Whether the connection broke."""
         return end is Outcome.BROKEN
 
-    # ---- its way
+    # ---- execution
 
     def give_up(self) -> None:
-        """Closes the connection; the greenlet that waits on it finds out and tells the outcome."""
+        """Cancels by closing the connection; this wakes the greenlet that waits on it, which reports the
+        outcome."""
         self.given_up = True
         if self.connection is not None:
             self.connection.close()
 
     def over(self) -> bool:
+        """Whether it must not be sent: cancelled, past its deadline, or no longer wanted."""
         return self.given_up or time.monotonic() >= self.until or not self.wanted()
 
     def run(self) -> None:
+        """Sends the request and reports its end."""
         if self.over():
             return self.told(self.bare(Outcome.NOT_SENT), False)
         try:
@@ -93,7 +98,7 @@
             unsent = self.send(connection)
             end = self.bare(unsent) if unsent else self.listen(connection)
         finally:
-            # told before the connection goes back, so that nothing that waits holds up the outcome
+            # reported before the connection is returned, as reading the rest of the response may block
             answered = self.answer.begun or self.answer.headed
             kept = connection.used > 1 and not answered and self.broke(end)
             if kept or answered:
@@ -101,15 +106,16 @@
             self.told(end, kept)
             self.connection = None
             self.finish(connection)
-            del self.wanted  # which knows this one: only a collection would free them both
+            del self.wanted  # it refers to this object: such a cycle is freed by a garbage collection only
 
     def send(self, connection: Connection) -> Outcome | None:
-        """None once the last byte is written; until then it has not run."""
+        """Connects and writes; returns None once the last byte is written. Until then the request has not
+        run."""
         try:
             if not connection.used:
                 connection.used = 1
                 connection.connect(self.address, min(self.limits.connect, self.until - time.monotonic()))
-                # answered while it came up, where nothing may be cancelled: nothing is sent any more
+                # the call was answered while connecting, and a sent request may not be cancellable
                 if self.over():
                     raise ConnectionAbortedError
             self.greet(connection)
@@ -121,14 +127,14 @@
             return Outcome.NOT_SENT if self.over() else Outcome.NO_CONNECTION
 
     def failed(self, connection: Connection, problem: Exception) -> Outcome:
-        """What ended the listening; the connection is of no more use."""
+        """Closes the connection after an error in reading, and returns the outcome."""
         connection.close()
         if isinstance(problem, TimeoutError):
             return Outcome.TIMED_OUT
         return Outcome.CANCELLED if self.given_up else Outcome.BROKEN
 
     def finish(self, connection: Connection) -> None:
-        """The connection goes back once its message is over."""
+        """Returns the connection to the pool once the response is read to its end."""
         answer = self.answer
         try:
             until = time.monotonic() + self.limits.rest
--- a/opalwick/protocol/figures.py
+++ b/opalwick/protocol/figures.py
@@ -1,4 +1,4 @@
-"""What a scheduler tells its operators of itself: counts, and the text that holds them."""
+"""A scheduler's metrics: counters, and their text in statsd format."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 from opalwick.interface import Category
 
 _FINALS = ("fulfilled", "throttled", "faulted")
-_ODD = re.compile(r"[^A-Za-z0-9_-]")  # would end a name, or a line
+_ODD = re.compile(r"[^A-Za-z0-9_-]")  # would end a metric's name, or its line
 
 
 class Counts:
-    """Each thing is counted once, where it happens; from nought at the process's start."""
+    """Counters since the start of the process."""
 
     def __init__(self, categories: Iterable[Category]) -> None:
         self.finals = {category: [0, 0, 0] for category in categories}
-        self.relayed = 0  # hand-offs written whole
+        self.relayed = 0  # attempts whose request was completely written
 
     def final(self, category: Category, status: int) -> None:
-        """An answer that was written, whoever worded it."""
+        """Counts a final response that was written, whichever component produced it."""
         self.finals[category][0 if status == 200 else 1 if status in (429, 503) else 2] += 1
 
 
 def text(categories: Mapping[str, Category], counts: Counts, gauges: Mapping[str, int]) -> bytes:
-    """A line a figure; names come from the settings alone, never from what clients say."""
+    """Renders one metric per line. Names are from the settings only, never from clients' requests."""
     lines = []
     for name, category in categories.items():
         for final, count in zip(_FINALS, counts.finals[category]):
--- a/opalwick/protocol/handover.py
+++ b/opalwick/protocol/handover.py
@@ -1,7 +1,7 @@
-"""What an old and a new process of one scheduler tell each other: checked, versioned, bounded messages.
+"""Messages between the old and the new process of one scheduler during a restart.
 
-Each is a length and a JSON object with its version and kind. What the other side says is checked like any
-input.
+Each message is a length and a JSON object with its version and kind. Lengths and counts are bounded, and what
+the other process sends is validated like any input.
 """
 
 from __future__ import annotations
@@ -13,27 +13,29 @@
 from typing import Any
 
 VERSION = 1
-LONGEST = 8 << 20  # bytes of one message: some thousands of workers, with what was learned
+LONGEST = 8 << 20  # bytes of one message: some thousands of workers, with the learned estimates
 MOST = 1 << 16  # entries of one field
 _LENGTH = struct.Struct("!I")
 
 
 class Odd(Exception):
-    """What came is none of these messages, or another version's."""
+    """Received data is not a valid message, or of another version."""
 
 
 def packed(kind: str, **fields: Any) -> bytes:
+    """Encodes a message."""
     text = json.dumps({"v": VERSION, "kind": kind, **fields}, separators=(",", ":")).encode()
     return _LENGTH.pack(len(text)) + text
 
 
 class Reader:
-    """Bytes in, whole messages out."""
+    """Incremental decoder of messages."""
 
     def __init__(self) -> None:
         self.held = bytearray()
 
     def feed(self, data: bytes) -> list[tuple[str, dict[str, Any]]]:
+        """Returns the kind and the fields of each message that is complete now. Raises Odd."""
         self.held += data
         found = []
         while len(self.held) >= _LENGTH.size:
@@ -45,42 +47,43 @@
             text = bytes(self.held[_LENGTH.size : _LENGTH.size + length])
             del self.held[: _LENGTH.size + length]
             try:
-                told = json.loads(text)
+                message = json.loads(text)
             except (ValueError, RecursionError):
                 raise Odd("a message that is not JSON") from None
-            if not isinstance(told, dict) or not isinstance(told.get("kind"), str):
+            if not isinstance(message, dict) or not isinstance(message.get("kind"), str):
                 raise Odd("a message without a kind")
-            if told.get("v") != VERSION:
-                raise Odd(f"a message of version {str(told.get('v'))[:20]}, not {VERSION}")
-            found.append((told["kind"], told))
+            if message.get("v") != VERSION:
+                raise Odd(f"a message of version {str(message.get('v'))[:20]}, not {VERSION}")
+            found.append((message["kind"], message))
         return found
 
 
 def number(value: Any, least: float = -1e12, most: float = 1e12) -> float | None:
-    """A finite number within the bounds, else none."""
+    """Returns a finite number within the bounds, else None."""
     if isinstance(value, bool) or not isinstance(value, (int, float)):
         return None
     return value if math.isfinite(value) and least <= value <= most else None
 
 
-def count(told: Mapping[str, Any], key: str) -> int:
-    return int(number(told.get(key), 0, 1e9) or 0)
+def count(message: Mapping[str, Any], key: str) -> int:
+    """Returns a count field; 0 if it is missing or malformed."""
+    return int(number(message.get(key), 0, 1e9) or 0)
 
 
-def pairs(told: Mapping[str, Any], key: str) -> dict[Any, tuple[float, float]]:
-    """By id two numbers of nought or more; odd ones are left out."""
-    given, found = told.get(key), {}
+def pairs(message: Mapping[str, Any], key: str) -> dict[Any, tuple[float, float]]:
+    """Returns a field that maps ids to two numbers of 0 or more. Malformed entries are left out."""
+    given, found = message.get(key), {}
     for name, pair in given.items() if isinstance(given, dict) else ():
         if isinstance(pair, list) and len(pair) == 2:
-            one, two = (number(value, 0.0, 1e6) for value in pair)
-            if one is not None and two is not None:
-                found[name] = (one, two)
+            first, second = (number(value, 0.0, 1e6) for value in pair)
+            if first is not None and second is not None:
+                found[name] = (first, second)
     return found
 
 
-def names(told: Mapping[str, Any], key: str) -> list[str]:
-    """Ids; odd ones are left out."""
-    given = told.get(key)
+def names(message: Mapping[str, Any], key: str) -> list[str]:
+    """Returns a field that lists ids. Malformed ones are left out."""
+    given = message.get(key)
     return (
         [name for name in given[:MOST] if isinstance(name, str) and 0 < len(name) <= 255]
         if isinstance(given, list)
--- a/opalwick/protocol/http.py
+++ b/opalwick/protocol/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages, parsed by httptools within the limits."""
+"""HTTP/1.1 messages, parsed by httptools within size limits."""
 
 from __future__ import annotations
 
@@ -13,7 +13,8 @@
 
 
 class Malformed(Exception):
-    """What came is not HTTP, or more than the limits allow."""
+    """A message is not valid HTTP, exceeds a limit or is not acceptable; `status` is the response's
+    status."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -21,11 +22,13 @@
 
 
 class Message:
+    """A request or a response; `first_at` is the arrival of its first byte on the process's clock."""
+
     __slots__ = ("method", "target", "headers", "body", "status", "keep_alive", "first_at")
 
     def __init__(self, first_at: float) -> None:
         self.method = self.target = self.body = b""
-        self.headers: dict[bytes, bytes] = {}  # by lower-case name
+        self.headers: dict[bytes, bytes] = {}  # keys are in lower case
         self.status, self.keep_alive, self.first_at = 0, True, first_at
 
 
@@ -34,7 +37,7 @@
 
 
 class Parser:
-    """Feeds bytes to httptools and hands on each message when it is whole."""
+    """Feeds bytes to httptools and passes on each complete message."""
 
     def __init__(
         self,
@@ -46,17 +49,18 @@
     ) -> None:
         self.limits, self.whole, self.now = limits, whole, 0.0
         self.most = most or limits.body  # bytes of a body
-        self.expects = expects  # called when the other side waits for leave to send a body
-        self.message, self.begun = Message(0.0), False  # begun: and not yet whole
-        self.headed = False  # the message's fields are complete
-        self.head = 0  # bytes of fields so far
-        self.unread = 0  # bytes fed since the head began, while it is not complete
+        self.expects = expects  # called when the peer waits for 100 Continue before its body
+        self.message, self.begun = Message(0.0), False  # begun: and not yet complete
+        self.headed = False  # the header is complete
+        self.head = 0  # bytes of header fields so far
+        self.unread = 0  # bytes fed since the header began, while it is incomplete
         self.problem: Malformed | None = None
         self.parts: list[bytes] = []  # of the body
-        self.held = 0  # their bytes
+        self.held = 0  # total bytes in `parts`
         self.parser = kind(self)
 
     def feed(self, data: memoryview, now: float = 0.0) -> None:
+        """Parses data that arrived at `now`. Raises Malformed."""
         self.now = now
         self.unread += len(data)
         try:
@@ -64,18 +68,20 @@
         except httptools.HttpParserError as problem:
             if self.problem is None:
                 self.problem = Malformed(400, str(problem) or "malformed")
-        # httptools holds a field back until it is complete, however long it is
+        # httptools passes on a field only when it is complete, so its length is limited here
         if self.problem is None and self.unread > self.limits.head + self.limits.ring:
             self.problem = Malformed(431, "header fields too large")
         if self.problem is not None:
             raise self.problem
 
     def close(self) -> None:
-        """Nothing more is fed. It and httptools' parser hold each other, and only a collection frees such."""
+        """Breaks the reference cycle with httptools' parser, which only a garbage collection would free.
+        Nothing may be fed afterwards."""
         self.parser = self.expects = None
         self.whole = _drop
 
     def wrong(self, status: int, text: str) -> None:
+        """Raises Malformed; `feed` raises it too, as httptools replaces exceptions of callbacks."""
         self.problem = self.problem or Malformed(status, text)
         raise self.problem
 
@@ -94,11 +100,11 @@
         self.head += len(name) + len(value)
         if self.head > self.limits.head or len(self.message.headers) >= self.limits.headers:
             self.wrong(431, "header fields too large")
-        if self.headed:  # what follows a body must not take the place of the head
+        if self.headed:  # a trailer after the body must not override header fields
             return
-        # httptools hands on the blanks after a value that came in pieces; they are no part of it
+        # httptools includes the blanks after a value that arrived in pieces; they are not part of it
         name, value = name.lower(), value.strip(b" \t")
-        # twice is one list, as HTTP has it: where one value is due, it is malformed
+        # repeated fields are joined to a list, as HTTP defines; where one value is expected, it is malformed
         before = self.message.headers.get(name)
         self.message.headers[name] = value if before is None else before + b", " + value
 
@@ -108,9 +114,9 @@
         if length.isdigit() and int(length) > self.most:
             self.wrong(413, "body too large")
         if self.message.headers.get(b"transfer-encoding", b"chunked").lower() != b"chunked":
-            self.wrong(400, "no other coding is spoken here")
-        if self.parser.should_upgrade():  # httptools would leave the rest unread
-            self.wrong(400, "no other protocol is spoken here")
+            self.wrong(400, "the only supported transfer coding is chunked")
+        if self.parser.should_upgrade():  # httptools would leave the rest of the data unparsed
+            self.wrong(400, "protocol upgrades are not supported")
         if self.expects is not None and self.message.headers.get(b"expect", b"").lower() == b"100-continue":
             self.expects()
 
@@ -129,17 +135,17 @@
             message.method = self.parser.get_method()
         else:
             message.status = self.parser.get_status_code()
-            if message.status < 200:  # the answer itself is still to come
+            if message.status < 200:  # an interim response: the final one follows
                 return
         self.whole(message)
 
 
-_NO_BLAME = (408, 425, 429)  # those tell of the moment, not of what was asked
+_TRANSIENT = (408, 425, 429)  # they depend on the time, not on the request
 
 
 def blames(status: int) -> bool:
-    """Whether an answer with this status says that the request itself is at fault."""
-    return 400 <= status < 500 and status not in _NO_BLAME
+    """Whether a response with this status says that the request itself is at fault."""
+    return 400 <= status < 500 and status not in _TRANSIENT
 
 
 REASONS = {
@@ -159,6 +165,7 @@
 
 
 def response(status: int, body: bytes, close: bool, *fields: str) -> bytes:
+    """Encodes a response; `fields` are further header lines."""
     if status < 200:
         return f"HTTP/1.1 {status} {REASONS[status]}\r\n\r\n".encode()
     lines = [f"HTTP/1.1 {status} {REASONS.get(status, '')}", f"Content-Length: {len(body)}", *fields]
@@ -175,14 +182,18 @@
     kind: Any = httptools.HttpResponseParser,
     expects: Callable[[], None] | None = None,
 ) -> Message:
-    """The next message of this kind, once it is whole; ConnectionError where the other side ends before."""
+    """Reads the next message from a connection, until the time `until`.
+
+    `most`: bytes of its body, 0 for the general limit; `kind`: httptools' parser for a request or a response.
+    Raises Malformed, TimeoutError, and ConnectionError if the peer closes before the message is complete.
+    """
     done: list[Message] = []
     parser = Parser(kind, limits, done.append, expects, most)
     try:
         while not done:
-            if not (came := connection.read(until - time.monotonic())):
-                raise ConnectionError("the other side ended the connection")
-            parser.feed(came)
+            if not (data := connection.read(until - time.monotonic())):
+                raise ConnectionError("the peer closed the connection before the message was complete")
+            parser.feed(data)
     finally:
         parser.close()
     return done[0]
--- a/opalwick/protocol/operators.py
+++ b/opalwick/protocol/operators.py
@@ -1,4 +1,4 @@
-"""The second address: what operators call, and what they are told. One call to a connection."""
+"""The operators' HTTP interface, on an address of its own. One request per connection."""
 
 from __future__ import annotations
 
@@ -27,24 +27,25 @@
 
 
 class Serves(Protocol):
-    """What the calls ask for; nothing of it waits, and it holds once it returns."""
+    """What the calls require of the process. No method blocks; a change is in effect when the method
+    returns."""
 
     def ready(self) -> bool: ...
 
     def figures(self) -> bytes: ...
 
     def fleet(self) -> bytes | None:
-        """The view of the fleet's members; none where that part is off."""
+        """Returns the view of the fleet's members; None if membership is disabled in the configuration."""
 
     def worker_out(self, id: str, out: bool) -> bool:
-        """Whether there is such a worker."""
+        """Disables or enables a worker. False if there is no such worker."""
 
     def drain(self, on: bool) -> bool:
-        """Whether that holds now."""
+        """Begins or ends draining. False if that is not possible."""
 
 
 def who(query: bytes) -> str:
-    """The one worker that a call names."""
+    """Returns the one worker id in a query. Raises Malformed."""
     if _BAD_ESCAPE.search(query):
         raise Malformed(400, "the query is badly escaped")
     try:
@@ -53,17 +54,17 @@
         raise Malformed(400, "the query is malformed") from None
     found = [value for name, value in pairs if name == "who"]
     if len(found) != 1:
-        raise Malformed(400, "who is missing" if not found else "who stands there twice")
+        raise Malformed(400, "who is missing" if not found else "who is given more than once")
     if not 0 < len(found[0]) <= _LONGEST_ID:
         raise Malformed(400, "who is too long" if found[0] else "who is empty")
     return found[0]
 
 
 def answer(message: Message, serves: Serves) -> bytes:
-    """Carries out a call and words the answer."""
+    """Executes a call and returns its encoded response."""
     path, _, query = message.target.partition(b"?")
     method = _METHODS.get(path)
-    status, told, fields = 200, b"yes\n", ["Content-Type: text/plain"]
+    status, content, fields = 200, b"yes\n", ["Content-Type: text/plain"]
     try:
         if method is None:
             raise Malformed(404, "no such call")
@@ -74,33 +75,35 @@
             if not serves.ready():
                 raise Malformed(503, "no")
         elif path == b"/metrics":
-            told = serves.figures()
+            content = serves.figures()
         elif path == b"/fleet/members":
-            if (told := serves.fleet() or b"") == b"":
+            if (content := serves.fleet() or b"") == b"":
                 raise Malformed(404, "fleet.members is off in the configuration")
         elif path in (b"/drain", b"/undrain"):
             if not serves.drain(path == b"/drain"):
-                raise Malformed(409, "it is about to end")
+                raise Malformed(409, "the process is about to exit")
         elif not serves.worker_out(who(query), path == b"/workers/disable"):
             raise Malformed(404, "no such worker")
     except Malformed as problem:
-        status, told = problem.status, problem.text.encode() + b"\n"
-    return response(status, told, True, *fields)
+        status, content = problem.status, problem.text.encode() + b"\n"
+    return response(status, content, True, *fields)
 
 
 def converse(connection: Connection, limits: Limits, serves: Serves, until: float) -> None:
-    """One call from its first byte to its answer; OSError where it ends otherwise."""
+    """Serves one request on a connection until the time `until`. Raises OSError if that fails."""
 
-    def go_on() -> None:
+    def send_continue() -> None:
         connection.write(response(100, b"", False), until - time.monotonic())
 
     try:
-        said = answer(received(connection, limits, until, 0, httptools.HttpRequestParser, go_on), serves)
+        reply = answer(
+            received(connection, limits, until, 0, httptools.HttpRequestParser, send_continue), serves
+        )
     except Malformed as problem:
-        said = response(problem.status, problem.text.encode() + b"\n", True)
-    connection.write(said, until - time.monotonic())
+        reply = response(problem.status, problem.text.encode() + b"\n", True)
+    connection.write(reply, until - time.monotonic())
     connection.shut()
-    # what still comes is read, as closing on it would reset the connection and take the answer along
+    # read to the end, as closing with unread data would reset the connection and lose the response
     until = min(until, time.monotonic() + limits.linger)
     while connection.read(until - time.monotonic()):
         pass
--- a/opalwick/protocol/probes.py
+++ b/opalwick/protocol/probes.py
@@ -1,4 +1,4 @@
-"""One probe of a worker's load, from its connection to its answer."""
+"""Probes a worker for its load over HTTP."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 def probe(address: Address, pool: Pool, limits: Limits, names: Sequence[str]) -> tuple[float, ...]:
-    """The figures that the worker told, in the order of the names; none where it told none, or nothing came.
+    """Requests a worker's load and returns its figures in the order of the names; empty without a report.
 
-    It waits. What fails here proves nothing of work: nothing of it is told but that there are no figures.
+    Blocks. A failure is not reported otherwise, as a failed probe is no evidence about work items.
     """
     try:
         connection = pool.take(address)
@@ -36,14 +36,14 @@
     except (OSError, Malformed):
         pass
     if found is None or not found.keep_alive:
-        connection.close()  # what comes late must not be taken for another answer
+        connection.close()  # a late response must not be taken for that of another request
     pool.give(address, connection)
-    # 503 tells that it wants nothing new; its load is its load
+    # a worker that accepts no new work answers 503, and its load is valid too
     return report(found.body, names) if found is not None and found.status in (200, 503) else ()
 
 
 def report(body: bytes, names: Sequence[str]) -> tuple[float, ...]:
-    """An object, or `name=figure,...` as in a worker's header."""
+    """Parses a JSON object, or `name=figure,...` as in a worker's header field."""
     try:
         return figures(json.loads(body), names)
     except (ValueError, RecursionError):
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -67,7 +67,7 @@
         "405 only PUT",
         "400 who is missing",
         "400 who is empty",
-        "400 who stands there twice",
+        "400 who is given more than once",
         "400 the query is badly escaped",
         "400 the query is malformed",
         "400 who is too long",
@@ -369,7 +369,7 @@
     operated.stop_asked.set()
     gevent.sleep(0)
     trace += [operated.call("PUT /undrain"), operated.call("GET /ready"), operated.call("PUT /drain")]
-    assert trace == ["200"] * 8 + ["409 it is about to end", "503 no", "200 yes"]
+    assert trace == ["200"] * 8 + ["409 the process is about to exit", "503 no", "200 yes"]
     operated.running.join(3.0)
     assert operated.running.successful()
 
