--- a/opalwick/transport/__init__.py
+++ b/opalwick/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets, buffers, pools and datagrams; nothing here knows work items."""
+"""Sockets, buffers, connection pools and datagrams, independent of work items."""
--- a/opalwick/transport/connection.py
+++ b/opalwick/transport/connection.py
@@ -1,4 +1,5 @@
-"""A connection: a blocking-style socket with a ring a direction."""
+"""A TCP connection with a ring buffer per direction, and helpers to open sockets. Calls block their greenlet
+only."""
 
 from __future__ import annotations
 
@@ -14,20 +15,27 @@
 from opalwick.transport.ring import Ring
 
 Address = tuple[str, int]
-# of a closed connection: what still refers to it must not hold its buffers until a full collection
+# replaces the buffers of a closed connection, so that references to it do not keep them until a full
+# collection
 _NO_RING = Ring(0)
-# where dropped bytes go, of all connections: a few hundred reads for what the largest kernel buffers take
+# Discarded bytes of all connections are read into this. The content of the largest kernel buffers takes a few
+# hundred reads.
 _DROPPED = bytearray(262144)
 
 
 def readable(sock: Any) -> bool:
-    """Whether something unread is there, the other side's end included, or one to be accepted."""
+    """Whether a socket has unread data, was closed by the peer, or has a connection to be accepted."""
     watched = poll()
     watched.register(sock.fileno(), POLLIN)
     return bool(watched.poll(0))
 
 
 class Connection:
+    """A stream socket with buffers, and the times needed to date what arrives on it.
+
+    Times are in seconds on the process's clock. Calls raise OSError.
+    """
+
     __slots__ = (
         "sock",
         "inward",
@@ -46,50 +54,53 @@
     )
 
     def __init__(self, sock: Any, room: int, empty_at: float = 0.0) -> None:
-        """`empty_at`: when nothing had come on it yet for sure; 0: now."""
+        """`empty_at`: a time at which certainly nothing had arrived on it; 0: now."""
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.sock, self.inward, self.outward = sock, Ring(room), Ring(room)
         self.closed, self.used = False, 0
-        self.address: Address = ("", 0)  # that the pool opened it to
-        self.known = b""  # who answers there, once somebody has asked
+        self.address: Address = ("", 0)  # the address to which the pool opened it
+        self.known = b""  # name of the peer, once it was requested
         self.rested = 0.0  # seconds idle before its latest use
         self.opened_at = self.idle_since = time.monotonic()
         self.empty_at = empty_at or self.opened_at
-        # of what was read last: when it came at the earliest, and whether it was waited for
+        # of the last read: the earliest arrival of its data, and whether the read had to wait for it
         self.lain_since, self.waited = self.empty_at, False
-        self.overtime = 0  # reads in a row after the time was over
+        self.overtime = 0  # consecutive reads after the time limit
 
     def connect(self, address: Address, within: float) -> None:
+        """Connects within so many seconds, else raises TimeoutError."""
         self.sock.settimeout(max(0.0, within))
         try:
             self.sock.connect(address)
         except TimeoutError:
-            # it may have come up while this process stood still
+            # it may have been established while this process was stalled
             try:
                 self.sock.getpeername()
             except OSError:
                 raise TimeoutError from None
 
     def read(self, within: float | None) -> memoryview:
-        """Bytes that came, none at the other side's end; TimeoutError if nothing comes within that time.
+        """Returns received bytes, none if the peer has closed; raises TimeoutError after `within` seconds.
 
-        What is returned stays in the ring until the next call.
+        The returned view is valid until the next call.
         """
         if self.closed:
-            raise ConnectionAbortedError("closed from here")
+            raise ConnectionAbortedError("the connection was closed locally")
         ring = self.inward
         if ring.size == len(ring.view):
-            gevent.sleep(0)  # more is waiting: one that floods lets the others in between
+            # the buffer was full, so more data is waiting: a peer that floods must not starve other greenlets
+            gevent.sleep(0)
         ring.drop(ring.size)
-        # what lies there counts before the time that is over: it may be over as this process stood still. But
-        # so many reads only, a body's worth: one that goes on sending must not have time for ever
-        over = within is not None and within <= 0
-        self.overtime = self.overtime + 1 if over else 0
-        if over and (self.overtime > 16 or not self.readable()):
+        # Data that is there is read even after the time limit, which may have passed while this process was
+        # stalled. The number of such reads is limited, to about one body: a peer that goes on sending must
+        # not extend its time without end.
+        expired = within is not None and within <= 0
+        self.overtime = self.overtime + 1 if expired else 0
+        if expired and (self.overtime > 16 or not self.readable()):
             raise TimeoutError
         loop, began = gevent.get_hub().loop, time.monotonic()
-        turn = loop.iteration
-        # none at all would have it not wait for a turn of the loop
+        first_iteration = loop.iteration
+        # with a timeout of 0 it would not wait for an iteration of the event loop
         self.sock.settimeout(None if within is None else max(0.001, within))
         try:
             count = self.sock.recv_into(ring.free())
@@ -97,17 +108,17 @@
             if not self.readable():
                 raise
             count = self.sock.recv_into(ring.free())
-        self.waited, self.lain_since = loop.iteration != turn, self.empty_at
-        if self.waited:  # the kernel had nothing as the waiting began
+        self.waited, self.lain_since = loop.iteration != first_iteration, self.empty_at
+        if self.waited:  # the kernel had no data when the wait began
             self.lain_since = max(began, self.lain_since)
         ring.filled(count)
-        if count < len(ring.view):  # and nothing more now
+        if count < len(ring.view):  # and there is no more data at the moment
             self.empty_at = time.monotonic()
         return ring.held()
 
     def came_at(self, now: float, pulse: Pulse) -> float:
-        """When the last of what was read came, on the process's clock: now, or some time ago where this
-        process stood still, was busy, or let it lie."""
+        """Returns when the last of the data read arrived: now, or earlier if this process was stalled or
+        busy, or left it unread."""
         since = max(self.lain_since, pulse.since(now)) if self.waited else self.lain_since
         if now - since <= pulse.NEAR:
             return now
@@ -116,34 +127,34 @@
         return pulse.at_worst(since, now)
 
     def skip(self) -> int:
-        """Reads and drops what comes; how many bytes, none at the other side's end."""
+        """Reads and discards data; returns how many bytes, 0 if the peer has closed."""
         if self.closed:
-            raise ConnectionAbortedError("closed from here")
+            raise ConnectionAbortedError("the connection was closed locally")
         self.inward.drop(self.inward.size)
         self.sock.settimeout(None)
         count = self.sock.recv_into(_DROPPED)
-        gevent.sleep(0)  # one that floods lets the others in between
+        gevent.sleep(0)  # a peer that floods must not starve other greenlets
         return count
 
     def write(self, data: bytes, within: float) -> None:
-        """Returns when the last byte is written."""
+        """Writes all bytes; raises TimeoutError after `within` seconds."""
         if self.closed:
-            raise ConnectionAbortedError("closed from here")
+            raise ConnectionAbortedError("the connection was closed locally")
         end, rest, ring = time.monotonic() + within, memoryview(data), self.outward
         while rest or ring.size:
             rest = rest[ring.put(rest) :]
-            left = end - time.monotonic()
-            if left <= 0:
+            remaining = end - time.monotonic()
+            if remaining <= 0:
                 raise TimeoutError
-            self.sock.settimeout(left)
+            self.sock.settimeout(remaining)
             ring.drop(self.sock.send(ring.held()))
 
     def readable(self) -> bool:
-        """The same of this one, or it was closed from here."""
+        """Whether it has unread data, or was closed by the peer or locally."""
         return self.closed or readable(self.sock)
 
     def shut(self) -> None:
-        """Ends sending."""
+        """Shuts down the sending direction."""
         self.sock.shutdown(socket.SHUT_WR)
 
     def close(self) -> None:
@@ -154,8 +165,8 @@
 
 
 def bind(sock: Any, place: Address) -> None:
-    """At a restart the one before may still hold the place for a moment."""
-    until = time.monotonic() + 5.0  # far longer than a killed process takes to go
+    """Binds a socket; retries for 5 s, as at a restart the previous process may still have the address."""
+    until = time.monotonic() + 5.0  # far longer than a killed process takes to exit
     while True:
         try:
             return sock.bind(place)
@@ -166,6 +177,7 @@
 
 
 def listening(place: Address, backlog: int) -> Any:
+    """Opens a listening TCP socket."""
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     bind(listener, place)
@@ -174,5 +186,5 @@
 
 
 def opened(room: int) -> Connection:
-    """Not yet connected."""
+    """Opens a connection that is not yet connected; `room`: bytes of each buffer."""
     return Connection(socket.socket(socket.AF_INET, socket.SOCK_STREAM), room)
--- a/opalwick/transport/datagrams.py
+++ b/opalwick/transport/datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams: sending never waits, and what cannot go now is lost like any other."""
+"""UDP datagrams. Sending never blocks: a datagram that cannot be sent at once is lost."""
 
 from __future__ import annotations
 
@@ -10,12 +10,14 @@
 from opalwick.transport.connection import Address, bind
 
 LONGEST = 256  # bytes
-AT_ONCE = 32  # some words from each of a few peers
+AT_ONCE = 32  # datagrams per wake-up: several from each of a few peers
 
 
 class Datagrams:
+    """A UDP socket for peer messages."""
+
     def __init__(self, listen: Address, passed: int | None = None) -> None:
-        """`passed`: the descriptor of a socket that another process bound there."""
+        """`passed`: the descriptor of a socket that another process has already bound to the address."""
         if passed is None:
             self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             bind(self.sock, listen)
@@ -23,28 +25,28 @@
             self.sock = socket.socket(fileno=passed)
         self.sock.settimeout(0.0)
 
-    def send(self, to: Address, octets: bytes) -> None:
+    def send(self, to: Address, data: bytes) -> None:
         try:
-            self.sock.sendto(octets, to)
+            self.sock.sendto(data, to)
         except OSError:
             pass
 
     def drop(self) -> None:
-        """Does away with what lies unread."""
+        """Discards unread datagrams."""
         try:
             while True:
                 self.sock.recv(LONGEST + 1)
         except OSError:  # none left
             pass
 
-    def receive(self, heard: Callable[[Address, bytes], None]) -> None:
-        """Runs in a greenlet of its own."""
+    def receive(self, received: Callable[[Address, bytes], None]) -> None:
+        """Passes each datagram on; doesn't return. Runs in a greenlet of its own."""
         while True:
             socket.wait_read(self.sock.fileno())
             for _ in range(AT_ONCE):
                 try:
-                    octets, sender = self.sock.recvfrom(LONGEST + 1)
-                except OSError:  # none left; or an unreachable peer, told on the next call
+                    data, sender = self.sock.recvfrom(LONGEST + 1)
+                except OSError:  # none left, or an error of an earlier send to an unreachable peer
                     break
-                heard(sender, octets)
-            gevent.sleep(0)  # one that floods must let the others in between
+                received(sender, data)
+            gevent.sleep(0)  # a peer that floods must not starve other greenlets
--- a/opalwick/transport/pulse.py
+++ b/opalwick/transport/pulse.py
@@ -1,8 +1,8 @@
-"""Whether this process stood still, and how long ago what it reads now had come.
+"""Detects stalls of this process, and dates received data accordingly.
 
-A stopped process, a stopped machine, a busy core or a long collection: the kernel goes on taking in what
-comes, and what is read afterwards is older than the reading. A beat that comes late tells that it was so; the
-kernel's own word (TCP_INFO), where there is one, tells how old the bytes of one connection are.
+While a process is stalled (stopped process or machine, busy core, long garbage collection) the kernel goes on
+receiving, so data that is read afterwards is older than the read. A periodic timer that fires late shows a
+stall; TCP_INFO, where available, gives the age of the data of one connection.
 """
 
 from __future__ import annotations
@@ -12,41 +12,43 @@
 
 from gevent import socket
 
-# of struct tcp_info: eight octets of flags, then counts of four octets each; the twelfth tells how many
-# milliseconds ago the last data came
+# struct tcp_info has eight bytes of flags, then counts of four bytes each; the twelfth is
+# tcpi_last_data_recv, the milliseconds since the last data was received
 _AGE = struct.Struct("I")
 _AT = 8 + 11 * 4
 
 
 def kernel_age(sock: Any) -> float | None:
-    """Seconds since this connection last received data; None where no kernel tells.
+    """Returns the seconds since this connection last received data; None if the kernel does not report it.
 
     Exact to a tick of the kernel, ten milliseconds at the most.
     """
     try:
-        told = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _AT + _AGE.size)
+        info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _AT + _AGE.size)
     except (OSError, AttributeError):
         return None
-    return _AGE.unpack_from(told, _AT)[0] / 1000.0 if len(told) >= _AT + _AGE.size else None
+    return _AGE.unpack_from(info, _AT)[0] / 1000.0 if len(info) >= _AT + _AGE.size else None
 
 
 class Pulse:
-    """A beat by the one timer of the process. Times are seconds on the process's clock."""
+    """A watchdog: `beat` is called by a periodic timer. Times are seconds on the process's clock."""
 
-    EVERY = 0.05  # as each time limit on sockets is stretched by as much, a shorter stall breaks none
-    LATE = 0.15  # a beat later than this stood still; a crowd or a full collection takes less
-    LONG = 0.5  # what was decided or told before it stood still for so long is of a time that is gone
-    NEAR = 0.02  # what may have lain for less is taken as fresh: the cost of asking is spared when busy
+    # the timer's period; time limits on sockets are extended by as much, so a shorter stall causes no timeout
+    EVERY = 0.05
+    LATE = 0.15  # a longer gap is a stall; a burst of connections or a full garbage collection takes less
+    LONG = 0.5  # decisions and reports from before a stall of this length are outdated
+    NEAR = 0.02  # data that can be no older counts as new, which saves a system call under load
 
     def __init__(self, now: float) -> None:
         self.beat_at = now
-        self.still_from = self.still_to = -1e9  # the last time that it stood still
+        self.still_from = self.still_to = -1e9  # the last stall
 
     def late(self, now: float) -> bool:
+        """Whether the process is stalled: the timer is overdue."""
         return now - self.beat_at > self.LATE
 
     def beat(self, now: float) -> float:
-        """How long it stood still just now; 0: it did not."""
+        """Called by the timer. Returns the length of a stall that has just ended; 0 if there was none."""
         gap, before, self.beat_at = now - self.beat_at, self.beat_at, now
         if gap <= self.LATE:
             return 0.0
@@ -54,7 +56,7 @@
         return gap
 
     def stood(self, since: float, now: float) -> bool:
-        """Whether it stood still for long between those moments."""
+        """Whether there was a stall longer than LONG between these times."""
         return (
             self.still_to > since
             and self.still_to - self.still_from > self.LONG
@@ -63,11 +65,11 @@
         )
 
     def at_worst(self, since: float, now: float) -> float:
-        """When something that came after `since` came, where no kernel tells: the gap is the bound, but the
-        space between two beats is no gap."""
+        """Returns the earliest time for data that arrived after `since`, where the kernel reports no age. An
+        interval of up to LATE is an ordinary period of the timer, and counts as `now`."""
         return since if now - since > self.LATE else now
 
     def since(self, now: float) -> float:
-        """The earliest moment at which something may have come that is found only now."""
-        # a quarter of a second: what lay there is read by then, however many connections there are
+        """Returns the earliest time at which data that is found only now may have arrived."""
+        # 0.25 s after a stall all data that arrived during it is read, with any number of connections
         return self.still_from if now - self.still_to < 0.25 else self.beat_at
