--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,4 @@
-"""The clients' side of the sockets."""
+"""Clients' connections over sockets."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from helper import Client, post
 
 
-def test_requests_on_a_kept_connection() -> None:
+def test_requests_on_a_persistent_connection() -> None:
     client = Client()
     client.say(post("/look/7", b"abc", X_Weight_Hint="1500", X_Facts="slots=2,odd,more=x"))
     client.calls[0].answer(200, b"seven")
@@ -31,18 +31,18 @@
     client.matches("client_pipelined")
 
 
-def test_a_flood_of_pipelined_requests_waits_its_turn() -> None:
+def test_pipelined_requests_above_the_limit_wait() -> None:
     client = Client(pipelined=2, ring=256)
     client.say(b"".join(post(f"/look/{i}", X_Correlation_Id=f"c{i}") for i in range(6)))
-    taken = len(client.calls)
+    accepted = len(client.calls)
     while len(client.calls) < 6 or any(call.reply is None for call in client.calls):
         for call in client.calls:
             call.answer(200)
         gevent.sleep(0.01)
-    assert taken <= 3  # two, and what came in the same piece
+    assert accepted <= 3  # the limit of two, and what arrived in the same piece
 
 
-def test_a_client_that_closes_has_left() -> None:
+def test_a_client_that_closes_is_reported() -> None:
     client = Client()
     client.say(post("/look/1"), post("/look/2", X_Correlation_Id="c2"))
     client.sock.close()
@@ -86,8 +86,8 @@
 }
 
 
-def test_what_is_wrong_gets_its_status_and_harms_nobody_else() -> None:
-    """Whatever it was, the connection ends, so that the same cannot be asked again at once."""
+def test_invalid_requests_get_their_status_and_affect_no_other_connection() -> None:
+    """Each closes its connection, so that the same request cannot be repeated at once."""
     trace = Client()
     for name, parts in WRONG.items():
         client = Client(first=0.1, linger=0.05)
@@ -102,14 +102,15 @@
 
 
 def test_an_answer_reaches_a_client_that_is_still_sending() -> None:
-    """Closing on what still comes would reset the connection and take the answer along; but not for ever."""
+    """Closing with unread data would reset the connection and lose the response, so data is read on, within
+    limits of time and bytes."""
 
     def sent(**changes) -> int:
         client = Client(linger=0.1, **changes)
         client.say(post(body=b"", Content_Length="60000000"))
         count = 0
         try:
-            for count in range(1, 9):  # noqa: B007 - what it came to is returned
+            for count in range(1, 9):  # noqa: B007 - the count is returned
                 client.say(b"x" * 60000)
                 gevent.sleep(0.03)
         except OSError:  # reset
@@ -128,7 +129,7 @@
     assert 3 <= sent(dropped=200000) < 8 and sent(leaving=0.15) < 8
 
 
-def test_leave_to_send_a_body_is_given() -> None:
+def test_expect_100_continue_is_answered() -> None:
     client = Client()
     head, body = post("/look/7", b"abc", "Expect: 100-continue").split(b"\r\n\r\n")
     client.say(head + b"\r\n\r\n")
@@ -139,7 +140,7 @@
     client.matches("client_expects")
 
 
-def test_no_room_defers_at_once_and_the_connection_stays() -> None:
+def test_above_the_limit_of_items_a_request_is_deferred_and_the_connection_stays() -> None:
     client = Client(room=0)
     client.say(post())
     client.hear()
@@ -148,7 +149,7 @@
     client.matches("client_no_room")
 
 
-def test_at_the_brim_a_client_is_deferred_and_its_connection_ends() -> None:
+def test_above_the_limit_of_connections_a_request_is_deferred_and_the_connection_closed() -> None:
     client = Client(full=True, linger=0.05)
     client.say(post())
     client.hear()
@@ -157,8 +158,8 @@
     client.matches("client_brim")
 
 
-def test_while_closing_requests_are_taken_and_the_connection_ends_after_the_answer() -> None:
-    """The reader still waits on the socket when the writer ends it: neither may trip over the other."""
+def test_while_closing_requests_are_accepted_and_the_connection_is_closed_after_the_response() -> None:
+    """The reader still waits on the socket when the writer closes it: neither must fail by that."""
     client = Client(linger=0.05)
     client.closing = True
     client.say(b"GET /-/ready HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
@@ -168,7 +169,7 @@
     client.matches("client_closing")
 
 
-def test_one_that_does_not_read_its_answer_is_closed() -> None:
+def test_a_client_that_does_not_read_its_response_is_closed() -> None:
     client = Client(write=0.1)
     client.say(post())
     client.calls[0].answer(200, b"x" * 10_000_000)
@@ -186,8 +187,8 @@
     client.matches("client_idle")
 
 
-def test_blanks_round_a_value_are_no_part_of_it_however_the_request_is_cut() -> None:
-    """Values that came in pieces kept them: a third of such requests got a 4xx."""
+def test_blanks_around_a_value_are_removed_however_the_request_is_split() -> None:
+    """Values that arrived in pieces kept trailing blanks: a third of such requests got a 4xx."""
     head = (
         b"POST /look/7 HTTP/1.1\r\nHost: app.svc \r\nX-Correlation-Id: \t c1 \r\n"
         b"X-Service-Class: look \r\nX-Time-Left-Ms: 480 \t\r\nX-Weight-Hint: 1000 \r\n"
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The watch on the list of workers, against a stand-in."""
+"""The watch on the list of workers, against a stub server."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     stand, lines = Stand(*script), []
     terms = read_terms(settings())
 
-    def listed(form, rows) -> None:
+    def on_list(form, rows) -> None:
         lines.append(
             " ".join(
                 [
@@ -47,16 +47,16 @@
             )
         )
 
-    discovery = Discovery(stand.place, 41, read_names(settings(), terms), 1e6, limits(**changes), listed)
+    discovery = Discovery(stand.place, 41, read_names(settings(), terms), 1e6, limits(**changes), on_list)
     running = gevent.spawn(discovery.watch)
     running.join(3.0)
     assert running.successful()
     return [*lines, *(text.split(" HTTP")[0] for text in stand.heard), f"{stand.connections} connections"]
 
 
-def test_an_odd_size_costs_nobody_the_worker() -> None:
-    odd = ["much", None, float("nan"), float("inf"), -1, 0, 10**400, True, 4.5]
-    hosts = [entry(f"w{i}", share=share) for i, share in enumerate(odd)]
+def test_a_worker_with_a_malformed_size_stays_usable() -> None:
+    sizes = ["much", None, float("nan"), float("inf"), -1, 0, 10**400, True, 4.5]
+    hosts = [entry(f"w{i}", share=share) for i, share in enumerate(sizes)]
     terms = read_terms(settings())
     _, _, found = rows({"seq": 1, "whole": True, "hosts": hosts}, read_names(settings(), terms), 0.0)
     assert [row[-1] for row in found] == [0.0] * 7 + [1.0, 4.5]
@@ -83,7 +83,7 @@
     ]
 
 
-def test_odd_entries_cost_nobody_else() -> None:
+def test_malformed_entries_do_not_affect_the_others() -> None:
     assert watched(
         told(
             42,
@@ -98,8 +98,8 @@
     )[0] == ("CHANGES d: zone 1, kind 1, cell 3, READY at 5000")
 
 
-def test_what_is_no_list_fails_the_watch() -> None:
-    for odd in (
+def test_an_invalid_list_fails_the_watch() -> None:
+    for response in (
         b"HTTP/1.1 200 x\r\nContent-Length: 2\r\n\r\n[]",
         b"220 ready\r\n",
         b"HTTP/1.1 200 x\r\nContent-Length: 1\r\n\r\n{",
@@ -107,19 +107,19 @@
         told("x"),
         told(1).replace(b"[]", b" 7"),
     ):
-        assert watched(odd)[0] == "FAILED"
+        assert watched(response)[0] == "FAILED"
 
 
-def test_a_silent_watch_is_timed_out() -> None:
-    """A machine that is cut off says nothing, and no keep-alive tells."""
+def test_a_watch_without_a_response_times_out() -> None:
+    """An unreachable machine sends nothing, and no TCP keepalive detects it."""
     assert watched(None, queued=0.1)[0] == "FAILED"
     assert watched(told(41), None, watch=0.05, silent=0.1)[:2] == ["CHANGES", "FAILED"]
 
 
 def test_a_closed_connection_is_opened_again_without_a_gap() -> None:
     closing = told(42).replace(b"\r\n", b"\r\nConnection: close\r\n", 1)
-    said = watched(told(41), closing, told(43, entry("a")), None, watch=0.1, silent=0.1)
-    assert said[-1] == "2 connections"
+    lines = watched(told(41), closing, told(43, entry("a")), None, watch=0.1, silent=0.1)
+    assert lines[-1] == "2 connections"
 
 
 def test_a_list_of_many_workers_is_longer_than_a_work_item_may_be() -> None:
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -1,4 +1,4 @@
-"""Probes: what a worker's answer comes to, and that no odd one harms anything."""
+"""Probes: how workers' responses are read, and that malformed ones do no harm."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from opalwick.routing.reducer import Probe
 from opalwick.transport.pool import Pool
 
-ASKED = {"report_source": ReportSource.PROBES, "may_probe": True, "price_probe": 0.006}
+PROBING = {"report_source": ReportSource.PROBES, "may_probe": True, "price_probe": 0.006}
 PULL = {
     "load-report": {"how": "pull", "names": ["x0", "active"]},
     "ceilings": SETTINGS["ceilings"] | {"may-probe": True},
@@ -28,8 +28,8 @@
 }
 
 
-def unheard(workers: str, **changes) -> Bench:
-    """Nothing was told of any worker so far."""
+def without_reports(workers: str, **changes) -> Bench:
+    """Makes a bench in which no load of any worker has been reported."""
     bench = Bench(workers, **changes)
     for w in bench.workers.values():
         w.others_at = -1e9
@@ -51,35 +51,36 @@
         (answer(b""), (), 1),
         (answer(b"nothing here", "404 Not Found"), (), 1),
         (b"HTTP/1.1 what", (), 0),
-        (b"", (), 0),  # it closes
-        (None, (), 0),  # it stays silent
+        (b"", (), 0),  # the worker closes
+        (None, (), 0),  # no response
     ],
 )
-def test_what_a_worker_answers(piece: bytes | None, found: tuple, kept: int) -> None:
-    stand, least = Stand(piece), limits(probe=0.1)
-    pool = Pool(least.workers, least.idle_worker, least.ring)
-    assert probe(stand.place, pool, least, ["x0", "active"]) == found
+def test_responses_of_a_worker(piece: bytes | None, found: tuple, kept: int) -> None:
+    stand, limit = Stand(piece), limits(probe=0.1)
+    pool = Pool(limit.workers, limit.idle_worker, limit.ring)
+    assert probe(stand.place, pool, limit, ["x0", "active"]) == found
     assert stand.heard[0].startswith("GET /-/load HTTP/1.1\r\n")
     assert (pool.open, sum(map(len, pool.kept.values()))) == (kept, kept) or pool.open == 0 == kept
 
 
-def test_a_worker_that_is_not_there_tells_nothing() -> None:
+def test_a_worker_that_refuses_connections_yields_no_figures() -> None:
     stand = Stand()
     stand.running.kill()
     stand.listener.close()
-    least = limits()
-    pool = Pool(least.workers, least.idle_worker, least.ring)
-    assert probe(stand.place, pool, least, ["x0"]) == () and pool.open == 0
+    limit = limits()
+    pool = Pool(limit.workers, limit.idle_worker, limit.ring)
+    assert probe(stand.place, pool, limit, ["x0"]) == () and pool.open == 0
 
 
-def test_a_report_of_any_form_is_figures_or_nothing() -> None:
-    odd = [b"[]", b"7", b"null", b'"x0=1"', b"\xff=\xfe", b"{", b"x0", b"[" * 5000]
-    assert [report(body, ["x0"]) for body in odd] == [()] * 4 + [(-1.0,), (), (), ()]
+def test_any_report_is_parsed_to_figures_or_nothing() -> None:
+    bodies = [b"[]", b"7", b"null", b'"x0=1"', b"\xff=\xfe", b"{", b"x0", b"[" * 5000]
+    assert [report(body, ["x0"]) for body in bodies] == [()] * 4 + [(-1.0,), (), (), ()]
 
 
-def test_a_draw_waits_for_answers_and_goes_where_there_is_room() -> None:
-    """etkezde-bp: nothing told of the others' load, a first send in three found every slot taken."""
-    bench = unheard("ABC", **ASKED)
+def test_a_selection_waits_for_probes_and_takes_a_worker_with_free_slots() -> None:
+    """Without reports of the other schedulers' load, one in three first attempts found all slots occupied
+    (scenario etkezde-bp)."""
+    bench = without_reports("ABC", **PROBING)
     bench.balancer.clock(START)
     bench.take("x")
     bench.pull("taken")
@@ -93,8 +94,8 @@
     bench.matches("probes")
 
 
-def test_a_draw_goes_on_without_an_answer_and_a_late_one_changes_no_work_item() -> None:
-    bench = unheard("AB", **ASKED)
+def test_a_selection_goes_on_without_a_probe_and_a_late_one_changes_no_work_item() -> None:
+    bench = without_reports("AB", **PROBING)
     bench.take("x")
     bench.pull("taken")
     bench.wait(0.2, "no answer came")
@@ -111,24 +112,24 @@
     bench.matches("probes_none")
 
 
-def test_nothing_is_probed_where_answers_bring_reports_or_probes_none() -> None:
+def test_no_probe_is_sent_where_responses_have_reports_or_there_are_none() -> None:
     for changes in (
         {},
         {"may_probe": True},
         {"report_source": ReportSource.NONE, "may_probe": True, "load_metrics": ()},
         {"report_source": ReportSource.PROBES, "load_metrics": (LoadMetric.FREE_SLOTS,)},
     ):
-        bench = unheard("AB", **changes)
+        bench = without_reports("AB", **changes)
         bench.take("x")
         assert "probe" not in bench.word(bench.pull()[0])
 
 
-def test_the_reducer_asks_by_name_and_passes_over_what_it_does_not_know() -> None:
-    desk = Desk("A", **PULL)
-    desk.take("a")
-    desk.put("probed", "Z", (1.0, 1.0))
-    desk.put("probed", "A", (3.0, 0.0, 7.0))
-    desk.matches("reducer_probes")
+def test_the_reducer_probes_by_name_and_ignores_unknown_workers() -> None:
+    reducer = Desk("A", **PULL)
+    reducer.take("a")
+    reducer.put("probed", "Z", (1.0, 1.0))
+    reducer.put("probed", "A", (3.0, 0.0, 7.0))
+    reducer.matches("reducer_probes")
 
 
 def test_a_scheduler_probes_over_sockets(tmp_path) -> None:
@@ -137,12 +138,12 @@
     gevent.sleep(0.1)
     assert first(sock) == "HTTP/1.1 200 OK | 7"
     assert [text.split(" ")[1] for text in served.worker.heard] == ["/-/load", "/look/7"]
-    assert served.worker.connections == 1  # kept from the probe for the hand-off
+    assert served.worker.connections == 1  # reused from the probe for the attempt
     served.stop()
 
 
 @pytest.mark.parametrize(
-    "changes, said",
+    "changes, text",
     [
         (
             {"load-report": {"how": "silent", "names": ["x0"]}},
@@ -159,22 +160,22 @@
         ({"load-report": {"names": ["x0", "active", "x0"]}}, "load-report.names holds 'x0' twice"),
     ],
 )
-def test_a_configuration_that_mixes_shapes_is_refused(changes: dict, said: str) -> None:
+def test_contradictory_settings_are_rejected(changes: dict, text: str) -> None:
     with pytest.raises(BadStart) as found:
         refuse_mixed(settings(**changes))
-    assert str(found.value) == said
+    assert str(found.value) == text
     refuse_mixed(settings(**PULL))
     refuse_mixed(settings(**{"load-report": {"how": "silent"}}))
 
 
-MIXED = SETTINGS | {"load-report": {"how": "pull", "names": ["x0"]}}
-SAID = "settings: ceilings.may-probe is not true, but load-report.how is 'pull': nothing would be reported"
+CONTRADICTORY = SETTINGS | {"load-report": {"how": "pull", "names": ["x0"]}}
+MESSAGE = "settings: ceilings.may-probe is not true, but load-report.how is 'pull': nothing would be reported"
 
 
-def test_every_command_refuses_mixed_settings_in_one_plain_line(tmp_path) -> None:
+def test_every_command_rejects_contradictory_settings_in_one_line(tmp_path) -> None:
     with pytest.raises(BadConfiguration) as found:
-        configuration(tmp_path, settings=MIXED)
-    assert str(found.value) == SAID
+        configuration(tmp_path, settings=CONTRADICTORY)
+    assert str(found.value) == MESSAGE
     (tmp_path / "processor.toml").write_text('scheduler = "configuration.json"\nlisten = "127.0.0.1:9201"\n')
     for command, named in (
         ("check", "configuration.json"),
@@ -189,35 +190,36 @@
             timeout=20,
         )
         assert done.returncode == 2, (command, named)
-        assert SAID in done.stderr and done.stderr.count("\n") == 1, done.stderr
+        assert MESSAGE in done.stderr and done.stderr.count("\n") == 1, done.stderr
         assert done.stdout == ""
 
 
-def test_a_mixed_configuration_on_sighup_changes_nothing(tmp_path) -> None:
+def test_contradictory_settings_on_sighup_change_nothing(tmp_path) -> None:
     served = Served(tmp_path, DONE)
-    served.found = lambda: configuration(tmp_path, settings=MIXED, discovery="127.0.0.1:9")
-    with logged("reread") as said:
+    served.found = lambda: configuration(tmp_path, settings=CONTRADICTORY, discovery="127.0.0.1:9")
+    with logged("reread") as lines:
         served.again.set()
         gevent.sleep(0.05)
-    assert said == [f"the configuration was read again and is not used: {SAID}"]
+    assert lines == [f"the configuration was read again and is not used: {MESSAGE}"]
     assert first(served.ask(post())) == "HTTP/1.1 200 OK | 7"
     served.stop()
 
 
-def test_a_fast_worker_is_drawn_more_where_probes_tell_when_it_fills() -> None:
-    """etkezde-bp, quiet: items far heavier than hinted came late at slow workers while fast ones idled."""
-    for changes in ({}, ASKED):
+def test_a_fast_worker_is_selected_more_often_where_probes_show_when_it_fills() -> None:
+    """Items far heavier than hinted were late at slow workers while fast ones were idle (scenario etkezde-bp,
+    variant quiet)."""
+    for changes in ({}, PROBING):
         bench = Bench("AB", **changes)
         bench.workers["A"].listed_pace, bench.workers["B"].listed_pace = 0.8, 1.2
         sent = {"A": 0, "B": 0}
         for _ in range(200):
             for w in bench.workers.values():
-                w.others_at = w.as_of = bench.now  # heard of just now, so that no probe is sent
+                w.others_at = w.as_of = bench.now  # reported just now, so that no probe is sent
                 bench.balancer.set_others(w, 0.0)
             bench.take("x", work=0.05)
             list(bench.balancer.decisions())
-            ho = bench.items["x"].attempts[0]
-            sent[chr(ho.worker.id)] += 1
+            attempt = bench.items["x"].attempts[0]
+            sent[chr(attempt.worker.id)] += 1
             bench.balancer.close(bench.items["x"])
             bench.end("x", 0, Outcome.CANCELLED)
             bench.now += 0.2
@@ -229,7 +231,7 @@
         bench.matches(f"fast_{bench.balancer.probing}")
 
 
-def test_the_core_under_every_front_probes_and_the_processor_leaves_it_to_it(tmp_path) -> None:
+def test_the_core_sends_probes_also_for_the_processor(tmp_path) -> None:
     stand = Stand(answer(b"x0=1,active=3"))
     found = configuration(tmp_path, stand, settings=SETTINGS | PULL)
     core = Core(found, Event(), Event(), lambda: found)
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -1,4 +1,4 @@
-"""Rings and connections."""
+"""Ring buffers, connections and the connection pool."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import gevent.socket
 import pytest
 from helper import Client, Plain, Stand, chunked, post
-from test_workers import Errand
+from test_workers import Attempts
 
 from opalwick.protocol.workers import Answer
 from opalwick.transport.connection import Connection
@@ -17,7 +17,7 @@
 from opalwick.transport.ring import Ring
 
 
-def test_a_ring_wraps_round_and_takes_no_more_than_it_holds() -> None:
+def test_a_ring_buffer_wraps_round_and_accepts_no_more_than_fits() -> None:
     ring, trace = Ring(8), []
     for step in ("abcde", 3, "fghij", "kl", 4, 2, "mnopqrstu", 8):
         if isinstance(step, str):
@@ -29,19 +29,19 @@
     assert " ".join(trace) == "+abcde -abc +fgh +kl -defg -h +mnopqr -klmnopqr"
 
 
-def test_a_long_write_passes_through_a_small_ring() -> None:
+def test_a_long_write_passes_through_a_small_buffer() -> None:
     here, there = gevent.socket.socketpair()
     connection = Connection(Plain(here), 64)
     data = bytes(range(256)) * 40
     writing = gevent.spawn(connection.write, data, 1.0)
-    came = b""
-    while len(came) < len(data):
-        came += there.recv(100)
+    received = b""
+    while len(received) < len(data):
+        received += there.recv(100)
     writing.get()
-    assert came == data
+    assert received == data
 
 
-def test_one_that_floods_lets_the_others_in_between() -> None:
+def test_a_peer_that_floods_does_not_starve_other_greenlets() -> None:
     here, there = gevent.socket.socketpair()
     there.sendall(b"x" * 1000)
     connection, turns = Connection(Plain(here), 64), []
@@ -60,9 +60,9 @@
     assert " ".join(turns[:8]) == "flood other flood other flood other flood other"
 
 
-def test_what_is_over_frees_its_buffers_at_once() -> None:
-    """Under a crowd of changing clients memory grew by a megabyte a second until a full collection: a closed
-    conversation and its rings were held by a cycle through the parser, a hand-off by its own."""
+def test_finished_connections_and_attempts_free_their_buffers_at_once() -> None:
+    """With many clients that reconnected, memory grew by 1 MB/s until a full garbage collection: reference
+    cycles kept a closed connection with its buffers (through the parser), and an attempt."""
     gc.collect()
     gc.disable()
     try:
@@ -76,7 +76,7 @@
         client.calls.clear()
         del client.conversation, client.running
         before = sum(isinstance(thing, Answer) for thing in gc.get_objects())
-        Errand(chunked('{"id":"c1","state":"done","result":"7"}')).go()
+        Attempts(chunked('{"id":"c1","state":"done","result":"7"}')).go()
         assert (len(connection.inward.view), len(connection.outward.view)) == (0, 0)
         assert held() is None
         assert sum(isinstance(thing, Answer) for thing in gc.get_objects()) == before
@@ -94,31 +94,31 @@
     other.close()
 
 
-def test_a_pool_keeps_to_the_bound_of_each_address() -> None:
+def test_a_pool_observes_the_limit_of_each_address() -> None:
     pool, here, there = Pool(9, 5.0, 64, each=2), ("127.0.0.1", 1), ("127.0.0.1", 2)
-    one, two = pool.take(here), pool.take(here)
+    first, second = pool.take(here), pool.take(here)
     for _ in range(2):
         with pytest.raises(NoRoom):
             pool.take(here)
-    other = pool.take(there)  # another's is its own
-    here_now = [pool.open_to[here]]
-    one.close()
-    pool.give(here, one)  # broke in use
-    three = pool.take(here)
-    here_now.append(pool.open_to[here])
-    for connection in (two, three):
+    other = pool.take(there)  # another address has a limit of its own
+    open_here = [pool.open_to[here]]
+    first.close()
+    pool.give(here, first)  # broke in use
+    third = pool.take(here)
+    open_here.append(pool.open_to[here])
+    for connection in (second, third):
         pool.give(here, connection)
     assert pool.shed()
-    here_now.append(pool.open_to[here])
+    open_here.append(pool.open_to[here])
     pool.take(here)  # never connected, so it is not used again
-    here_now.append(pool.open_to[here])
+    open_here.append(pool.open_to[here])
     pool.give(there, other)
     pool.idle.now = 0.0
     pool.sweep()
-    assert (here_now, pool.open, dict(pool.open_to)) == ([2, 2, 1, 1], 1, {here: 1})
+    assert (open_here, pool.open, dict(pool.open_to)) == ([2, 2, 1, 1], 1, {here: 1})
 
 
-def test_a_kept_connection_is_used_at_the_bound_of_its_address() -> None:
+def test_an_idle_connection_is_reused_at_the_limit_of_its_address() -> None:
     stand = Stand()
     pool = Pool(9, 5.0, 64, each=1)
     connection = pool.take(stand.place)
@@ -129,20 +129,20 @@
         pool.take(stand.place)
 
 
-def test_an_address_that_keeps_idle_connections_for_less_is_believed() -> None:
+def test_an_idle_time_that_a_peer_announces_is_observed() -> None:
     stand, other = Stand(), Stand()
-    pool, kept = Pool(9, 5.0, 64), []
+    pool, idle = Pool(9, 5.0, 64), []
     for place in (stand.place, other.place):
-        kept.append(pool.take(place))
-        kept[-1].connect(place, 1.0)
+        idle.append(pool.take(place))
+        idle[-1].connect(place, 1.0)
     pool.rests(stand.place, 0.05)
-    pool.rests(other.place, 60.0)  # the pool's own time is the longest
-    for place, connection in zip((stand.place, other.place), kept):
+    pool.rests(other.place, 60.0)  # longer than the pool's own, which applies
+    for place, connection in zip((stand.place, other.place), idle):
         pool.give(place, connection)
     assert (pool.rest(stand.place), pool.rest(other.place)) == (0.05, 5.0)
     gevent.sleep(0.06)
     again = pool.take(stand.place), pool.take(other.place)
-    assert (again[0] is kept[0], again[1] is kept[1]) == (False, True)
+    assert (again[0] is idle[0], again[1] is idle[1]) == (False, True)
     assert pool.rest(stand.place) == 5.0  # forgotten with its last connection
     again[0].connect(stand.place, 1.0)
     pool.rests(stand.place, 0.0)
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -1,4 +1,4 @@
-"""The workers' side of the sockets: what comes back, and which outcome that is."""
+"""Delivery attempts over sockets: how workers' responses map to outcomes."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from opalwick.transport.pool import Pool
 
 
-class Errand:
-    """Hand-offs to one stand-in."""
+class Attempts:
+    """Delivery attempts to one stub server."""
 
     def __init__(self, *script: bytes | None, last: bool = False, **changes) -> None:
         self.limits, self.wanted, self.counts = limits(**changes), True, Counts(())
@@ -28,7 +28,7 @@
         message = Message(0.0)
         message.method, message.target, message.body = b"POST", b"/look/7?x=1", body
         message.headers = {b"x-correlation-id": b"c1", b"idempotency-key": b"k"}
-        handing = HandingOff(
+        attempt = HandingOff(
             self.place,
             message,
             time.monotonic() + within,
@@ -37,14 +37,14 @@
             self.limits,
             ["x0", "active"],
             self.counts,
-            lambda *told: self.lines.append(self.line(*told)),
+            lambda *event: self.lines.append(self.line(*event)),
         )
         if give_up == 0:
-            handing.give_up()
-        running = gevent.spawn(handing.run)
+            attempt.give_up()
+        running = gevent.spawn(attempt.run)
         if give_up:
             gevent.sleep(give_up)
-            handing.give_up()
+            attempt.give_up()
         running.join(3.0)
         assert running.successful()
 
@@ -57,7 +57,7 @@
             f"{' on a kept connection' if kept else ''}"
         )
 
-    def closes(self) -> str:
+    def open_connections(self) -> str:
         return f"{self.stand.connections} connections, {self.pool.open} open"
 
 
@@ -91,9 +91,9 @@
     ids=lambda part: part if isinstance(part, str) else "",
 )
 def test_outcomes(name: str, piece: bytes | None) -> None:
-    errand = Errand(piece, last=name in ("full_no_length", "error_no_length", "half_a_head"))
-    errand.go(within=0.2)
-    assert [*errand.lines, errand.closes()] == OUTCOMES[name]
+    attempts = Attempts(piece, last=name in ("full_no_length", "error_no_length", "half_a_head"))
+    attempts.go(within=0.2)
+    assert [*attempts.lines, attempts.open_connections()] == OUTCOMES[name]
 
 
 OUTCOMES = {
@@ -121,9 +121,9 @@
 
 
 def test_what_is_passed_on() -> None:
-    errand = Errand(chunked(DONE))
-    errand.go(body=b"abc")
-    lines = errand.stand.heard[0].split("\r\n")
+    attempts = Attempts(chunked(DONE))
+    attempts.go(body=b"abc")
+    lines = attempts.stand.heard[0].split("\r\n")
     assert [line for line in lines if not line.startswith(("Host", "X-Time-Left-Ms"))] == [
         "POST /look/7?x=1 HTTP/1.1",
         "X-Correlation-Id: c1",
@@ -134,15 +134,15 @@
     ]
 
 
-def test_refused_and_given_up() -> None:
-    """Whether the last byte was written decides whether it may have run."""
-    errand = Errand(None, None)
-    errand.go(give_up=0.05)  # written
-    errand.go(give_up=0)  # not begun
-    errand.go(within=0.0)  # its time is over
-    errand.place = ("127.0.0.1", 1)
-    errand.go()  # refused
-    assert [*errand.lines, errand.closes()] == [
+def test_refused_and_cancelled() -> None:
+    """A request may have run only if its last byte was written."""
+    attempts = Attempts(None, None)
+    attempts.go(give_up=0.05)  # written
+    attempts.go(give_up=0)  # not started
+    attempts.go(within=0.0)  # past its deadline
+    attempts.place = ("127.0.0.1", 1)
+    attempts.go()  # refused
+    assert [*attempts.lines, attempts.open_connections()] == [
         "CANCELLED",
         "NOT_SENT",
         "NOT_SENT",
@@ -151,36 +151,36 @@
     ]
 
 
-def test_a_body_that_is_not_taken_in_never_ran() -> None:
-    """A worker that stands still reads nothing: the last byte is not written when the time is over."""
-    errand = Errand()
-    errand.stand.running.kill()  # connections wait in its backlog, and buffers fill up
-    errand.go(within=0.2, body=b"x" * 20_000_000)
-    errand.go(give_up=0.1, body=b"x" * 20_000_000)
-    assert [*errand.lines, errand.closes()] == ["NOT_SENT", "NOT_SENT", "0 connections, 0 open"]
+def test_a_request_whose_body_is_not_read_never_ran() -> None:
+    """A stalled worker reads nothing, so the last byte is not written by the deadline."""
+    attempts = Attempts()
+    attempts.stand.running.kill()  # connections wait in its backlog, and buffers fill
+    attempts.go(within=0.2, body=b"x" * 20_000_000)
+    attempts.go(give_up=0.1, body=b"x" * 20_000_000)
+    assert [*attempts.lines, attempts.open_connections()] == ["NOT_SENT", "NOT_SENT", "0 connections, 0 open"]
 
 
 def test_connections_are_reused_but_never_a_closed_or_an_old_one() -> None:
-    """A request that crosses the other side's close may have run, so it must not come to that."""
-    errand = Errand(
+    """A request sent while the peer closes may have run, so no request must be sent on such a connection."""
+    attempts = Attempts(
         chunked(DONE), chunked(DONE).replace(b"\r\n\r\n", b"\r\n\r\n", 1), chunked(DONE), idle_worker=0.1
     )
-    errand.go()
-    errand.go()
-    errand.lines.append(errand.closes())
+    attempts.go()
+    attempts.go()
+    attempts.lines.append(attempts.open_connections())
     gevent.sleep(0.15)
-    errand.go()  # too old
-    errand.lines.append(errand.closes())
-    kept = errand.pool.kept[errand.place][0]
-    kept.sock.shutdown(gevent.socket.SHUT_WR)  # the stand-in answers with its own end
+    attempts.go()  # too old
+    attempts.lines.append(attempts.open_connections())
+    idle = attempts.pool.kept[attempts.place][0]
+    idle.sock.shutdown(gevent.socket.SHUT_WR)  # the stub server closes in turn
     gevent.sleep(0.02)
-    errand.go()
-    errand.lines.append(errand.closes())
+    attempts.go()
+    attempts.lines.append(attempts.open_connections())
     gevent.sleep(0.15)
-    errand.pool.sweep()
-    errand.lines.append(errand.closes())
+    attempts.pool.sweep()
+    attempts.lines.append(attempts.open_connections())
     done = "FINISHED (3.0, 1.5) b'7'"
-    assert errand.lines == [
+    assert attempts.lines == [
         done,
         done,
         "1 connections, 1 open",
@@ -192,18 +192,19 @@
     ]
 
 
-def test_when_kept_connections_break_at_their_next_use_is_learnt() -> None:
-    """Workers may close idle ones sooner than the settings say, without a word until the next request."""
-    errand = Errand(chunked(DONE), b"", *[chunked(DONE)] * 30)
-    errand.go()
+def test_the_idle_time_is_learned_from_connections_that_break_at_their_next_use() -> None:
+    """Workers may close idle connections sooner than the settings say, which shows at the next request
+    only."""
+    attempts = Attempts(chunked(DONE), b"", *[chunked(DONE)] * 30)
+    attempts.go()
     gevent.sleep(0.15)
-    errand.go()
-    learnt = errand.pool.idle.now
-    errand.go()
+    attempts.go()
+    learned = attempts.pool.idle.now
+    attempts.go()
     gevent.sleep(0.3)
-    errand.go()  # not over the one that has been idle longer than that
+    attempts.go()  # not on the connection that has been idle for longer than that
     done = "FINISHED (3.0, 1.5) b'7'"
-    assert [*errand.lines, errand.closes()] == [
+    assert [*attempts.lines, attempts.open_connections()] == [
         done,
         "BROKEN on a kept connection",
         done,
@@ -211,56 +212,56 @@
         "3 connections, 1 open",
     ]
     for _ in range(3):
-        gevent.sleep(0.5 * errand.pool.idle.now + 0.03)
-        errand.go()
-    assert 0.2 < learnt < 0.3 and learnt < errand.pool.idle.now < 1.2 * learnt
-    errand = Errand(chunked(DONE), chunked('{"id":"c1","state":"lost"}'))
-    errand.go()
-    errand.go()  # the worker answered: that one is its own
-    assert errand.lines == [done, "BROKEN"] and errand.pool.idle.now == errand.pool.idle.longest
-
-
-def test_at_the_brim_idle_connections_go_and_then_nothing_is_sent() -> None:
-    errand, other = Errand(chunked(DONE), workers=1), Stand(None)
-    errand.go()
-    own, errand.place = errand.place, other.place
-    busy = gevent.spawn(errand.go, 0.3)  # the idle one to the first worker makes room
+        gevent.sleep(0.5 * attempts.pool.idle.now + 0.03)
+        attempts.go()
+    assert 0.2 < learned < 0.3 and learned < attempts.pool.idle.now < 1.2 * learned
+    attempts = Attempts(chunked(DONE), chunked('{"id":"c1","state":"lost"}'))
+    attempts.go()
+    attempts.go()  # the worker answered, so the break does not count for the idle time
+    assert attempts.lines == [done, "BROKEN"] and attempts.pool.idle.now == attempts.pool.idle.longest
+
+
+def test_at_the_limit_idle_connections_are_evicted_and_then_nothing_is_sent() -> None:
+    attempts, other = Attempts(chunked(DONE), workers=1), Stand(None)
+    attempts.go()
+    own, attempts.place = attempts.place, other.place
+    busy = gevent.spawn(attempts.go, 0.3)  # evicts the idle connection to the first worker
     gevent.sleep(0.05)
-    errand.place = own
-    errand.go()
-    errand.lines.append(errand.closes())
+    attempts.place = own
+    attempts.go()
+    attempts.lines.append(attempts.open_connections())
     busy.join()
-    assert errand.lines == ["FINISHED (3.0, 1.5) b'7'", "NOT_SENT", "1 connections, 1 open", "TIMED_OUT"]
+    assert attempts.lines == ["FINISHED (3.0, 1.5) b'7'", "NOT_SENT", "1 connections, 1 open", "TIMED_OUT"]
 
 
-def test_a_connection_that_never_comes_up_never_ran() -> None:
-    """A machine that is cut off says nothing: the settings' time for a connection ends it."""
-    errand = Errand(connect=0.1)
-    errand.stand.running.kill()
-    errand.stand.listener.listen(0)  # nobody accepts, and the backlog is full
+def test_a_request_whose_connection_is_never_established_never_ran() -> None:
+    """An unreachable machine sends nothing: the connect timeout of the settings ends the attempt."""
+    attempts = Attempts(connect=0.1)
+    attempts.stand.running.kill()
+    attempts.stand.listener.listen(0)  # nobody accepts, and the backlog is full
     full = [gevent.socket.socket() for _ in range(2)]
     for sock in full:
         sock.settimeout(0.05)
-        sock.connect_ex(errand.place)
-    errand.go()
-    errand.go(within=0.05)
-    errand.lines.append(errand.closes())
-    assert errand.lines == ["NO_CONNECTION", "NOT_SENT", "0 connections, 0 open"]
-
-
-def test_nothing_is_sent_for_a_work_item_that_was_answered_while_its_connection_came_up() -> None:
-    """Where hand-offs may not be cancelled, one that is not yet sent would go out after the final answer."""
-    errand = Errand(chunked(DONE))
-    errand.wanted = False
-    errand.go()
-    errand.wanted = True
+        sock.connect_ex(attempts.place)
+    attempts.go()
+    attempts.go(within=0.05)
+    attempts.lines.append(attempts.open_connections())
+    assert attempts.lines == ["NO_CONNECTION", "NOT_SENT", "0 connections, 0 open"]
+
+
+def test_nothing_is_sent_for_a_work_item_that_was_answered_while_connecting() -> None:
+    """Where attempts may not be cancelled, one that is not yet sent would be sent after the final answer."""
+    attempts = Attempts(chunked(DONE))
+    attempts.wanted = False
+    attempts.go()
+    attempts.wanted = True
     connect = Connection.connect
     try:
-        Connection.connect = lambda *there: (connect(*there), setattr(errand, "wanted", False))
-        errand.go()
+        Connection.connect = lambda *there: (connect(*there), setattr(attempts, "wanted", False))
+        attempts.go()
     finally:
         Connection.connect = connect
-    assert [*errand.lines, *errand.stand.heard, errand.closes()] == [
+    assert [*attempts.lines, *attempts.stand.heard, attempts.open_connections()] == [
         "NOT_SENT",
         "NOT_SENT",
         "1 connections, 0 open",
