--- a/tests/helper.py
+++ b/tests/helper.py
@@ -1,4 +1,5 @@
-"""Drives the module alone and prints its decisions as a short trace."""
+"""Test harnesses: the balancer and the reducer alone with traces of their decisions, clients and stub
+servers."""
 
 from __future__ import annotations
 
@@ -43,7 +44,7 @@
 from opalwick.protocol.figures import Counts
 from opalwick.protocol.settings import flat, read_names, read_terms
 from opalwick.routing.reducer import Answer, Reducer
-from opalwick.routing.reducer import Effect as Asked
+from opalwick.routing.reducer import Effect as ReducerEffect
 from opalwick.transport.connection import Connection
 from opalwick.transport.limits import Limits, within
 from opalwick.transport.pulse import Pulse
@@ -69,16 +70,18 @@
 
 
 class Traced:
+    """Collects lines that are compared with a stored trace."""
+
     lines: list[str]
 
     def matches(self, name: str) -> None:
-        """Compares with the trace kept beside the tests."""
-        kept = (TRACES / f"{name}.txt").read_text().splitlines()
-        assert self.lines == [line for line in kept if not line.startswith("#")]
+        """Compares with the stored trace of this name, without its comment lines."""
+        stored = (TRACES / f"{name}.txt").read_text().splitlines()
+        assert self.lines == [line for line in stored if not line.startswith("#")]
 
 
 class Bench(Traced):
-    """One scheduler, its workers named by letters, and the trace of what it decides."""
+    """One balancer, its workers named by letters, and the trace of its decisions."""
 
     def __init__(
         self, workers: str = "ABCD", kinds: list[Category] | None = None, seed: int = 7, **changes
@@ -169,22 +172,22 @@
     def end(
         self, name: str, number: int = 0, outcome: Outcome = Outcome.FINISHED, kept: bool = False
     ) -> None:
-        ho = self.items[name].attempts[number]
+        attempt = self.items[name].attempts[number]
         done = self.items[name].answered or outcome is Outcome.FINISHED
-        self.balancer.attempt_ended(ho, outcome, done, kept)
+        self.balancer.attempt_ended(attempt, outcome, done, kept)
 
     def begin(self, name: str, number: int = 0) -> None:
         self.balancer.attempt_started(self.items[name].attempts[number])
 
     def pull(self, note: str = "") -> list[Decision]:
         decisions = list(self.balancer.decisions())
-        said = [text for decision in decisions if (text := self.word(decision))]
+        texts = [text for decision in decisions if (text := self.word(decision))]
         note = note + ": " if note else ""
-        self.lines.append(f"{self.now - START:6.2f}  {note}{', '.join(said) or 'nothing'}")
+        self.lines.append(f"{self.now - START:6.2f}  {note}{', '.join(texts) or 'nothing'}")
         return decisions
 
     def wait(self, seconds: float, note: str = "") -> None:
-        """Time passes in steps of ten milliseconds; only moments with a decision are printed."""
+        """Advances the time in steps of 10 ms; only times with a decision are traced."""
         end = self.now + seconds
         while self.now < end - 1e-9:
             self.now = round(min(end, self.now + 0.01), 6)
@@ -200,10 +203,13 @@
     def word(self, decision: Decision) -> str:
         names = {id(wi): name for name, wi in self.items.items()}
         match decision:
-            case Send(ho, _):
-                return f"{'copy of' if ho.hedge else 'send'} {names[id(ho.item)]} to {chr(ho.worker.id)}"
-            case Cancel(ho):
-                return f"cancel {names[id(ho.item)]} at {chr(ho.worker.id)}"
+            case Send(attempt, _):
+                return (
+                    f"{'copy of' if attempt.hedge else 'send'} {names[id(attempt.item)]} "
+                    f"to {chr(attempt.worker.id)}"
+                )
+            case Cancel(attempt):
+                return f"cancel {names[id(attempt.item)]} at {chr(attempt.worker.id)}"
             case Probe(w):
                 return f"probe {chr(w.id)}"
             case Defer(wi, after):
@@ -214,8 +220,8 @@
                 return "subscribe"
             case LoadReport(to, _, zone, rows):
                 return f"tell {to} of zone {zone}:{self.row(rows)}"
-            case LoadTotals(to, _, zone, heard, rows):
-                return f"sum to {to} of zone {zone} from {heard}:{self.row(rows)}"
+            case LoadTotals(to, _, zone, schedulers, rows):
+                return f"sum to {to} of zone {zone} from {schedulers}:{self.row(rows)}"
             case Wake():
                 return ""
         raise AssertionError(decision)
@@ -225,7 +231,7 @@
         return "".join(f" {chr(w.id)}:{slots:g}" for w, slots, _ in rows) or " nothing"
 
 
-# ---- the scheduler: settings in the operators' form, a reducer, and stand-ins on the other side of sockets
+# ---- the scheduler: settings as operators write them, a reducer, and stubs on the other side of sockets
 
 SETTINGS = {
     "az": 0,
@@ -284,7 +290,7 @@
 
 
 class Desk(Traced):
-    """A reducer alone; its inputs and effects are printed."""
+    """A reducer alone; its inputs and effects are traced."""
 
     def __init__(self, workers: str = "AB", **changes) -> None:
         self.terms = read_terms(settings(**changes))
@@ -301,28 +307,28 @@
 
     def put(self, kind: str, *fields, note: str = "") -> list:
         effects = list(self.reducer.reduce(self.now, kind, *fields))
-        said = [self.word(effect) for effect in effects if type(effect).__name__ != "Timer"]
+        texts = [self.word(effect) for effect in effects if type(effect).__name__ != "Timer"]
         self.lines.append(
             f"{self.now - START:5.2f}  {note or ' '.join([kind, *map(str, fields)])}: "
-            f"{', '.join(said) or 'nothing'}"
+            f"{', '.join(texts) or 'nothing'}"
         )
         return effects
 
     @staticmethod
-    def word(effect: Asked) -> str:
+    def word(effect: ReducerEffect) -> str:
         if isinstance(effect, Answer):
-            told = effect.result or (f"back in {effect.retry_after:g} s" if effect.retry_after else "")
-            return f"{effect.final.value} {effect.key} {told}".strip()
+            text = effect.result or (f"back in {effect.retry_after:g} s" if effect.retry_after else "")
+            return f"{effect.final.value} {effect.key} {text}".strip()
         return f"{type(effect).__name__.lower()} {' '.join(map(str, effect))}".strip()
 
 
 class Client(Traced):
-    """The other side of a client's connection, and a scheduler that only notes what it is asked."""
+    """A client's end of a connection, and a stub of the scheduler that only records the calls."""
 
     def __init__(self, room: int = 8, full: bool = False, **changes) -> None:
         self.lines: list[str] = []
         self.calls: list[Call] = []
-        self.subjects: list[tuple[int, bool]] = []  # and whether it is a repeat
+        self.subjects: list[tuple[int, bool]] = []  # with whether it is a repeat
         self.closing, self.room, self.advice = False, room, ("Retry-After: 1",)
         self.pulse = Pulse(time.monotonic())
         terms = read_terms(settings())
@@ -331,8 +337,8 @@
         self.sock, there = gevent.socket.socketpair()
         self.sock.settimeout(2.0)
         there = Plain(there)
-        kept = limits(**changes)
-        self.conversation = Conversation(Connection(there, kept.ring), kept, names, self, full)
+        limit = limits(**changes)
+        self.conversation = Conversation(Connection(there, limit.ring), limit, names, self, full)
         self.running = gevent.spawn(self.conversation.run)
 
     def lets_in(self) -> bool:
@@ -371,18 +377,19 @@
             self.lines.append(f"done {call.message.target.decode()}")
 
     def say(self, *parts: bytes) -> None:
+        """Sends the parts with pauses."""
         for part in parts:
             self.sock.sendall(part)
             gevent.sleep(0.02)
 
     def hear(self) -> None:
-        """Prints what came, without the lengths."""
+        """Traces what is received, without the lengths."""
         gevent.sleep(0.02)
         try:
-            came = self.sock.recv(65536)
+            data = self.sock.recv(65536)
         except TimeoutError:
-            came = b"(nothing)"
-        text = came.decode().replace("\r\n", " | ") or "(end)"
+            data = b"(nothing)"
+        text = data.decode().replace("\r\n", " | ") or "(end)"
         self.lines.append(f"hear {re.sub(r' [|] Content-Length: [0-9]+', '', text).strip(' |')}")
 
 
@@ -412,24 +419,25 @@
 
 @contextmanager
 def logged(function: str) -> Iterator[list[str]]:
-    """What that function logs meanwhile."""
-    said: list[str] = []
-    number = logger.add(
-        lambda line: said.append(line.record["message"]), filter=lambda record: record["function"] == function
-    )  # not of an earlier test's
-    yield said
-    logger.remove(number)
+    """Collects the log messages of one function."""
+    messages: list[str] = []
+    sink = logger.add(
+        lambda line: messages.append(line.record["message"]),
+        filter=lambda record: record["function"] == function,
+    )  # added here, so that lines of earlier tests are not included
+    yield messages
+    logger.remove(sink)
 
 
 def wait_until(seen: Callable[[], bool], seconds: float = 5.0) -> None:
-    """Lets other greenlets run until `seen`; returns after `seconds` in any case: the caller asserts."""
+    """Lets other greenlets run until `seen`, for at most `seconds`; the caller has to assert it."""
     until = time.monotonic() + seconds
     while not seen() and time.monotonic() < until:
         gevent.sleep(0.005)
 
 
 class Plain:
-    """A socket of a pair, which takes no TCP options."""
+    """Wraps a socket of a pair, which does not support TCP options."""
 
     def __init__(self, sock: gevent.socket.socket) -> None:
         self._sock = sock
@@ -442,7 +450,7 @@
 
 
 def door() -> gevent.socket.socket:
-    """A listener at some free place on loopback."""
+    """Opens a listening socket at a free port on loopback."""
     listener = gevent.socket.socket()
     listener.bind(("127.0.0.1", 0))
     listener.listen(64)
@@ -450,13 +458,13 @@
 
 
 class Stand:
-    """A listener on loopback that answers each request it reads with the next piece of its script.
+    """A stub server on loopback that answers each request with the next piece of its script.
 
-    A piece is bytes to send; None holds the connection silent; an empty piece closes it.
+    A piece is bytes to send; None sends nothing for 5 s; an empty piece closes the connection.
     """
 
     def __init__(self, *script: bytes | None, last: bool = False) -> None:
-        self.last = last  # it closes after each piece
+        self.last = last  # close after each piece
         self.script, self.heard, self.connections = list(script), [], 0
         self.listener = door()
         self.place = self.listener.getsockname()
@@ -484,7 +492,9 @@
 
 
 def chunked(*lines: str, status: str = "200 OK", last: bool = True) -> bytes:
-    told = "".join(f"{len(line) + 1:x}\r\n{line}\n\r\n" for line in lines)
-    return f"HTTP/1.1 {status}\r\nTransfer-Encoding: chunked\r\n\r\n{told}{'0' if last else ''}".encode() + (
-        b"\r\n\r\n" if last else b""
+    """Encodes a chunked response, without its last chunk if `last` is false."""
+    chunks = "".join(f"{len(line) + 1:x}\r\n{line}\n\r\n" for line in lines)
+    return (
+        f"HTTP/1.1 {status}\r\nTransfer-Encoding: chunked\r\n\r\n{chunks}{'0' if last else ''}".encode()
+        + (b"\r\n\r\n" if last else b"")
     )
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -1,4 +1,4 @@
-"""Where only a listed drain binds: what is called gone, or left out, may still be sent to."""
+"""The setting `only_draining_binds`: workers listed as gone, or missing from the list, may still be used."""
 
 from __future__ import annotations
 
@@ -14,79 +14,79 @@
     return bench
 
 
-def taken(bench: Bench, name: str) -> bool:
-    """Whether a new work item goes to A, the only worker there is."""
+def accepts(bench: Bench, name: str) -> bool:
+    """Whether a new work item is sent to A, the only enabled worker."""
     bench.take(name)
     bench.pull()
     return bool(bench.items[name].attempts)
 
 
-def beside(bench: Bench, form: ListForm = ListForm.CHANGES, **phases: Phase) -> None:
-    """B is listed and left out by hand, so that A is not the last one of the list."""
+def list_with_b(bench: Bench, form: ListForm = ListForm.CHANGES, **phases: Phase) -> None:
+    """Updates the list with B beside A, and disables B, so that A is not the last worker of the list."""
     bench.list(form, **{"B": Phase.READY, **phases})
     bench.balancer.set_disabled(bench.workers["B"], True)
 
 
-def test_gone_binds_until_a_sign_and_a_drain_in_spite_of_signs() -> None:
+def test_gone_binds_until_a_sign_of_life_and_draining_in_spite_of_it() -> None:
     for phase, ready in ((Phase.GONE, True), (Phase.DRAINING, False)):
         bench = worker_with_work()
-        beside(bench, A=phase)
+        list_with_b(bench, A=phase)
         assert not bench.workers["A"].usable
-        bench.begin("a")  # what was on its way begins, and goes on undisturbed
-        assert taken(bench, "b") is ready and not bench.items["a"].attempts[0].cancelled
+        bench.begin("a")  # an attempt in progress starts, and goes on
+        assert accepts(bench, "b") is ready and not bench.items["a"].attempts[0].cancelled
 
 
-def test_draining_then_gone_or_missing_stays_closed() -> None:
+def test_draining_then_gone_or_missing_stays_excluded() -> None:
     for form, after in ((ListForm.CHANGES, {"A": Phase.GONE}), (ListForm.FULL, {})):
         bench = worker_with_work()
-        beside(bench, A=Phase.DRAINING)
-        beside(bench, form, **after)
+        list_with_b(bench, A=Phase.DRAINING)
+        list_with_b(bench, form, **after)
         bench.begin("a")
         bench.end("a")
-        assert bench.workers["A"].phase is Phase.GONE and not taken(bench, "b")
+        assert bench.workers["A"].phase is Phase.GONE and not accepts(bench, "b")
 
 
 def test_gone_then_back_missing_then_named_as_draining_and_a_restart() -> None:
     bench = worker_with_work()
-    beside(bench, A=Phase.GONE)
-    beside(bench, A=Phase.READY)
-    assert taken(bench, "b")
-    beside(bench, ListForm.FULL)  # missing
+    list_with_b(bench, A=Phase.GONE)
+    list_with_b(bench, A=Phase.READY)
+    assert accepts(bench, "b")
+    list_with_b(bench, ListForm.FULL)  # missing
     bench.begin("a")
-    assert taken(bench, "c")
-    beside(bench, A=Phase.DRAINING)
-    assert not taken(bench, "d")
+    assert accepts(bench, "c")
+    list_with_b(bench, A=Phase.DRAINING)
+    assert not accepts(bench, "d")
     bench.list(ListForm.CHANGES, A=Phase.READY, ready={"A": bench.now - 60.0})
-    assert taken(bench, "e")
-    beside(bench, ListForm.CACHED, A=Phase.DRAINING)  # a list from before the restart: it binds all the same
+    assert accepts(bench, "e")
+    list_with_b(bench, ListForm.CACHED, A=Phase.DRAINING)  # a list cached before a restart binds too
     bench.begin("e")
-    assert not taken(bench, "f")
+    assert not accepts(bench, "f")
 
 
-def test_left_out_by_hand_binds_whatever_signs_come() -> None:
+def test_a_disabled_worker_is_excluded_whatever_signs_of_life_arrive() -> None:
     bench = worker_with_work()
-    beside(bench, A=Phase.GONE)
+    list_with_b(bench, A=Phase.GONE)
     bench.balancer.set_disabled(bench.workers["A"], True)
     bench.begin("a")
-    assert not taken(bench, "b")
+    assert not accepts(bench, "b")
     bench.balancer.set_disabled(bench.workers["A"], False)
-    assert taken(bench, "c")
+    assert accepts(bench, "c")
 
 
-def test_an_answer_that_it_is_full_is_no_sign_and_all_gone_at_once_is_the_lists_fault() -> None:
+def test_a_rejection_as_full_is_no_sign_of_life_and_a_list_with_all_gone_is_ignored() -> None:
     bench = worker_with_work()
-    beside(bench, A=Phase.GONE)
+    list_with_b(bench, A=Phase.GONE)
     bench.end("a", 0, Outcome.FULL)
-    assert not taken(bench, "b")
+    assert not accepts(bench, "b")
     bench = worker_with_work()
     bench.list(ListForm.FULL)
-    assert taken(bench, "b")
+    assert accepts(bench, "b")
 
 
-def test_elsewhere_gone_binds_in_spite_of_signs() -> None:
+def test_without_the_setting_gone_binds_in_spite_of_signs_of_life() -> None:
     bench = Bench("A")
     bench.take("a")
     bench.pull()
-    beside(bench, A=Phase.GONE)
+    list_with_b(bench, A=Phase.GONE)
     bench.begin("a")
-    assert not taken(bench, "b")
+    assert not accepts(bench, "b")
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules, just inside and just outside their edges."""
+"""The four rules of the scheduler, just inside and just outside their limits."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def test_what_may_have_run() -> None:
-    """Each outcome of the first hand-off, for each kind of category."""
+    """Each outcome of the first attempt, for each kind of category."""
     kinds = [
         category(),
         category(Effect.KEYED),
@@ -47,7 +47,7 @@
     bench.matches("may_have_run")
 
 
-def test_the_window_of_a_ticketed_item() -> None:
+def test_the_deduplication_window_of_a_keyed_item() -> None:
     for seconds in (1.45, 1.55):
         bench = Bench("AB", [category(Effect.KEYED, due=5.0, expiry=9.0)])
         bench.take("x")
@@ -59,7 +59,7 @@
         bench.matches(f"window_{seconds}")
 
 
-def test_a_worker_restarted_since_may_not_know_the_ticket() -> None:
+def test_a_worker_restarted_since_may_not_have_the_key() -> None:
     bench = Bench("AB", [category(Effect.KEYED, Group.CELL, due=5.0)], ramp=0.1)
     bench.take("x")
     bench.pull()
@@ -73,7 +73,7 @@
     bench.matches("restarted_cell")
 
 
-def test_nothing_new_to_draining_gone_or_missing_workers() -> None:
+def test_no_new_attempts_at_draining_gone_or_missing_workers() -> None:
     bench = Bench("ABCD")
     bench.list(ListForm.CHANGES, A=Phase.DRAINING, B=Phase.GONE)
     bench.take("a", "b", "c")
@@ -100,7 +100,7 @@
     bench.matches("cold")
 
 
-def test_asking_for_the_list() -> None:
+def test_requests_for_the_worker_list() -> None:
     bench = Bench("A", must_subscribe=True)
     bench.pull("start")
     for _ in range(5):
@@ -111,7 +111,7 @@
     bench.matches("asking")
 
 
-def test_nonsense_is_passed_over() -> None:
+def test_invalid_inputs_are_ignored() -> None:
     bench = Bench("A")
     before = [(k.slots, k.reports) for k in bench.balancer.kinds.values()]
     for figure in (float("nan"), float("inf"), -3.0, 1e30):
@@ -126,8 +126,8 @@
     bench.matches("nonsense")
 
 
-def test_a_large_new_fleet_is_not_kept_empty() -> None:
-    """i4483a9: an even part of the cold budget was smaller than one work item."""
+def test_a_large_new_fleet_is_used() -> None:
+    """An even part of the budget for cold workers was smaller than one work item (issue i4483a9)."""
     names = "".join(chr(code) for code in range(0x100, 0x150))
     bench = Bench("A", schedulers=8)
     bench.list(ListForm.FULL, ready=dict.fromkeys(names, START - 3.0), **dict.fromkeys(names, Phase.READY))
@@ -137,8 +137,9 @@
     bench.matches("new_fleet")
 
 
-def test_a_ticketed_item_without_a_note_moves_late_and_within_its_group() -> None:
-    """A connection that fell silent held it until its expiry, though its group discards a repeat."""
+def test_a_keyed_item_without_a_start_report_is_retried_late_and_within_its_group() -> None:
+    """An item on a connection without a response waited until its expiry, though its group discards a
+    repeat."""
     for zones in ("0001", "0111"):
         bench = Bench("ABCD", [category(Effect.KEYED, Group.ZONE)])
         bench.list(ListForm.FULL, zones, A=Phase.READY, B=Phase.DRAINING, C=Phase.DRAINING, D=Phase.DRAINING)
@@ -150,19 +151,20 @@
 
 
 def test_a_hint_past_the_expiry_keeps_an_item_from_a_cold_worker() -> None:
-    """A drawn day of the lab: an item of 8.5 s with 5 s left passed for a mean one, and felled a worker that
-    was coming up. Elsewhere such a hint is still no hint."""
+    """An item of 8.5 s with 5 s left was taken for an average one, and overloaded a worker that was starting
+    (in a random scenario of the lab). Beside the budget of cold workers such a hint is still ignored."""
     bench = Bench("A", ramp=10.0)
     bench.list(ListForm.FULL, ready={"A": bench.now - 5.0}, A=Phase.READY)
     for name, work in (("x", 1.0), ("y", 40.0)):
         bench.take(name, work=work, expiry=5.0)
-    taken = [bench.balancer.within_budget(bench.items[name], bench.workers["A"]) for name in "xy"]
-    assert taken == [True, False]
+    allowed = [bench.balancer.within_budget(bench.items[name], bench.workers["A"]) for name in "xy"]
+    assert allowed == [True, False]
     assert bench.items["y"].work < 5.0
 
 
 def test_a_category_bound_to_a_kind_goes_to_no_other() -> None:
-    """mill-orders-nam: workers of the wrong kind turned it away as full, and all work held them for full."""
+    """Workers of another kind rejected its items as full, and were then treated as full for all items
+    (scenario mill-orders-nam)."""
     bench = Bench("ABCD", [category(kind=1), category()])
     for name, kind in zip("ABCD", (0, 1, 0, 1)):
         bench.balancer.update_workers(
--- a/tests/test_sight.py
+++ b/tests/test_sight.py
@@ -1,4 +1,4 @@
-"""What is judged of workers, and the failures found so far."""
+"""Estimates of workers from what is observed of them; each test guards against a failure that occurred."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from opalwick.interface import Customer, Effect, Group, ListForm, Outcome, Phase, ReportSource
 
 
-def test_no_start_note_moves_an_item() -> None:
-    """i8b8146: an item waiting behind others was taken to be about to begin."""
+def test_an_item_without_a_start_report_is_sent_elsewhere() -> None:
+    """An item that waited behind others was taken to be about to start (issue i8b8146)."""
     bench = Bench("AB")
     bench.take("x")
     bench.pull()
@@ -18,7 +18,7 @@
     bench.matches("no_note")
 
 
-def test_a_start_note_keeps_an_item() -> None:
+def test_an_item_with_a_start_report_is_not_sent_elsewhere() -> None:
     bench = Bench("AB")
     bench.take("x")
     bench.pull()
@@ -28,7 +28,7 @@
 
 
 def test_a_report_does_not_count_own_items_as_others() -> None:
-    """i8b8146: a seldom used worker looked crowded by the item that it reported on."""
+    """A seldom used worker looked loaded by the very item that it reported on (issue i8b8146)."""
     bench = Bench("A")
     bench.take("x", work=2.0)
     bench.pull()
@@ -39,8 +39,8 @@
     bench.matches("own_report")
 
 
-def test_a_lone_break_does_not_shun_a_worker() -> None:
-    """if746ac: with breaks at every worker, shunning for each left none in use."""
+def test_a_single_break_does_not_eject_a_worker() -> None:
+    """With breaks at every worker, ejecting one for each break left none in use (issue if746ac)."""
     bench = Bench("A")
     bench.take("x", "y", "z", work=0.5)
     bench.pull()
@@ -55,8 +55,8 @@
     bench.matches("lone_break")
 
 
-def test_no_connection_at_a_worker_that_answers_does_not_shun_it() -> None:
-    """i26ca39: workers at their limit of connections were shunned, cleared and tried again at once."""
+def test_no_connection_at_a_worker_that_responds_does_not_eject_it() -> None:
+    """Workers at their limit of connections were ejected, reinstated and retried at once (issue i26ca39)."""
     for sign in (True, False):
         bench = Bench("A")
         bench.take("x", "y", work=0.5)
@@ -69,8 +69,8 @@
         bench.matches(f"no_connection_{sign}")
 
 
-def test_a_kept_connection_that_breaks_as_it_is_used_does_not_shun_a_worker() -> None:
-    """Workers that closed idle connections sooner than they say were left alone for seconds, idle."""
+def test_a_reused_connection_that_breaks_at_its_use_does_not_eject_a_worker() -> None:
+    """Workers that close idle connections sooner than they announce were avoided for seconds, and idle."""
     bench = Bench("A")
     bench.take("x", work=0.5)
     bench.pull()
@@ -83,8 +83,8 @@
     bench.matches("kept_break")
 
 
-def test_a_worker_that_turns_away_rests_before_the_next() -> None:
-    """One that takes so many a second looked best, empty as it was; items spent their hand-offs there."""
+def test_a_worker_that_rejects_is_not_used_for_a_moment() -> None:
+    """A worker with a limited rate looked best, as it was empty, and items used up their attempts there."""
     bench = Bench("A")
     for name, pause in zip("uvwxyz", (0.05, 0.06, 0.19, 0.05, 0.06, 0.0)):
         bench.take(name)
@@ -97,7 +97,7 @@
     bench.matches("turned_away")
 
 
-def test_a_silent_worker_is_left_alone_and_tried_again() -> None:
+def test_a_worker_without_responses_is_avoided_and_retried() -> None:
     bench = Bench("AB", reports_start=False)
     hung = bench.workers["A"]
     names = "abcdefghijklmnopqrstuvwxyz"
@@ -106,19 +106,19 @@
         list(bench.balancer.decisions())
         bench.wait(0.2)
         for item in bench.items.values():
-            for ho in item.attempts:
-                if not ho.ended and ho.cancelled:
-                    bench.end(chr(item.id), ho.number, Outcome.CANCELLED)
-                elif not ho.ended and ho.worker is not hung:
-                    bench.end(chr(item.id), ho.number)
+            for attempt in item.attempts:
+                if not attempt.ended and attempt.cancelled:
+                    bench.end(chr(item.id), attempt.number, Outcome.CANCELLED)
+                elif not attempt.ended and attempt.worker is not hung:
+                    bench.end(chr(item.id), attempt.number)
         list(bench.balancer.decisions())
-    sent = sum(ho.worker is hung for item in bench.items.values() for ho in item.attempts)
+    sent = sum(attempt.worker is hung for item in bench.items.values() for attempt in item.attempts)
     bench.lines = [f"items sent to the hung worker: {sent} of {len(names)}"]
     bench.matches("hung")
 
 
-def test_crowded_workers_defer_what_earns_least() -> None:
-    """id50b00: a standing queue of late work that never drained."""
+def test_loaded_workers_defer_the_items_with_the_least_credit() -> None:
+    """A persistent queue of late items never drained (issue id50b00)."""
     bench = Bench("A", [category(credit=1.0, due=2.0), category(credit=10.0, due=2.0)])
     names = "abcdefghijkl"
     for i, name in enumerate(names):
@@ -127,8 +127,8 @@
     bench.matches("crowded")
 
 
-def test_a_kind_slow_by_chance_is_tried_again() -> None:
-    """Locks' rough-2: a few long items condemned a kind of worker, which was then never used."""
+def test_a_kind_of_worker_that_was_slow_by_chance_is_retried() -> None:
+    """A kind of worker was never used again after a few long items (scenario locks, variant rough-2)."""
     bench = Bench("AB", [category(due=0.4)])
     w = bench.workers["A"]
     w.run_sum, w.work_sum, w.ran_at = 20.0, 2.0, bench.now
@@ -140,8 +140,8 @@
     bench.matches("pace")
 
 
-def test_traffic_beyond_a_share_does_not_push_out_traffic_within_one() -> None:
-    """i959873: with a third of the workers lost, all customers were deferred alike."""
+def test_traffic_above_a_quota_does_not_displace_traffic_within_one() -> None:
+    """With a third of the workers lost, all customers were deferred alike (issue i959873)."""
     greedy, modest = Customer(quota=5.0), Customer(quota=5.0)
     bench = Bench("A", [category(due=2.0, credit=1.0)], customers=[greedy, modest])
     customers = {}
@@ -156,9 +156,9 @@
     bench.matches("shares")
 
 
-def test_an_hour_of_refusals_in_a_row_is_borne() -> None:
-    """The lab's baselines found it: past 1,023 in a row the doubled pause was beyond all floats. The input
-    failed half-way and the work item was lost; of the list, nobody waited any more before asking again."""
+def test_more_than_a_thousand_rejections_in_a_row() -> None:
+    """After 1,023 rejections in a row the doubled pause overflowed a float: the input failed half-way and the
+    work item was lost. For the worker list, the pause before the next request was lost."""
     bench = Bench("A", kinds=[category(expiry=60.0)], must_subscribe=True)
     bench.workers["A"].rejections = bench.balancer.refusals = 1100
     bench.take("x")
@@ -179,8 +179,9 @@
     return bench
 
 
-def test_start_notes_that_come_late_tell_that_others_queue() -> None:
-    """bxl-channel-sync, overload: with no reports every worker looked empty, and 44% came late."""
+def test_late_start_reports_show_that_others_queue() -> None:
+    """Without load reports every worker looked empty, and 44% of the items were late (scenario
+    bxl-channel-sync, variant overload)."""
     for note in (0.01, 0.8):
         bench = blind(schedulers=20, kinds=[category(due=3.0)])
         deferred = 0
@@ -209,8 +210,8 @@
         bench.matches(f"blind_{note:g}")
 
 
-def test_a_note_is_awaited_as_long_as_trips_take() -> None:
-    """bxl-channel-sync: a tenth of a second lost to each full worker, of due times of an eighth."""
+def test_a_start_report_is_awaited_for_about_a_round_trip() -> None:
+    """Each full worker cost 0.1 s of a due time of 0.125 s (scenario bxl-channel-sync)."""
     bench = blind(workers="AB")
     for name in "abcdefghijklmnop":
         bench.take(name, work=0.05)
@@ -227,8 +228,9 @@
     bench.matches("note_in")
 
 
-def test_a_ticketed_item_looks_at_its_whole_cell() -> None:
-    """bxl-channel-sync: of sixteen workers drawn at random one or two were in a pod of four."""
+def test_a_keyed_item_considers_its_whole_cell() -> None:
+    """Of sixteen workers drawn at random, only one or two were in its cell of four (scenario
+    bxl-channel-sync)."""
     fleet = [chr(0x100 + i) for i in range(60)]
     bench = blind(
         workers="", kinds=[category(Effect.KEYED, Group.CELL, dedup_window=7.0, due=0.1, due_stretch=1.0)]
@@ -243,20 +245,23 @@
     assert len(bench.balancer.bound_cell(bench.items["x"])) == 4
     bench.wait(0.15)
     assert len(bench.items["x"].attempts) > 1
-    assert {ho.worker.cell for ho in bench.items["x"].attempts} == {home}
+    assert {attempt.worker.cell for attempt in bench.items["x"].attempts} == {home}
 
 
-def test_a_worker_that_fails_fast_is_drawn_less_and_a_bad_item_or_hour_shuns_none() -> None:
-    """bxl-channel-sync, fast_errors: an error was a sign of health, and what fails fast looks empty."""
+def test_a_worker_that_fails_fast_is_selected_less_and_bad_items_or_periods_eject_none() -> None:
+    """An error counted as a sign of health, and a worker that fails fast looks empty (scenario
+    bxl-channel-sync, variant fast_errors)."""
     bench = Bench("AB")
     a = bench.workers["A"]
 
     def fail(name: str, among: str) -> None:
         bench.take(name, work=0.05)
         list(bench.balancer.decisions())
-        ho = bench.items[name].attempts[-1]
-        bad = (ho.worker is bench.workers["A"] and "A" in among) or (ho.worker is not a and "B" in among)
-        bench.end(name, ho.number, Outcome.ERROR if bad else Outcome.FINISHED)
+        attempt = bench.items[name].attempts[-1]
+        bad = (attempt.worker is bench.workers["A"] and "A" in among) or (
+            attempt.worker is not a and "B" in among
+        )
+        bench.end(name, attempt.number, Outcome.ERROR if bad else Outcome.FINISHED)
         bench.balancer.close(bench.items[name])
         list(bench.balancer.decisions())
         bench.now += 0.2
@@ -269,10 +274,10 @@
         for _ in range(20):
             bench.take("y", work=0.05)
             list(bench.balancer.decisions())
-            ho = bench.items["y"].attempts[-1]
-            sent[chr(ho.worker.id)] += 1
+            attempt = bench.items["y"].attempts[-1]
+            sent[chr(attempt.worker.id)] += 1
             bench.balancer.close(bench.items["y"])
-            bench.end("y", ho.number, Outcome.CANCELLED)
+            bench.end("y", attempt.number, Outcome.CANCELLED)
             list(bench.balancer.decisions())
         bench.lines.append(f"{times} tried, failing {among}; of 20 sent {sent['A']} to A, {sent['B']} to B")
     bench.matches("failing")
