--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -11,7 +11,7 @@
 
 import gevent
 import pytest
-from helper import Client, Desk, Stand, post
+from helper import Client, ReducerHarness, StubServer, post
 from lab_days import day, report
 from test_discovery import entry, told
 from test_scheduler import DONE, Served, first
@@ -27,7 +27,7 @@
 from opalwick.routing.reducer import Answer, Close, Final, Send
 from opalwick.transport import connection
 from opalwick.transport.connection import Connection
-from opalwick.transport.pulse import Pulse
+from opalwick.transport.pulse import StallDetector
 
 
 def stand_still(seconds: float) -> None:
@@ -62,7 +62,7 @@
     sock.sendall(post(X_Time_Left_Ms="480"))
     time.sleep(0.7)
     assert first(sock) == "HTTP/1.1 503 Service Unavailable | Retry-After: 2"
-    assert served.worker.heard == []
+    assert served.worker.requests == []
     sock.sendall(post(X_Time_Left_Ms="480"))  # and the next one is served
     assert first(sock) == "HTTP/1.1 200 OK | 7"
     served.stop()
@@ -120,10 +120,10 @@
 
 def test_a_drain_that_lies_unread_is_read_before_anything_is_sent(tmp_path) -> None:
     lists = plain.create_server(("127.0.0.1", 0))
-    worker = Stand(DONE)
+    worker = StubServer(DONE)
 
     def host(health: str) -> dict:
-        return entry("a", dial="%s:%d" % worker.place, site="east", health=health)
+        return entry("a", dial="%s:%d" % worker.address, site="east", health=health)
 
     def serve() -> None:
         sock = lists.accept()[0]
@@ -146,12 +146,12 @@
     sock.sendall(post(X_Time_Left_Ms="3000"))
     time.sleep(0.8)
     gevent.sleep(0.1)
-    assert worker.heard == []
+    assert worker.requests == []
     served.stop()
 
 
 def test_nothing_is_decided_while_it_takes_in_what_lay_there() -> None:
-    desk = Desk()
+    desk = ReducerHarness()
     desk.take("one")
     [ho] = desk.reducer.items["one"].attempts
     desk.now += 4.9  # long past its note, and shortly before its expiry
@@ -162,23 +162,27 @@
 
 def test_what_lies_there_counts_before_the_time_that_is_over_but_not_for_ever() -> None:
     one, other = gevent.socket.socketpair()
-    from helper import Plain
+    from helper import PlainSocket
 
-    ours = Connection(Plain(other), 64)
+    ours = Connection(PlainSocket(other), 64)
     one.sendall(b"x" * 4000)
     assert sum(len(ours.read(0.0)) for _ in range(16)) == 16 * 64
     with pytest.raises(TimeoutError):
         ours.read(0.0)
     with pytest.raises(TimeoutError):
-        Connection(Plain(one), 64).read(0.0)
+        Connection(PlainSocket(one), 64).read(0.0)
 
 
 def test_a_pulse_knows_since_when_something_may_have_lain_there() -> None:
-    pulse = Pulse(10.0)
-    assert pulse.beat(10.05) == 0.0 and not pulse.late(10.1) and pulse.since(10.06) == 10.05
-    assert pulse.late(16.0) and pulse.stood(10.1, 16.0) and not pulse.stood(16.0, 16.0)
-    assert round(pulse.beat(16.0), 2) == 5.95 and pulse.since(16.1) == 10.05
-    assert pulse.since(16.3) == 16.0 and pulse.stood(10.1, 16.3) and not pulse.stood(16.0, 16.3)
+    pulse = StallDetector(10.0)
+    assert pulse.tick(10.05) == 0.0 and not pulse.overdue(10.1) and pulse.earliest_arrival(10.06) == 10.05
+    assert pulse.overdue(16.0) and pulse.stalled_between(10.1, 16.0) and not pulse.stalled_between(16.0, 16.0)
+    assert round(pulse.tick(16.0), 2) == 5.95 and pulse.earliest_arrival(16.1) == 10.05
+    assert (
+        pulse.earliest_arrival(16.3) == 16.0
+        and pulse.stalled_between(10.1, 16.3)
+        and not pulse.stalled_between(16.0, 16.3)
+    )
 
 
 class AsRead(Scheduler):
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -6,11 +6,11 @@
 
 import gevent
 import pytest
-from helper import Stand, chunked, limits
+from helper import StubServer, chunked, limits
 
 from opalwick.protocol.figures import Counts
 from opalwick.protocol.http import Message
-from opalwick.protocol.workers import HandingOff
+from opalwick.protocol.workers import WorkerRequest
 from opalwick.transport.connection import Connection
 from opalwick.transport.pool import Pool
 
@@ -20,15 +20,15 @@
 
     def __init__(self, *script: bytes | None, last: bool = False, **changes) -> None:
         self.limits, self.wanted, self.counts = limits(**changes), True, Counts(())
-        self.stand, self.lines = Stand(*script, last=last), []
-        self.place = self.stand.place
+        self.stand, self.lines = StubServer(*script, last=last), []
+        self.place = self.stand.address
         self.pool = Pool(self.limits.workers, self.limits.idle_worker, self.limits.ring)
 
     def go(self, within: float = 1.0, give_up: float | None = None, body: bytes = b"x") -> None:
         message = Message(0.0)
         message.method, message.target, message.body = b"POST", b"/look/7?x=1", body
         message.headers = {b"x-correlation-id": b"c1", b"idempotency-key": b"k"}
-        attempt = HandingOff(
+        attempt = WorkerRequest(
             self.place,
             message,
             time.monotonic() + within,
@@ -40,11 +40,11 @@
             lambda *event: self.lines.append(self.line(*event)),
         )
         if give_up == 0:
-            attempt.give_up()
+            attempt.cancel()
         running = gevent.spawn(attempt.run)
         if give_up:
             gevent.sleep(give_up)
-            attempt.give_up()
+            attempt.cancel()
         running.join(3.0)
         assert running.successful()
 
@@ -123,7 +123,7 @@
 def test_what_is_passed_on() -> None:
     attempts = Attempts(chunked(DONE))
     attempts.go(body=b"abc")
-    lines = attempts.stand.heard[0].split("\r\n")
+    lines = attempts.stand.requests[0].split("\r\n")
     assert [line for line in lines if not line.startswith(("Host", "X-Time-Left-Ms"))] == [
         "POST /look/7?x=1 HTTP/1.1",
         "X-Correlation-Id: c1",
@@ -171,7 +171,7 @@
     gevent.sleep(0.15)
     attempts.go()  # too old
     attempts.lines.append(attempts.open_connections())
-    idle = attempts.pool.kept[attempts.place][0]
+    idle = attempts.pool.idle[attempts.place][0]
     idle.sock.shutdown(gevent.socket.SHUT_WR)  # the stub server closes in turn
     gevent.sleep(0.02)
     attempts.go()
@@ -199,7 +199,7 @@
     attempts.go()
     gevent.sleep(0.15)
     attempts.go()
-    learned = attempts.pool.idle.now
+    learned = attempts.pool.idle_time.limit
     attempts.go()
     gevent.sleep(0.3)
     attempts.go()  # not on the connection that has been idle for longer than that
@@ -212,19 +212,22 @@
         "3 connections, 1 open",
     ]
     for _ in range(3):
-        gevent.sleep(0.5 * attempts.pool.idle.now + 0.03)
+        gevent.sleep(0.5 * attempts.pool.idle_time.limit + 0.03)
         attempts.go()
-    assert 0.2 < learned < 0.3 and learned < attempts.pool.idle.now < 1.2 * learned
+    assert 0.2 < learned < 0.3 and learned < attempts.pool.idle_time.limit < 1.2 * learned
     attempts = Attempts(chunked(DONE), chunked('{"id":"c1","state":"lost"}'))
     attempts.go()
     attempts.go()  # the worker answered, so the break does not count for the idle time
-    assert attempts.lines == [done, "BROKEN"] and attempts.pool.idle.now == attempts.pool.idle.longest
+    assert (
+        attempts.lines == [done, "BROKEN"]
+        and attempts.pool.idle_time.limit == attempts.pool.idle_time.maximum
+    )
 
 
 def test_at_the_limit_idle_connections_are_evicted_and_then_nothing_is_sent() -> None:
-    attempts, other = Attempts(chunked(DONE), workers=1), Stand(None)
+    attempts, other = Attempts(chunked(DONE), workers=1), StubServer(None)
     attempts.go()
-    own, attempts.place = attempts.place, other.place
+    own, attempts.place = attempts.place, other.address
     busy = gevent.spawn(attempts.go, 0.3)  # evicts the idle connection to the first worker
     gevent.sleep(0.05)
     attempts.place = own
@@ -261,7 +264,7 @@
         attempts.go()
     finally:
         Connection.connect = connect
-    assert [*attempts.lines, *attempts.stand.heard, attempts.open_connections()] == [
+    assert [*attempts.lines, *attempts.stand.requests, attempts.open_connections()] == [
         "NOT_SENT",
         "NOT_SENT",
         "1 connections, 0 open",
