--- a/opalwick/commands.py
+++ b/opalwick/commands.py
@@ -101,7 +101,7 @@
     """Prints the members as one scheduler sees them."""
     from http.client import HTTPConnection, HTTPException
 
-    from opalwick.protocol.discovery import address as parse_address
+    from opalwick.protocol.discovery import parse_address as parse_address
 
     try:
         host, port = parse_address(address)
--- a/opalwick/drill/__main__.py
+++ b/opalwick/drill/__main__.py
@@ -7,7 +7,7 @@
 
 from opalwick.drill.codec import BadFrame, read_frame
 from opalwick.drill.host import Host
-from opalwick.protocol.settings import BadStart
+from opalwick.protocol.settings import InvalidSettings
 
 
 def main() -> int:
@@ -18,7 +18,7 @@
         while (frame := read_frame(source)) is not None:
             sink.write(host.answer(*frame))
             sink.flush()
-    except (BadFrame, BadStart) as exc:
+    except (BadFrame, InvalidSettings) as exc:
         print(f"opalwick: {exc}", file=sys.stderr)
         return 1
     return 0
--- a/opalwick/lab/proxy.py
+++ b/opalwick/lab/proxy.py
@@ -22,7 +22,7 @@
     ResponseHead,
     Route,
 )
-from opalwick.protocol.clients import subject
+from opalwick.protocol.clients import hash_subject
 
 MESSAGE = 1.0  # seconds that a proxy waits for its processor: five times the usual default
 HELD_CALLS = 20000  # as many as one connection's streams by default
@@ -114,7 +114,7 @@
             START + want.expiry_at,
             want.hint,
             kind.slots,
-            subject(str(want.subject).encode() if want.subject else b""),
+            hash_subject(str(want.subject).encode() if want.subject else b""),
             want.tries > 1,
             want.key or "",
         )
--- a/opalwick/post/counter/agent.py
+++ b/opalwick/post/counter/agent.py
@@ -18,12 +18,12 @@
 from opalwick.post.verdict import DeliveryOutcome
 from opalwick.post.wire_pb2 import Letter
 from opalwick.protocol.conversation import Call
-from opalwick.protocol.door import Door
+from opalwick.protocol.door import Listener
 from opalwick.protocol.http import Message
-from opalwick.transport.connection import listening
-from opalwick.transport.limits import Limits, within
+from opalwick.transport.connection import listen
+from opalwick.transport.limits import Limits, compute_limits
 from opalwick.transport.pool import Pool
-from opalwick.transport.pulse import Pulse as StallDetector
+from opalwick.transport.pulse import StallDetector as StallDetector
 
 MAX_ACCEPTS = 512  # messages being replicated to stores at once: what a small machine accepts in 2 s at most
 MAX_BODY = 1 << 20  # bytes of a message's body, whatever the configuration allows
@@ -41,10 +41,10 @@
         super().__init__(Gateway(settings, int(time.time() * 1000), now, MAX_ACCEPTS), process)
         self.settings = settings
         self.limits: Limits = replace(
-            within(settings.nofile - 200, settings.mem_mb, 4096, 15.0, 0.3, 60.0, 3.0), body=MAX_BODY
+            compute_limits(settings.nofile - 200, settings.mem_mb, 4096, 15.0, 0.3, 60.0, 3.0), body=MAX_BODY
         )
         self.pool = Pool(self.limits.workers, 60.0, self.limits.ring)
-        self.pool.each_to = self.role.rounds.connection_limits
+        self.pool.max_by_address = self.role.rounds.connection_limits
         self.deliveries: dict[tuple[Any, int], Delivery] = {}
         self.pulse = StallDetector(now)  # whether this process was suspended or stalled
         self.door: Any = None
@@ -77,7 +77,7 @@
             if isinstance(order, Start):
                 self.start(order)
             elif (delivery := self.deliveries.get((order.key, order.number))) is not None:
-                delivery.give_up()
+                delivery.cancel()
 
     def start(self, order: Start) -> None:
         def wanted() -> bool:
@@ -88,7 +88,7 @@
             self.deliveries.pop((order.key, order.number), None)
             if result[0].ran is None and result[0] is not DeliveryOutcome.CANCELLED:
                 # a new connection shows in a tenth of the time whether the worker is still there
-                self.pool.drop(order.place[:2])
+                self.pool.close_idle(order.place[:2])
             self.role.clock(time.monotonic())
             self.guarded(self.role.delivery_ended, order, *result, kept)
             self.settle()
@@ -119,14 +119,14 @@
         while time.monotonic() < until and not (self.role.gone and not self.door.conversations):
             if self.role.closing and not self.closing:
                 self.door.close_at = self.door.end_at = time.monotonic()
-                self.door.turned.set()
+                self.door.end_changed.set()
             gevent.sleep(FINISH_INTERVAL)
 
     def detect_stalls(self) -> None:
         """Runs in a greenlet of its own."""
         while True:
-            self.pulse.beat(time.monotonic())
-            gevent.sleep(self.pulse.EVERY)
+            self.pulse.tick(time.monotonic())
+            gevent.sleep(self.pulse.PERIOD)
 
     def sweep(self) -> None:
         """Runs in a greenlet of its own."""
@@ -138,8 +138,8 @@
         """Runs until the process is told to stop, and returns once it has shut down."""
         addresses = [self.settings.binds["front"], self.settings.binds["ready"]]
         listeners = [
-            Door(
-                listening(address, 1024),
+            Listener(
+                listen(address, 1024),
                 self.limits,
                 self.pulse,
                 lambda c, full: ClientConnection(c, self.limits, self, full),
@@ -149,7 +149,7 @@
             for address in addresses
         ]
         self.door = listeners[0]
-        for work in (self.detect_stalls, self.sweep, self.door.usher):
+        for work in (self.detect_stalls, self.sweep, self.door.close_idle):
             self.keep_running(work)
         accepting = [self.keep_running(listener.accept) for listener in listeners]
         self.start_greenlets()
--- a/opalwick/post/counter/front.py
+++ b/opalwick/post/counter/front.py
@@ -7,7 +7,7 @@
 from typing import Any, NamedTuple, Protocol
 
 from opalwick.post.wire_pb2 import Field, Letter
-from opalwick.protocol.conversation import Call, Conversation, House
+from opalwick.protocol.conversation import Call, Conversation, ServerState
 from opalwick.protocol.http import Malformed, Message
 
 # headers that apply to one connection only, or are set on each delivery; not stored with the message
@@ -36,7 +36,7 @@
 RETRY_AFTER = "Retry-After: 0.1"
 
 
-class GatewayService(House, Protocol):
+class GatewayService(ServerState, Protocol):
     """What a gateway does for its clients. No method blocks; each ends with an answer to `call`."""
 
     def ready(self) -> bool: ...
@@ -98,25 +98,25 @@
 class ClientConnection(Conversation):
     """A client's connection to a gateway."""
 
-    house: Any  # a GatewayService
+    server: Any  # a GatewayService
 
-    def whole(self, message: Message, now: float) -> None:
-        call = self.asks(message)
+    def on_request(self, message: Message, now: float) -> None:
+        call = self.add_call(message)
         if message.method == b"GET" and message.target.partition(b"?")[0] == b"/readyz":
-            call.answer(200 if self.house.ready() else 503)
+            call.answer(200 if self.server.ready() else 503)
             return
         if (lookup := parse_lookup(message)) is not None:
-            self.house.look_up(call, lookup.name, lookup.body)
+            self.server.look_up(call, lookup.name, lookup.body)
             return
         try:
             letter, delay = decode_message(message)
         except Malformed as problem:
             answer_error(call, problem.status, problem.text)
             return
-        if self.full:
+        if self.over_limit:
             call.answer(503, b"", RETRY_AFTER)
             return
-        self.house.submit(call, message, letter, delay)
+        self.server.submit(call, message, letter, delay)
 
 
 def answer_error(call: Call, status: int, text: str, *fields: str) -> None:
--- a/opalwick/post/link.py
+++ b/opalwick/post/link.py
@@ -23,7 +23,7 @@
 from opalwick.post.settings import InvalidFile, read
 from opalwick.post.station import RoleBase
 from opalwick.post.wire_pb2 import Envelope, Hello
-from opalwick.transport.connection import Address, listening
+from opalwick.transport.connection import Address, listen
 
 # s between heartbeats: four within the 1 s after which roles no longer rely on a silent link
 PULSE = 0.25
@@ -259,7 +259,7 @@
     def listen(self) -> None:
         """Accepts links. Runs in a greenlet of its own."""
         address = self.role.settings.binds.get("links", (self.role.ip, self.role.port))
-        listener = listening(address, 256)
+        listener = listen(address, 256)
         while True:
             sock, _ = listener.accept()
             gevent.spawn(self.run, Link(sock, self))
--- a/opalwick/post/operators.py
+++ b/opalwick/post/operators.py
@@ -26,11 +26,11 @@
 from opalwick.post.settings import Settings
 from opalwick.post.station import RoleBase
 from opalwick.protocol.conversation import Conversation
-from opalwick.protocol.door import Door
+from opalwick.protocol.door import Listener
 from opalwick.protocol.http import Malformed, Message
-from opalwick.transport.connection import Address, Connection, listening
-from opalwick.transport.limits import within
-from opalwick.transport.pulse import Pulse
+from opalwick.transport.connection import Address, Connection, listen
+from opalwick.transport.limits import compute_limits
+from opalwick.transport.pulse import StallDetector
 
 MAX_CONNECTIONS = 6  # simultaneous connections; at the limit the one that has been idle longest is closed
 BIND_RETRY = 5.0  # s between attempts to bind the address
@@ -155,12 +155,12 @@
         """
         self.metrics_path = metrics_path
         self.role, self.address, self.read_disk, self.clock = role, place, read_disk, clock
-        self.pulse = Pulse(clock())
+        self.pulse = StallDetector(clock())
         self.limits = replace(
-            within(64, role.settings.mem_mb, MAX_CONNECTIONS, 15.0, 0.3, 60.0, 3.0),
+            compute_limits(64, role.settings.mem_mb, MAX_CONNECTIONS, 15.0, 0.3, 60.0, 3.0),
             clients=MAX_CONNECTIONS,
-            kept=MAX_CONNECTIONS,
-            spare=1,
+            active_clients=MAX_CONNECTIONS,
+            spare_clients=1,
         )
         self.door: Any = None
         self.registry: Any = None  # of the Prometheus library, created by the first call for metrics
@@ -173,7 +173,7 @@
                 gevent.sleep(3600.0)  # the process has no port for this server
                 continue
             try:
-                listener = listening(self.address, 16)
+                listener = listen(self.address, 16)
             except OSError as problem:
                 if not failed:
                     events.emit(906, place="%s:%d" % self.address, problem=str(problem))
@@ -181,7 +181,9 @@
                 gevent.sleep(BIND_RETRY)
                 continue
             self.address = listener.getsockname()
-            self.door = Door(listener, self.limits, self.pulse, self.conversation, lambda: MAX_CONNECTIONS)
+            self.door = Listener(
+                listener, self.limits, self.pulse, self.conversation, lambda: MAX_CONNECTIONS
+            )
         self.door.accept()
 
     def conversation(self, connection: Connection, full: bool) -> Conversation:
@@ -322,9 +324,9 @@
 class OperatorConnection(Conversation):
     """A connection of an operator."""
 
-    house: Any
+    server: Any
 
-    def whole(self, message: Message, now: float) -> None:
-        call = self.asks(message)
-        status, body, kind = self.house.answer(message)
+    def on_request(self, message: Message, now: float) -> None:
+        call = self.add_call(message)
+        status, body, kind = self.server.answer(message)
         call.answer(status, body, f"Content-Type: {kind}")
--- a/opalwick/processor/configuration.py
+++ b/opalwick/processor/configuration.py
@@ -13,7 +13,7 @@
 from opalwick.processor.grpc import Bounds
 from opalwick.program.configuration import BadConfiguration, Configuration
 from opalwick.program.configuration import read as read_scheduler
-from opalwick.protocol.discovery import address
+from opalwick.protocol.discovery import parse_address
 from opalwick.transport.connection import Address
 
 
@@ -101,7 +101,7 @@
         raise InvalidFile(f"{path}: cannot be read: {exc}") from None
     file = decode(text, path, File)
     try:
-        listen = address(file.listen, least_port)
+        listen = parse_address(file.listen, least_port)
     except ValueError as exc:
         raise fault_at(text, path, ["listen"], str(exc)) from None
     scheduler_path = Path(path).parent / file.scheduler
--- a/opalwick/processor/exchange.py
+++ b/opalwick/processor/exchange.py
@@ -16,7 +16,7 @@
 from typing import Any, NamedTuple, Protocol
 
 from opalwick.interface import Category, Customer, Outcome
-from opalwick.protocol.http import blames
+from opalwick.protocol.http import is_client_error
 from opalwick.routing.reducer import Answer, Close, Final, Send
 
 
@@ -224,7 +224,7 @@
             self._end(call, Outcome.FINISHED, True, head.figures)
             call.reply(Continue(False))
             return True
-        blamed = blames(status)
+        blamed = is_client_error(status)
         if head.not_sent:
             outcome = Outcome.NO_CONNECTION
         elif head.unprocessed and status in (503, 504):
--- a/opalwick/processor/front.py
+++ b/opalwick/processor/front.py
@@ -81,7 +81,7 @@
             # many requests share a connection, so each that was read after a stall may have arrived at its
             # beginning
             now, pulse = time.monotonic(), self.front.pulse
-            self.arrived_at = pulse.at_worst(pulse.since(now), now)
+            self.arrived_at = pulse.earliest_after(pulse.earliest_arrival(now), now)
             for event in self.server.receive(data):
                 self.event(event)
             self.changed.set()
@@ -134,7 +134,7 @@
             self.changed.set()
 
     def health(self, id: int, call: Unary) -> None:
-        self.server.send(id, SERVING if self.front.lets_in() else NOT_SERVING)
+        self.server.send(id, SERVING if self.front.accepts_work() else NOT_SERVING)
         if not call.watch:
             self.streams.pop(id, None)
             self.server.finish(id, grpc.OK)
@@ -179,7 +179,7 @@
             for message in sent:
                 if isinstance(message.token, Call):
                     message.token.sent = True
-                    self.front.counts.relayed += 1  # the proxy makes the attempt
+                    self.front.counts.attempts_sent += 1  # the proxy makes the attempt
             self.sock.sendall(data)
 
     def close(self) -> None:
@@ -204,7 +204,7 @@
             c.scheduler_config.max_attempts = 1
         super().__init__(c, stop, reload, read)
         self.settings, self.address = settings, settings.listen
-        self.exchange = Exchange(self, settings.proxy, c.limits.work_items, self.counts.final)
+        self.exchange = Exchange(self, settings.proxy, c.limits.work_items, self.counts.count_response)
         self.connections: dict[ProxyConnection, None] = {}
         self.faulty = 0  # streams ended because of malformed messages
         self.exchange_changed = Event()
--- a/opalwick/processor/messages.py
+++ b/opalwick/processor/messages.py
@@ -15,8 +15,8 @@
 
 from opalwick.processor.configuration import Settings
 from opalwick.processor.exchange import Call, Continue, Exchange, Immediate, ItemRequest, ResponseHead, Route
-from opalwick.protocol.clients import facts, subject
-from opalwick.protocol.workers import figures
+from opalwick.protocol.clients import parse_pairs, hash_subject
+from opalwick.protocol.workers import parse_load
 
 _OVERWRITE = base_pb2.HeaderValueOption.OVERWRITE_IF_EXISTS_OR_ADD
 
@@ -76,7 +76,7 @@
     if category.effect.value == "ticketed" and not key:
         raise Refused(400, f"{f.key} is missing")
     left = _number(fields, f.expiry, category.expiry * 1e3) / 1e3
-    slots = facts(fields.get(f.facts, "").encode("latin-1", "replace")).get(b"slots", 1.0)
+    slots = parse_pairs(fields.get(f.facts, "").encode("latin-1", "replace")).get(b"slots", 1.0)
     return ItemRequest(
         id,
         category,
@@ -84,7 +84,7 @@
         now + min(left, 3600.0),
         _number(fields, f.hint, 0.0) * 1e-6,
         slots if 0 < slots < 1e4 else 1.0,
-        subject(parts[-1].encode("latin-1", "replace") if len(parts) > 2 else b""),
+        hash_subject(parts[-1].encode("latin-1", "replace") if len(parts) > 2 else b""),
         fields.get("x-repeat") == "1",
         key,
     )
@@ -161,7 +161,9 @@
         load = fields.get(f.load) if f.load else None
         reported = ResponseHead(
             status,
-            figures(load.encode("latin-1", "replace"), self.settings.scheduler.names.figures) if load else (),
+            parse_load(load.encode("latin-1", "replace"), self.settings.scheduler.names.load_metrics)
+            if load
+            else (),
             bool(f.unprocessed) and fields.get(f.unprocessed) == "1",
             bool(f.not_sent) and fields.get(f.not_sent) == "1",
         )
--- a/opalwick/program/configuration.py
+++ b/opalwick/program/configuration.py
@@ -11,10 +11,18 @@
 from typing import Any
 
 from opalwick.interface import SchedulerConfig
-from opalwick.protocol.discovery import address
-from opalwick.protocol.settings import BadStart, Names, Values, flat, read_names, read_terms, refuse_mixed
+from opalwick.protocol.discovery import parse_address
+from opalwick.protocol.settings import (
+    InvalidSettings,
+    NameMaps,
+    SettingValues,
+    flatten,
+    read_name_maps,
+    read_scheduler_config,
+    reject_contradictions,
+)
 from opalwick.transport.connection import Address
-from opalwick.transport.limits import Limits, within
+from opalwick.transport.limits import Limits, compute_limits
 
 
 class BadConfiguration(Exception):
@@ -34,7 +42,7 @@
     seed: int
     known: dict[str, Any]  # the last known list of workers
     scheduler_config: SchedulerConfig
-    names: Names
+    names: NameMaps
     limits: Limits
     fleet: dict[str, Any] | None  # validated settings of fleet membership; None: off
     records: str  # file for records of this scheduler's view of the fleet; empty: none
@@ -42,7 +50,7 @@
 
     def differences(self, other: Configuration) -> list[str]:
         """The sorted paths of the keys that differ."""
-        ours, theirs = flat(self.raw), flat(other.raw)
+        ours, theirs = flatten(self.raw), flatten(other.raw)
         return sorted(path for path in ours.keys() | theirs.keys() if ours.get(path) != theirs.get(path))
 
 
@@ -57,7 +65,7 @@
 
 def _address(text: Any, key: str, minimum: int = 1) -> Address:
     try:
-        return address(text, minimum)
+        return parse_address(text, minimum)
     except ValueError as exc:
         raise BadConfiguration(f"{key} is malformed: {exc}") from None
 
@@ -165,13 +173,13 @@
     limits = _take(given, "limits", dict, {})
     peers = _take(given, "peers", list, [])
     peer_listen = given.get("peer_listen")
-    settings = flat(_take(given, "settings", dict))
+    settings = flatten(_take(given, "settings", dict))
     try:
-        terms = read_terms(settings)
-        refuse_mixed(settings)
-        names = read_names(settings, terms)
-        values = Values(settings)
-        budgets = within(
+        terms = read_scheduler_config(settings)
+        reject_contradictions(settings)
+        names = read_name_maps(settings, terms)
+        values = SettingValues(settings)
+        budgets = compute_limits(
             # defaults for a small machine
             int(_number(limits, "sockets", 1024, 1)),
             _number(limits, "memory_mb", 192, 1),
@@ -181,7 +189,7 @@
             terms.subscribe_within,
             max((c.expiry for c in terms.categories), default=0.0),
         )
-    except BadStart as exc:
+    except InvalidSettings as exc:
         raise BadConfiguration(f"settings: {exc}") from None
     return Configuration(
         name=_take(given, "name", str, environment.get("BALANCER_NAME", "opalwick")),
--- a/opalwick/program/core.py
+++ b/opalwick/program/core.py
@@ -18,14 +18,14 @@
 from opalwick.program.handover import Handover, socket_path
 from opalwick.program.operators import Operators
 from opalwick.protocol import figures
-from opalwick.protocol.discovery import Discovery, listing, rows
-from opalwick.protocol.handover import count, names, pairs
+from opalwick.protocol.discovery import Discovery, encode_list, parse_list
+from opalwick.protocol.handover import read_count, read_ids, read_pairs
 from opalwick.protocol.probes import probe
 from opalwick.routing.reducer import Datagram, Probe, Reducer, Timer, Watch
-from opalwick.transport.connection import Address, listening
+from opalwick.transport.connection import Address, listen
 from opalwick.transport.datagrams import Datagrams
 from opalwick.transport.pool import Pool
-from opalwick.transport.pulse import Pulse
+from opalwick.transport.pulse import StallDetector
 
 
 MEMBERSHIP_PREFIX = b"\2"  # as in `fleet/words.py`, which is not imported while membership is off
@@ -62,7 +62,7 @@
         self.counts = figures.Counts(c.names.categories.values())
         self.operators = Operators(c.operator, c.limits, self) if c.operator else None
         self.wake_at, self.timer_changed = now, Event()
-        self.pulse = Pulse(now)
+        self.pulse = StallDetector(now)
         self.agent: Any = None  # fleet membership; None: off
         self.agent_at = math.inf  # when its next timer is due
         if c.fleet is not None:
@@ -88,7 +88,7 @@
         self.other_ids: set[Any] = set()  # work items open in the other process
         self.other_descriptors = 0  # descriptors that the other process holds
         try:
-            version, _, known = rows(c.known, c.names, unix)
+            version, _, known = parse_list(c.known, c.names, unix)
         except ValueError as exc:
             logger.warning("known: {}; starting without a list of workers", exc)
             version, known = 0, []
@@ -102,7 +102,7 @@
     def put(self, kind: str, *fields: Any) -> None:
         """Applies an input to the reducer, by its method's name, and performs the effects."""
         now = self.put_at = time.monotonic()
-        if self.pulse.late(now):
+        if self.pulse.overdue(now):
             self.check_stall(now)
         try:
             if self.resuming:
@@ -120,25 +120,25 @@
         otherwise a worker whose answer is still unread would look unresponsive, and a draining one ready.
         Queued peer messages are dropped after a long stall, as they report outdated load.
         """
-        gap = self.pulse.beat(now)
+        gap = self.pulse.tick(now)
         if gap > 0.0 and not self.resuming:
             logger.warning("the process was stalled for {:.2f} s", gap)
             self.resuming, self.stall = True, gap
             if self.agent is not None:
                 self.agent.clock(now)
                 self.agent.after_stall()
-            if gap > self.pulse.LONG and self.datagrams is not None:
-                self.datagrams.drop()
+            if gap > self.pulse.LONG_STALL and self.datagrams is not None:
+                self.datagrams.discard_unread()
             gevent.spawn(self.resume, now)
 
     def resume(self, now: float) -> None:
         """Decides again once queued input is read: two turns of the event loop, more for a long list."""
         for _ in range(2):
             gevent.sleep(0)
-        while self.discovery.unread() and time.monotonic() < now + self.LIST_READ_TIMEOUT:
+        while self.discovery.has_unread() and time.monotonic() < now + self.LIST_READ_TIMEOUT:
             gevent.sleep(0.001)
         self.resuming = False
-        self.pulse.beat(time.monotonic())
+        self.pulse.tick(time.monotonic())
         self.put("woken")
         self.run_agent()
 
@@ -190,7 +190,7 @@
                     self.datagrams.send(self.configuration.peers[to], payload)
 
     def probe(self, worker: Any, address: Address) -> None:
-        self.put("probed", worker, probe(address, self.pool, self.limits, self.names.figures))
+        self.put("probed", worker, probe(address, self.pool, self.limits, self.names.load_metrics))
 
     def close_idle_connections(self) -> None:
         while True:
@@ -202,7 +202,7 @@
         while True:
             self.timer_changed.clear()
             due = min(self.wake_at, self.agent_at)
-            changed = self.timer_changed.wait(min(self.pulse.EVERY, max(0.0, due - time.monotonic())))
+            changed = self.timer_changed.wait(min(self.pulse.PERIOD, max(0.0, due - time.monotonic())))
             self.check_stall(time.monotonic())
             if time.monotonic() >= self.agent_at and not self.resuming:
                 self.agent_at = math.inf
@@ -228,9 +228,9 @@
 
     def peer_message(self, sender: Address, payload: bytes) -> None:
         now = time.monotonic()
-        if self.pulse.late(now):
+        if self.pulse.overdue(now):
             self.check_stall(now)
-        if self.superseded or self.resuming and self.stall > self.pulse.LONG:
+        if self.superseded or self.resuming and self.stall > self.pulse.LONG_STALL:
             return  # the message may have been queued for the whole stall
         if (peer := self.peers.get(sender)) is None:
             return
@@ -259,7 +259,7 @@
         """Whether this process serves."""
         return self.state is State.SERVING
 
-    def lets_in(self) -> bool:
+    def accepts_work(self) -> bool:
         """Whether the scheduler accepts work, in this process or in its successor."""
         return self.ready() or self.superseded
 
@@ -272,7 +272,7 @@
             self.set_state(State.DRAINING if on else State.SERVING)
         if not notified:
             self.handover.send("drain", on=on)
-        return on or self.lets_in()
+        return on or self.accepts_work()
 
     def worker_out(self, id: str, out: bool, notified: bool = False) -> bool:
         """Disables or enables a worker; False if none has this id.
@@ -292,7 +292,7 @@
     def handover_state(self) -> dict[str, Any]:
         """All that a successor process needs before it serves."""
         return {
-            "list": listing(self.discovery.version, self.reducer.list_rows(), self.names, self.unix),
+            "list": encode_list(self.discovery.version, self.reducer.list_rows(), self.names, self.unix),
             "out": self.reducer.disabled_names(),
             "draining": self.state is State.DRAINING,
             "learned": self.reducer.learned(),
@@ -314,12 +314,12 @@
     def apply_handover(self, state: dict[str, Any]) -> State:
         """Takes over the old process's state; returns the process state to start in."""
         try:
-            self.discovery.version, _, self.known = rows(state.get("list"), self.names, self.unix)
+            self.discovery.version, _, self.known = parse_list(state.get("list"), self.names, self.unix)
         except ValueError as exc:
             logger.warning("list of workers from the old process not used: {}", exc)
         self.put("listed", ListForm.CACHED, self.known)
         self.put("taught", state.get("learned"))
-        for name in names(state, "out"):
+        for name in read_ids(state, "out"):
             self.put("disabled", name)
         self.handover_message("now", state)
         return State.DRAINING if state.get("draining") is True else State.SERVING
@@ -327,12 +327,12 @@
     def handover_message(self, kind: str, fields: dict[str, Any]) -> None:
         match kind:
             case "now":
-                self.other_ids = {name.encode("latin-1", "replace") for name in names(fields, "ids")}
+                self.other_ids = {name.encode("latin-1", "replace") for name in read_ids(fields, "ids")}
                 self.other_descriptors = min(
-                    count(fields, "descriptors"), self.limits.clients + self.limits.workers
+                    read_count(fields, "descriptors"), self.limits.clients + self.limits.workers
                 )
-                self.pool.most = self.limit_share(self.limits.workers)
-                self.put("beside", pairs(fields, "in_flight"))
+                self.pool.max_open = self.limit_share(self.limits.workers)
+                self.put("beside", read_pairs(fields, "in_flight"))
             case "out":
                 if isinstance(who := fields.get("who"), str):
                     self.worker_out(who, fields.get("out") is True, True)
@@ -352,7 +352,7 @@
 
     def other_process_ended(self) -> None:
         """The other process has ended."""
-        self.other_ids, self.other_descriptors, self.pool.most = set(), 0, self.limits.workers
+        self.other_ids, self.other_descriptors, self.pool.max_open = set(), 0, self.limits.workers
         self.put("beside", {})
         if self.superseded and not self.stop.is_set():
             logger.warning("the successor process has ended; serving again")
@@ -361,7 +361,7 @@
 
     def stop_when_finished(self) -> None:
         """With a successor in service: shuts down once open work is finished."""
-        gevent.sleep(self.limits.stay)
+        gevent.sleep(self.limits.min_stay)
         while self.superseded and not self.finished():
             gevent.sleep(0.02)
         if self.superseded:
@@ -382,7 +382,7 @@
         """The metrics, as text."""
         counts = {} if self.agent is None else self.agent.counts
         fleet = {f"fleet_{name}": value for name, value in counts.items()}
-        return figures.text(
+        return figures.render(
             self.names.categories,
             self.counts,
             {"open_requests": self.open_items(), **self.reducer.gauges(), **fleet},
@@ -409,9 +409,9 @@
             except BadConfiguration as exc:
                 logger.error("the configuration was read again and is not used: {}", exc)
                 continue
-            if new.discovery != self.discovery.place:
+            if new.discovery != self.discovery.address:
                 logger.info("discovery is at {}:{} now", *new.discovery)
-                self.discovery.move(new.discovery)
+                self.discovery.set_address(new.discovery)
                 self.put("moved")
             if ignored := [path for path in self.configuration.differences(new) if path != "discovery"]:
                 logger.warning("changed, but not applied before a restart: {}", ", ".join(ignored))
@@ -431,7 +431,7 @@
         if self.configuration.inherited is not None:
             self.listener = socket.socket(fileno=self.configuration.inherited)
         else:
-            self.listener = listening(self.address, self.limits.backlog)
+            self.listener = listen(self.address, self.limits.backlog)
         self.address = self.listener.getsockname()
 
     def receive_peer_messages(self, address: Address) -> None:
@@ -469,7 +469,7 @@
     def run(self) -> None:
         """Serves until `stop` is set and all work items are answered."""
         self.open()
-        self.pulse.beat_at = time.monotonic()  # the time of the start-up is no stall
+        self.pulse.ticked_at = time.monotonic()  # the time of the start-up is no stall
         if self.operators is not None:
             gevent.spawn(self.run_forever, self.operators.accept)
         state, previous = State.SERVING, self.handover.connect()
@@ -499,7 +499,7 @@
         if self.agent is not None and not self.superseded:
             self.agent.leave()
             self.run_agent()
-        self.put("closing", time.monotonic() + self.limits.leave)
+        self.put("closing", time.monotonic() + self.limits.exit_after_sigterm)
         self.close()
         self.handover.close()
         logger.info("{}: stopped", self.configuration.name)
--- a/opalwick/program/handover.py
+++ b/opalwick/program/handover.py
@@ -21,7 +21,7 @@
 from gevent.event import Event
 from loguru import logger
 
-from opalwick.protocol.handover import Odd, Reader, packed
+from opalwick.protocol.handover import InvalidMessage, Reader, encode
 
 CONNECT_TIMEOUT = 1.5  # seconds until the state is received; a new process must be up within 6 s even without
 STATUS_INTERVAL = 0.1  # seconds between status messages: a tenth of what clients wait for most work
@@ -62,7 +62,7 @@
         """Queues a message without blocking; closes the link if the queue is full."""
         if len(self.outbox) >= MAX_QUEUED:
             return self.close()
-        self.outbox.append(packed(kind, **fields))
+        self.outbox.append(encode(kind, **fields))
         self.queued.set()
 
     def write(self) -> None:
@@ -81,7 +81,7 @@
             self.close()
 
     def receive(self, deadline: float = math.inf) -> tuple[str, dict[str, Any]]:
-        """The next message. Raises TimeoutError, Odd, or ConnectionError if the link was closed."""
+        """The next message. Raises TimeoutError, InvalidMessage, or ConnectionError if it was closed."""
         while not self.inbox:
             if (left := deadline - time.monotonic()) <= 0:
                 raise TimeoutError
@@ -133,7 +133,7 @@
             mark, passed, _, _ = socket.recv_fds(sock, 1, 1)
             self.received_descriptor = passed[0] if passed else None
             if mark != b"+":
-                raise Odd("the first byte is not a handover's")
+                raise InvalidMessage("the first byte is not a handover's")
             kind, state = link.receive(deadline)
             while kind != "state":
                 kind, state = link.receive(deadline)
@@ -142,7 +142,7 @@
             return state
         except (FileNotFoundError, ConnectionRefusedError):
             pass  # no process listens; there may be a socket file of one that has ended
-        except (OSError, Odd) as exc:
+        except (OSError, InvalidMessage) as exc:
             logger.warning("no handover from the old process: {}", exc or type(exc).__name__)
         link.close()
         if self.received_descriptor is not None:
@@ -200,10 +200,10 @@
     def serve_successor(self, link: Link) -> None:
         try:
             if self.process.superseded:
-                raise Odd("another successor serves already")
+                raise InvalidMessage("another successor serves already")
             kind, _ = link.receive(time.monotonic() + CONNECT_TIMEOUT)
             if kind != "hello":
-                raise Odd(f"unexpected first message {kind[:40]!r}")
+                raise InvalidMessage(f"unexpected first message {kind[:40]!r}")
             if self.link is not None:  # a former successor never reported that it serves
                 self.link.close()
             self.link = link
@@ -213,7 +213,7 @@
             gevent.spawn(link.write)
             link.send("state", **self.process.handover_state())
             logger.info("sent the state of this process to its successor")
-        except (OSError, Odd) as exc:
+        except (OSError, InvalidMessage) as exc:
             logger.warning("handover to a successor failed: {}", exc or type(exc).__name__)
             return self.drop(link)
         self.receive(link)
@@ -228,7 +228,7 @@
                 self.process.handover_message(*link.receive())
         except OSError:
             pass
-        except Odd as exc:
+        except InvalidMessage as exc:
             logger.warning("closed the link to the other process: {}", exc)
         finally:
             sender.kill()
--- a/opalwick/program/operators.py
+++ b/opalwick/program/operators.py
@@ -13,15 +13,15 @@
 from gevent import socket
 from loguru import logger
 
-from opalwick.protocol.operators import Serves, converse
-from opalwick.transport.connection import Address, Connection, listening
+from opalwick.protocol.operators import OperatorActions, serve_call
+from opalwick.transport.connection import Address, Connection, listen
 from opalwick.transport.limits import Limits
 
 
 class Operators:
     """Accepts and serves operators' connections."""
 
-    def __init__(self, place: Address, limits: Limits, serves: Serves) -> None:
+    def __init__(self, place: Address, limits: Limits, serves: OperatorActions) -> None:
         self.limits, self.handler, self.address = limits, serves, place
         self.listener: Any = None
         self.connections: dict[Connection, None] = {}  # in the order accepted
@@ -30,7 +30,7 @@
         """Runs in its own greenlet. While the address can't be bound, clients are still served."""
         while self.listener is None:
             try:
-                self.listener = listening(self.address, self.limits.backlog)
+                self.listener = listen(self.address, self.limits.backlog)
                 self.address = self.listener.getsockname()
                 logger.info("listening for operators on {}:{}", *self.address)
             except OSError as exc:
@@ -54,7 +54,7 @@
 
     def serve(self, connection: Connection) -> None:
         try:
-            converse(connection, self.limits, self.handler, time.monotonic() + self.limits.call)
+            serve_call(connection, self.limits, self.handler, time.monotonic() + self.limits.operator_call)
         except OSError:  # disconnected, timed out, or closed at the limit
             pass
         finally:
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import pytest
-from helper import TRACES, Desk
+from helper import TRACES, ReducerHarness
 from test_scheduler import Served
 from typer.testing import CliRunner
 
@@ -86,7 +86,7 @@
 
 
 def test_a_scheduler_without_membership_ignores_the_messages() -> None:
-    desk = Desk()
+    desk = ReducerHarness()
     desk.put("heard", 1, encode(Message(MessageType.PING, 1, 1, 0)), note="a membership message")
     assert desk.lines[-1].endswith("nothing")
 
