--- a/opalwick/lab/post/clients.py
+++ b/opalwick/lab/post/clients.py
@@ -1,7 +1,7 @@
-"""Clients, the platform before them, those who ask back, and the operators: what they do and what they saw.
+"""Simulated clients, the platform's load balancer, queries for messages, and operators.
 
-Noted for the judge: `sent`, `answer`, `broke`, `silent`; `asked`, `told`; `conf_sent`, `conf_acked`,
-`conf_refused`, `conf_read`.
+They record in the history: `sent`, `answer`, `broke`, `silent`; `asked`, `told`; `conf_sent`,
+`conf_acked`, `conf_refused`, `conf_superseded`, `conf_seen`, `conf_read`.
 """
 
 from __future__ import annotations
@@ -21,19 +21,19 @@
     from opalwick.lab.post.world import World
     from opalwick.protocol.http import Message
 
-DEADLINE = 0.5  # s that a client waits, with all its tries
-AIM = 0.08  # s within which a 202 is wanted
+DEADLINE = 0.5  # s for all tries of a client
+TARGET = 0.08  # s in which a 202 should come
 RETRIES = 2
-ASK = 2.0  # s that an asker waits
-SURE = 8  # times that one asks at the end
-READ = (200, 400, 409, 412, 413, 422)  # clear answers to an operator
+QUERY_TIMEOUT = 2.0  # s
+FINAL_TRIES = 8  # for each query at the end
+READ = (200, 400, 409, 412, 413, 422)  # answers after which an operator does not send again
 
 Done = Callable[[int, bytes, tuple[str, ...]], None]
 
 
 class Exchange:
-    """One request on a connection of its own. `done(status, ...)`: 0 where the connection ended, -1 where the
-    caller has waited for long enough."""
+    """One request, on a connection of its own or a persistent one. `done(status, ...)` gets 0 if the
+    connection ended, -1 after the time-out."""
 
     __slots__ = (
         "done",
@@ -56,28 +56,31 @@
         machine: Machine,
         message: Message,
         done: Done,
-        patience: float,
+        timeout: float,
         kept: KeptConnection | None = None,
     ) -> None:
-        """`origin`: a place on the net; empty: a client, whose way no cut meets. `kept`: on which it goes."""
+        """`origin`: a node of the network; empty: a client, whose links are never partitioned. `timeout` in s.
+        `kept`: the persistent connection to use."""
         self.world, self.origin, self.machine, self.message, self.done = world, origin, machine, message, done
         self.kept = kept
         self.proc: Any = None
         self.read = self.over = False
-        self.timer = world.agenda.after(patience, self.finish, -1)
+        self.timer = world.agenda.after(timeout, self.finish, -1)
         proc = machine.proc
         if not machine.power or (origin and not self.whole()):
             return
-        if proc is None:  # nobody listens there
+        if proc is None:  # no listener
             world.agenda.after(2.0 * self.trip(), self.finish, 0)
         else:
             world.agenda.after(3.0 * self.trip(), self.ask, proc)
 
     def whole(self) -> bool:
+        """Whether neither direction is partitioned."""
         net, node = self.world.net, self.machine.node
         return net.open(self.origin, node) and net.open(node, self.origin)
 
     def trip(self) -> float:
+        """One-way latency, in s."""
         if self.origin:
             return self.world.net.delay(self.origin, self.machine.node)
         return self.world.day.network.client * (1.0 + 0.3 * self.world.net.draw.random())
@@ -93,7 +96,7 @@
         proc.callers[self] = None
         proc.ask(self, self.message)
 
-    # ---- the other side
+    # ---- called by the other side
 
     def told(self, status: int, body: bytes, fields: tuple[str, ...]) -> None:
         if not self.over and self.proc.alive:
@@ -124,7 +127,7 @@
 
 
 class Platform:
-    """Which counters clients are sent to."""
+    """The platform's load balancer: which gateways new connections go to, by readiness probes."""
 
     def __init__(self, world: World) -> None:
         self.world, self.draw = world, world.draws.of("platform")
@@ -150,7 +153,7 @@
 
 
 class Want:
-    """A message, through all its tries."""
+    """A message that a client wants delivered, through all its tries."""
 
     number: int
     kind: str
@@ -182,10 +185,12 @@
 
 
 class Clients:
+    """Sends the traffic and queries accepted messages."""
+
     def __init__(self, world: World) -> None:
         self.world, self.draw, self.serial = world, world.draws.of("clients"), 0
         self.numbers = 0
-        self.names: dict[str, str] = {}  # accepted: rid, and the name that its client was given
+        self.names: dict[str, str] = {}  # accepted messages: request id to the name that its client received
         self.burst, self.poisoned = 1.0, 0.0
         self.until = 0.0
 
@@ -215,12 +220,12 @@
         self.next(zone)
 
     def service(self, zone: str) -> Service:
-        """Which the next message from there is for."""
+        """The service of the next message from that zone."""
         services = self.world.day.services
         return self.draw.choices(services, [s.share for s in services])[0]
 
     def asked(self, rid: str) -> Machine:
-        """Whom one asks for a message."""
+        """The gateway that a query for the message goes to."""
         return self.draw.choice(self.world.platform.ready() or self.world.of("counter"))
 
     def offer(
@@ -296,7 +301,7 @@
             world, "", chosen, request(b"POST", want.target, want.host, want.body, **fields), done, left, kept
         )
 
-    # ---- asking back
+    # ---- queries for messages
 
     def accepted(self, rid: str, name: str, want: Want) -> None:
         self.names[rid] = name
@@ -305,7 +310,7 @@
             self.world.agenda.after(when, self.ask, rid, self.draw.random() < 0.4, 1)
 
     def ask(self, rid: str, body: bool, tries: int) -> None:
-        """`tries`: after a failure it is asked again."""
+        """Queries the state or the body; after a failure again, at most `tries` times."""
         world = self.world
         machine = self.asked(rid)
         want = world.wants[rid]
@@ -328,37 +333,39 @@
             if status != 200 and tries > 1:
                 world.agenda.after(0.4, self.ask, rid, body, tries - 1)
 
-        world.exchange(world, "", machine, request(b"GET", target, want.host), done, ASK)
+        world.exchange(world, "", machine, request(b"GET", target, want.host), done, QUERY_TIMEOUT)
 
     def ask_all(self) -> None:
-        """At the end: states and bytes of all that may not have ended, states of some others."""
+        """Final queries: states and bodies of all messages that may not have ended, states of some others."""
         for rid in self.names:
             if rid not in self.world.over or self.draw.random() < 0.15:
                 when = 0.5 * self.draw.random()
-                self.world.agenda.after(when, self.ask, rid, False, SURE)
+                self.world.agenda.after(when, self.ask, rid, False, FINAL_TRIES)
                 if rid not in self.world.over:
-                    self.world.agenda.after(when, self.ask, rid, True, SURE)
+                    self.world.agenda.after(when, self.ask, rid, True, FINAL_TRIES)
 
 
 class Operator:
-    """Two people, at worst. Extra routes come, move and go; those of the traffic stay."""
+    """Up to two operators at once, who change the configuration. Extra routes are added, moved and removed;
+    the routes of the traffic stay."""
 
     def __init__(self, world: World) -> None:
         self.world, self.draw = world, world.draws.of("operator")
         self.gen = 2 + self.draw.randrange(5)
-        self.extras: dict[str, str] = {}  # stem and service, as last sent
+        self.extras: dict[str, str] = {}  # stem to service, as last sent
         self.limits = {s.name: float(s.limit) for s in world.day.services}
         self.count = 0
         self.bodies: list[bytes] = []
         self.valid: list[int] = []
         self.begun = False
-        self.acks_lost = 0.0  # share of answers that are lost on their way
+        self.acks_lost = 0.0  # share of answers lost in transit
         self.acked: list[int] = []
 
-    # ---- what is sent
+    # ---- configurations
 
     def make(self, gen: int, valid: bool = True, wrong: str = "") -> int:
-        """Its key. `wrong`: a stem that none but this one has, and a fault beside it."""
+        """Builds a configuration and returns its key. `wrong`: a stem that only this one has; an error is
+        added as well."""
         day = self.world.day
         services = {s.name: s for s in day.services}
         stems = {f"/{s.name}/": s.name for s in day.services} | self.extras
@@ -374,7 +381,7 @@
                     "stem": stem,
                     "type": "deferred",
                     "limit_ms": round(self.limits[svc] * 1000),
-                    "target_ms": round(AIM * 1000),
+                    "target_ms": round(TARGET * 1000),
                     "prio": 1,
                     "svc": svc,
                     "tries": s.tries,
@@ -435,7 +442,7 @@
         self.put(self.make(self.gen), lambda: self.world.traffic())
 
     def change(self) -> None:
-        """The next version: another limit, or an extra route that comes, goes or moves."""
+        """Sends the next version: another limit, or an extra route added, removed or moved."""
         self.gen += self.draw.choice((1, 1, 2, 5))
         services = [s.name for s in self.world.day.services]
         stem = ""
@@ -456,7 +463,7 @@
         self.put(self.make(self.gen), lambda: self.probe(stem))
 
     def rivals(self) -> None:
-        """Two operators take the same next number, each for a content of its own."""
+        """Two operators send different configurations under the same next version number."""
         self.gen += self.draw.choice((1, 2))
         services = [s.name for s in self.world.day.services]
         before = dict(self.extras)
@@ -465,18 +472,18 @@
             self.count += 1
             self.extras = before | {f"/x{self.count}/": self.draw.choice(services)}
             keys.append(self.make(self.gen))
-        # what comes of the routes is known by whoever is acknowledged: none is asked for
+        # which of the two routes is in force depends on the acknowledgement, so neither is probed
         self.extras = before
         for key in keys:
             self.put(key)
 
     def repeat(self) -> None:
-        """The newest order that was acknowledged, or one of the last few."""
+        """Sends one of the last three acknowledged configurations again."""
         if self.acked:
             self.put(self.draw.choice(self.acked[-3:]))
 
     def look(self) -> None:
-        """Reads what is in force, wherever it asks."""
+        """Reads the configuration in force from a random controller."""
         world, began = self.world, self.world.agenda.now
         machine = self.draw.choice(world.of("office"))
 
@@ -497,7 +504,7 @@
         self.probe(stem)
 
     def probe(self, stem: str) -> None:
-        """A few messages straight to each counter, on a route that came, went or never was."""
+        """Sends some messages directly to each ready gateway, on a route added, removed or never valid."""
         if stem:
             for machine in self.world.platform.ready():
                 for _ in range(2):
@@ -514,7 +521,7 @@
             self.world.clients.offer("probe", machine.zone, stem, svc, 0.2, machine)
 
     def retire(self, node: str, done: Callable[[], None]) -> None:
-        """Orders that a depot be emptied, asks until it is, and calls `done` then; no more where refused."""
+        """Orders a store to be emptied and polls; calls `done` when it is complete, never if refused."""
 
         def answered(status: int, body: bytes, fields: tuple[str, ...], ordered: bool) -> None:
             if ordered and status == 200 and json.loads(body)["state"] == "complete":
@@ -538,7 +545,7 @@
 
         ask(False)
 
-    # ---- how it is sent
+    # ---- calls to controllers
 
     def put(
         self, key: int, acknowledged: Callable[[], None] | None = None, turn: int = 0, office: int = -1
--- a/opalwick/lab/post/day.py
+++ b/opalwick/lab/post/day.py
@@ -1,4 +1,7 @@
-"""A day of the post: machines, services, traffic, what goes wrong. Checked whole before use."""
+"""Scenarios of the broker ("days" in files and reports): machines, services, traffic, faults.
+
+A scenario is validated completely before use.
+"""
 
 from __future__ import annotations
 
@@ -19,16 +22,22 @@
 
 
 class Fault(Struct, forbid_unknown_fields=True):
+    """One injected fault; the meaning of `size` depends on its kind, see `kinds.py`."""
+
     kind: str
     at: Seconds  # since the traffic began
     lasts: Seconds = Seconds(2)
-    part: float = 0.34  # of those that it may meet
-    size: float = 0.0  # what it means the catalogue tells; 0: its usual size
-    of: list[str] = []  # machines (depot-1), roles or zones, services for workers; none: a part of all
-    to: list[str] = []  # for links: where they lead
+    part: float = 0.34  # share of its possible targets
+    size: float = 0.0  # 0: the default of its kind
+    of: list[
+        str
+    ] = []  # targets: machines (depot-1), roles or zones; services for workers; empty: `part` of all
+    to: list[str] = []  # for links: the other ends
 
 
 class Service(Struct, forbid_unknown_fields=True):
+    """A service with its workers and the options of its route."""
+
     name: str
     share: float = 1.0  # of the messages
     workers: int = 3
@@ -37,7 +46,7 @@
     work: Seconds = Seconds(0.03)
     errors: float = 0.02  # share of runs that end with 500
     dedup: bool = False
-    rate: float = 0.0  # ceiling a second; 0: none
+    rate: float = 0.0  # limit of requests per second; 0: none
     static: bool = False
     tries: int = 4
     limit: Seconds = Seconds(0.6)
@@ -46,13 +55,13 @@
 
 
 class Homed(Struct, forbid_unknown_fields=True):
-    """A partner: the messages of one service, and the country (a region here) that they must not leave."""
+    """Data residency of a partner: a service, and the country (region) that its messages must not leave."""
 
     service: str
     country: str
-    refuse: bool = False  # while home is short; else they wait
+    refuse: bool = False  # messages are rejected while the country lacks capacity; else they wait
     wait: Seconds = Seconds(60)
-    later: bool = False  # not a partner from the start: a fault adds it
+    later: bool = False  # added by a fault; not a partner from the start
 
 
 def _services() -> list[Service]:
@@ -64,7 +73,7 @@
 
 
 class Bounds(Struct, forbid_unknown_fields=True):
-    """As deployments have them; a closing fault's `recover` is shorter here than theirs."""
+    """Time limits of the rules, as in deployments; only `recover` after a closing fault is shorter here."""
 
     contact: Seconds = Seconds(4)
     ack: Seconds = Seconds(5)
@@ -83,57 +92,62 @@
 
 
 class Network(Struct, forbid_unknown_fields=True):
+    """One-way latencies within a zone, between zones and from clients."""
+
     same: Seconds = Seconds(0.0002)
     cross: Seconds = Seconds(0.0014)
     client: Seconds = Seconds(0.003)
     jitter: float = 0.3
-    bound: int = 16 << 20  # octets that may wait on a link
+    bound: int = 16 << 20  # bytes that may be queued on a link
 
 
 class Order(Struct, forbid_unknown_fields=True):
-    """Of an operator, during a window."""
+    """An operator's order during a maintenance window."""
 
     at: Seconds  # since the traffic began
     what: str  # pause, resume, abort, or back RACK
 
 
 class Window(Struct, forbid_unknown_fields=True):
-    """A maintenance window; `window.py` plays it. Racks are named zone-1, zone-2 and so on."""
+    """A maintenance window, run by `window.py`. Racks are named zone-1, zone-2 and so on."""
 
-    at: Seconds = Seconds(1)  # since the traffic began: when it is started
-    racks: int = 1  # in each zone: the first has the zone's machines, the workers are dealt out
-    away: Seconds = Seconds(2.5)  # that the crew works on a rack
-    longest: Seconds = Seconds(12)  # that it may, as declared
-    whole: Seconds = Seconds(300)  # the window's length
+    at: Seconds = Seconds(1)  # start, since the traffic began
+    racks: int = 1  # in each zone; the first has the zone's machines, workers are spread over all
+    away: Seconds = Seconds(2.5)  # time that work on one rack takes
+    longest: Seconds = Seconds(12)  # declared maximum of that time
+    whole: Seconds = Seconds(300)  # length of the window
     together: int = 1
     least: int = 2  # workers that each service needs
-    share: float = 1.0  # of the demand, in slots
-    never: list[str] = []  # racks that do not come back
+    share: float = 1.0  # of the demand for slots that must stay available
+    never: list[str] = []  # racks that don't come back
     weights: dict[str, float] = {}  # by service
-    shares: bool = False  # the partners' shares are held
+    shares: bool = False  # partners' shares of capacity are enforced
     partners: dict[str, float] = {}  # their weights, by route
     orders: list[Order] = []
-    # without a conductor, and without a drain: "singly", "zones" (all racks of one at a time) or "greedy"
+    # without the maintenance coordinator and without drains: "singly", "zones" (all racks of one zone at a
+    # time) or "greedy"
     blind: str = ""
 
 
 class PostDay(Struct, forbid_unknown_fields=True):
+    """A scenario; rates are per second."""
+
     title: str
     length: Seconds  # of the traffic
-    after: Seconds = Seconds(6)  # that what was accepted has after it
+    after: Seconds = Seconds(6)  # time after the traffic in which accepted messages can end
     counters: int = 3
     depots: int = 3
     offices: int = 3
     zones: list[str] = field(default_factory=lambda: ["a", "b", "c"])
     services: list[Service] = field(default_factory=_services)
     rate: float = 12.0  # messages a second
-    most: int = 0  # messages at all; 0: any number
-    delayed: float = 0.15  # share that must not run at once
-    delay: Seconds = Seconds(2.0)  # by how much, in the mean
+    most: int = 0  # maximum of messages; 0: none
+    delayed: float = 0.15  # share of messages with a delay
+    delay: Seconds = Seconds(2.0)  # mean delay
     poison: float = 0.01
-    asks: float = 0.2  # share of the accepted that are asked back meanwhile
-    kept: float = 0.0  # share of the messages on connections that clients keep open
-    strangers: float = 4.0  # questions a second for names that nobody was given
+    asks: float = 0.2  # share of accepted messages that clients query during the traffic
+    kept: float = 0.0  # share of messages sent on persistent connections
+    strangers: float = 4.0  # queries per second for names that were never issued
     beat: Seconds = Seconds(1.2)
     disk_mb: float = 400.0
     sync: Seconds = Seconds(0.001)
@@ -141,10 +155,10 @@
     bounds: Bounds = field(default_factory=Bounds)
     faults: list[Fault] = []
     window: Window | None = None
-    crowd: float = 0.0  # messages a second that one further partner of the first service brings
-    regions: list[str] = []  # each zone's; none: all zones are in one
-    homes: list[Homed] = []  # a system of several countries, whose partners stay at home (`home_world.py`)
-    roam: float = 0.04  # share of a partner's clients who are abroad
+    crowd: float = 0.0  # messages per second from a further partner of the first service
+    regions: list[str] = []  # of each zone; empty: all zones are in one region
+    homes: list[Homed] = []  # partners with data residency, in several countries (`home_world.py`)
+    roam: float = 0.04  # share of a partner's clients in other countries
 
     def region(self, zone: str) -> str:
         return self.regions[self.zones.index(zone)] if self.regions else "r"
@@ -159,7 +173,7 @@
         }
 
     def named(self, names: list[str]) -> list[str]:
-        """Machines by name, role or zone. KeyError for one that is none of these."""
+        """Machines selected by name, role, zone or region. Raises KeyError for any other name."""
         found: dict[str, None] = {}
         for name in names:
             hit = [
@@ -203,63 +217,66 @@
         if not names:
             raise wrong([key], "none is given")
         if len(set(names)) < len(names):
-            raise wrong([key], "one stands twice")
+            raise wrong([key], "a name is given twice")
     if not sum(s.share for s in found.services):
-        raise wrong(["services", 0, "share"], "all shares are nought")
+        raise wrong(["services", 0, "share"], "all shares are 0")
     for i, s in enumerate(found.services):
         if not s.static and not 1 <= s.workers <= 100:
             raise wrong(["services", i, "workers"], f"{s.workers} is not from 1 to 100")
         if min(s.slots, s.tries) < 1 or s.limit <= 0:
             raise wrong(["services", i], "slots, tries and limit must be above 0")
     if found.regions and len(found.regions) != len(found.zones):
-        raise wrong(["regions"], f"{len(found.regions)} for {len(found.zones)} zones")
+        raise wrong(["regions"], f"{len(found.regions)} regions for {len(found.zones)} zones")
     for i, home in enumerate(found.homes):
         if home.service not in {s.name for s in found.services}:
-            raise wrong(["homes", i, "service"], f"{home.service!r} is no service here")
+            raise wrong(["homes", i, "service"], f"{home.service!r} is not a service of this scenario")
         if home.country not in found.regions:
-            raise wrong(["homes", i, "country"], f"{home.country!r} is no region here")
+            raise wrong(["homes", i, "country"], f"{home.country!r} is not a region of this scenario")
     services = {s.name for s in found.services} | {*found.zones, *found.regions}
     for i, fault in enumerate(found.faults):
         at: list[str | int] = ["faults", i]
         if fault.kind not in ALL:
             raise wrong([*at, "kind"], f"{fault.kind!r} is none of {', '.join(sorted(ALL))}")
         if fault.at >= found.length + found.after:
-            raise wrong([*at, "at"], "it begins after the day's end")
+            raise wrong([*at, "at"], "it begins after the end of the scenario")
         if not 0.0 <= fault.part <= 1.0:
             raise wrong([*at, "part"], f"{fault.part:g} is not from 0 to 1")
         on = ALL[fault.kind].on
         if fault.to and on != "links":
-            raise wrong([*at, "to"], f"{fault.kind} is not about links")
+            raise wrong([*at, "to"], f"{fault.kind} does not affect links")
         for key in ("of", "to"):
             try:
                 if on != "workers":
                     found.named(getattr(fault, key))
-                elif strange := set(getattr(fault, key)) - services:
-                    raise KeyError(min(strange))
-            except KeyError as who:
-                raise wrong([*at, key], f"{who.args[0]!r} is nobody here") from None
+                elif unknown := set(getattr(fault, key)) - services:
+                    raise KeyError(min(unknown))
+            except KeyError as error:
+                raise wrong([*at, key], f"{error.args[0]!r} is not in this scenario") from None
 
 
 def parse(text: str, name: str) -> PostDay:
-    """BadDay for what is none."""
+    """Decodes and validates a scenario. Raises BadDay."""
     found = decode(text, name, PostDay, BadDay)
     _check(found, text, name)
     return found
 
 
 def built_in() -> list[str]:
+    """Names of the scenarios that the package contains."""
     return others(BUILT_IN)
 
 
 def read(which: str) -> PostDay:
-    """A built-in day by its name, else a file. BadDay for what is no day of the post."""
+    """Reads a built-in scenario by its name, else a file. Raises BadDay if it isn't a valid scenario."""
     path, text = text_of(which, BUILT_IN, "day of the post")
     return parse(text, str(path))
 
 
 def drawn(day: PostDay, seed: int, kinds: Iterable[str] = KINDS) -> PostDay:
-    """The day with one to four faults of these kinds, and now and then another size: the same for the same
-    seed."""
+    """Adds one to four random faults of these kinds, sometimes with other sizes of disks or delays.
+
+    The result depends only on the scenario, the kinds and the seed.
+    """
     draw = random.Random(f"post/{seed}")
     faults = list(day.faults)
     names, closing = sorted(set(kinds) - {*CLOSING, *CHANGES}), [kind for kind in CLOSING if kind in kinds]
@@ -298,7 +315,7 @@
     if draw.random() < 0.15:
         more["disk_mb"] = round(draw.uniform(0.005, 0.05), 4)
     services = day.services
-    if draw.random() < 0.5:  # what is kept is given up while something is wrong
+    if draw.random() < 0.5:  # so that retention also ends during faults
         services = [msgspec.structs.replace(s, retain=Seconds(draw.choice((3, 6, 90)))) for s in services]
     return msgspec.structs.replace(
         day,
--- a/opalwick/lab/post/disks.py
+++ b/opalwick/lab/post/disks.py
@@ -1,8 +1,7 @@
-"""Disks as the roles' shells have them, in memory: what a transaction holds is there once its sync has
-ended.
+"""In-memory disks of the roles: a transaction is durable once its sync has ended.
 
-`process.py` calls them as a sync ends, or never. Real files, and what sqlite makes of a torn one, have
-tests of their own.
+`process.py` calls them when a sync ends; a sync that never ends leaves nothing. Real files, and torn ones in
+sqlite, have tests of their own.
 """
 
 from __future__ import annotations
@@ -16,7 +15,7 @@
 
 
 class Depot(disk.Disk):
-    """The depot's own statements, on a database in memory."""
+    """A store's disk (role depot): its own SQL statements on an in-memory database."""
 
     def __init__(self, name: str) -> None:
         self.id, self.starts, self.rotten = name, 1, 0
@@ -31,7 +30,7 @@
 
 
 class Office:
-    """One record, and a memory of the directory; as `post/office/disk.py` has them."""
+    """A controller's disk (role office): one record and the last directory, as in `post/office/disk.py`."""
 
     def __init__(self) -> None:
         self.stored: Stored | None = None
--- a/opalwick/lab/post/faults.py
+++ b/opalwick/lab/post/faults.py
@@ -1,9 +1,8 @@
-"""What goes wrong in a day of the post: each fault is a generator, as in `lab/faults.py`; `kinds.py` tells
-of each.
+"""Fault injection: each kind of fault is a generator, as in `lab/faults.py`; `kinds.py` describes them.
 
-What the system bears is bounded: while a machine that counts (a depot, an office) has lost its disk, no
-other one that counts is lost, and none loses its disk where another is, or was within `sync`, lost.
-Whatever else overlaps may.
+The system tolerates a bounded number of faults: while a machine with data (store or controller) has lost its
+disk, no other such machine is made unavailable; and none loses its disk while another one is unavailable or
+was so within the last `sync` seconds. All other overlaps are allowed.
 """
 
 from __future__ import annotations
@@ -27,17 +26,20 @@
 
 
 def fault(steps: Make) -> Make:
+    """Registers the generator of the kind of fault that has its name."""
     STEPS[steps.__name__] = steps
     return steps
 
 
 class Scene:
+    """Schedules a scenario's faults, chooses their targets and limits their overlap."""
+
     def __init__(self, world: World) -> None:
         self.world, self.agenda, self.day = world, world.agenda, world.day
         self.lost: dict[
             str, tuple[float, int]
-        ] = {}  # counted machines: until when, faults that hold them lost
-        self.bare: dict[str, float] = {}  # those that lost their disks: until when they are lost
+        ] = {}  # machines with data: unavailable until then, and by how many faults now
+        self.bare: dict[str, float] = {}  # machines that lost their disks: until when that counts
         for i, one in enumerate(self.day.faults):
             if one.kind in CLOSING:
                 at = max(0.0, float(one.at))
@@ -45,12 +47,12 @@
         world.on_traffic = self.begin
 
     def begin(self) -> None:
-        """The times of faults count from the traffic's begin."""
+        """Schedules the faults; their times are relative to the begin of the traffic."""
         start = self.world.begins_at
         if self.world.closing is not None:
             at, call = self.world.closing
             self.world.closing = start + at, call
-            # something is acknowledged then
+            # so that a configuration is acknowledged then
             self.agenda.at(start + at, self.world.operator.change)
         for i, one in enumerate(self.day.faults):
             if one.kind not in CLOSING:
@@ -60,7 +62,7 @@
                 )
                 set_up(cast(Any, self.world), moved, STEPS[one.kind](self, one, draw))
 
-    # ---- whom it meets
+    # ---- targets
 
     def machines(self, fault: Fault, draw: random.Random) -> list[Machine]:
         among = self.world.named(fault.of)
@@ -68,7 +70,7 @@
         return among if whole else part(draw, among, fault.part)
 
     def links(self, fault: Fault, draw: random.Random) -> list[Pair]:
-        """Ways between machines, each as (from, to), the first of a pair one of `of`."""
+        """Links between machines as (from, to), where from is one of the fault's `of`."""
         ones = self.day.named(fault.of) or list(self.world.machines)
         others = self.day.named(fault.to) or list(self.world.machines)
         pairs = dict[Pair, None]()
@@ -86,13 +88,14 @@
         ]
         return part(draw, among, fault.part)
 
-    # ---- what the system bears
+    # ---- limits on overlapping faults
 
     def counts(self, machine: Machine) -> bool:
+        """Whether the machine has data, as a store or controller."""
         return machine.role != "counter"
 
     def bears(self, machines: list[Machine], wipe: bool = False) -> list[Machine]:
-        """Those of them that may be lost now."""
+        """Those of them that may be made unavailable now; at most one with data if `wipe`."""
         now, found = self.agenda.now, []
         for machine in machines:
             if not self.counts(machine):
@@ -111,6 +114,7 @@
         return found
 
     def lose(self, machine: Machine, there: bool) -> None:
+        """Adds (`there`) or removes one fault that makes the machine unavailable."""
         if self.counts(machine):
             _, held = self.lost.get(machine.node, (0.0, 0))
             held += 1 if there else -1
@@ -121,7 +125,7 @@
     def spell(
         self, kind: str, machines: list[Machine], pairs: list[Pair] | None = None, planned: bool = False
     ) -> Callable[[], None]:
-        """It begins; what is returned ends it."""
+        """Records the begin of a fault; the returned function records its end."""
         for machine in machines:
             self.lose(machine, True)
         number = self.world.trouble(kind, planned, [m.node for m in machines], pairs or [])
@@ -159,7 +163,7 @@
             everyone = list(self.world.machines.values())
             wiped = draw.choice([m for m in everyone if self.counts(m)])
             if one.kind == "wipe_one" and wiped not in self.bears([wiped], True):
-                wiped = everyone[0]  # a counter: it has no disk to lose
+                wiped = everyone[0]  # a gateway, which has no disk
             self.world.note("closing", size)
             self.lost.clear()
             well = self.spell(one.kind, everyone)
@@ -230,7 +234,7 @@
 
         def taken(machine: Machine = machine) -> None:
             if machine in scene.world.of("depot"):
-                # in order, and no loss: whoever is linked to it finds out
+                # planned and without loss, but its links end
                 scene.world.trouble(fault.kind, True, [machine.node], [])
                 scene.world.well(scene.world.spells)
                 scene.world.removed(machine)
@@ -268,9 +272,9 @@
 
 @fault
 def hup(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
-    """Again and again while it lasts. Planned work: nothing counts as lost by it."""
+    """Repeated while the fault lasts. As planned work it makes no machine unavailable."""
     hit = scene.machines(fault, draw)
-    if not hit:  # those that it names have been taken away
+    if not hit:  # the machines that it names have been removed
         return
     number = scene.world.trouble(fault.kind, True, [machine.node for machine in hit], [])
     turns = itertools.cycle(hit)
@@ -356,7 +360,7 @@
 
 
 def _borne(scene: Scene, pairs: list[Pair]) -> list[Pair]:
-    """Those ways whose cut no machine without its disk would feel."""
+    """Links that may be partitioned: while a machine has lost its disk, only those between gateways."""
     bare = [node for node, until in scene.bare.items() if until > scene.agenda.now]
     if not bare:
         return pairs
@@ -451,7 +455,7 @@
 
 
 def _figure(scene: Scene, fault: Fault, draw: random.Random, table: dict[Pair, float]) -> Steps:
-    """A figure of ways while it lasts; both ways, or now and then one."""
+    """Adds the size to `table` for links while the fault lasts, mostly in both directions."""
     pairs = scene.links(fault, draw)
     well = scene.spell(fault.kind, _ends(scene, pairs), pairs)
     if draw.random() < 0.7:
@@ -476,7 +480,7 @@
     return _figure(scene, fault, draw, scene.world.net.lossy)
 
 
-# ---- workers: their trouble is their own, and excuses nothing but what meets it
+# ---- workers: these faults are not in the history, and excuse nothing but their own effects
 
 
 def _set(scene: Scene, fault: Fault, draw: random.Random, figure: str, value: Any) -> Steps:
@@ -584,7 +588,7 @@
 
 
 def _each(scene: Scene, fault: Fault, *calls: Callable[[], None], least: float = 0.1) -> Steps:
-    """The calls, each SIZE seconds, but no sooner than `least` after those before, while the fault lasts."""
+    """Makes the calls every SIZE seconds, at least `least` seconds apart, while the fault lasts."""
     on = [True]
 
     def turn() -> None:
--- a/opalwick/lab/post/kept.py
+++ b/opalwick/lab/post/kept.py
@@ -1,7 +1,7 @@
-"""Connections that clients keep open and go on using until the process at the other end is gone.
+"""Persistent connections of clients, used until the process at the other end has ended.
 
-A client that has one sends its next request there, also while that counter calls itself not ready any more:
-the platform only chooses where new connections go.
+A client with such a connection sends its next request on it, even while that gateway reports itself as not
+ready: the platform only chooses where new connections go.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
     from opalwick.lab.post.process import Machine
     from opalwick.lab.post.world import World
 
-MOST = 6  # kept at once by the clients of one zone
+MAX_PER_ZONE = 6  # connections kept open at once by the clients of one zone
 
 
 class KeptConnection:
-    """On the virtual clock: it lasts as long as the process, and until that closes what is idle."""
+    """A connection in virtual time: it lasts until the process ends or closes its idle connections."""
 
     def __init__(self, machine: Machine) -> None:
         self.machine = machine
@@ -31,7 +31,7 @@
         return bool(process.still) or not process.role.closing
 
     def answered(self, keep: bool) -> None:
-        """The request on it is over; `keep`: with a whole answer, after which more may be asked."""
+        """Ends the request on it; `keep`: a whole answer came, so that the connection can be used again."""
         self.busy = False
         if not keep:
             self.close()
@@ -41,7 +41,7 @@
 
 
 class KeptConnections:
-    """All that the clients of a day keep open."""
+    """The persistent connections of all clients, by zone."""
 
     connection_of: Any = KeptConnection
 
@@ -50,16 +50,16 @@
         self.of: dict[str, list[KeptConnection]] = {zone: [] for zone in world.day.zones}
 
     def take(self, zone: str) -> KeptConnection | None:
-        """One for a request of that zone, which is then busy; None: it has a connection of its own."""
+        """Reserves a connection for a request from that zone; None: the request opens one of its own."""
         if self.draw.random() >= self.world.day.kept:
             return None
         here = self.of[zone] = [one for one in self.of[zone] if one.busy or one.open]
         idle = [one for one in here if not one.busy]
-        if idle and (len(here) >= MOST or self.draw.random() < 0.7):
+        if idle and (len(here) >= MAX_PER_ZONE or self.draw.random() < 0.7):
             found = self.draw.choice(idle)
             found.busy = True
             return found
-        if len(here) >= MOST:
+        if len(here) >= MAX_PER_ZONE:
             return None
         here.append(self.connection_of(self.world.platform.pick(zone)))
         return here[-1]
--- a/opalwick/lab/post/net.py
+++ b/opalwick/lab/post/net.py
@@ -1,8 +1,7 @@
-"""Ways between machines, and links over them: delays, cuts, resets. As TCP between kernels, whatever the
-processes do.
+"""Simulated network: latency, partitions and resets of links, in the manner of TCP between kernels.
 
-What a process has said is its kernel's: a process that is killed loses nothing of it, a machine without
-power all that a cut holds up. What comes to a process that stands still waits for it, in order.
+Data that a process has sent is in its kernel: it survives a kill of the process, while a machine that loses
+power loses what a partition holds back. Data for a paused process waits for it in order.
 """
 
 from __future__ import annotations
@@ -27,29 +26,33 @@
     for name, found in Envelope.DESCRIPTOR.fields_by_name.items()
     if found.message_type is not None
 }
-AGAIN = 0.2  # s after which a kernel says again what was lost, doubled each time
-HEAD = 7  # octets around a word
+RETRANSMIT = 0.2  # s after which a kernel retransmits, doubled each time
+HEADER_BYTES = 7  # of each message
 
 
 class Net:
-    """Places are machines by name and workers by id; clients stand before the counters and are never cut."""
+    """Latencies and partitions between nodes: machines by name, workers by id. Clients' links to gateways are
+    never partitioned."""
 
     def __init__(self, day: PostDay, agenda: Agenda, draws: Draws) -> None:
         self.day, self.agenda, self.draws, self.draw = day, agenda, draws, draws.of("ways")
         self.zones: dict[str, str] = {}
         self.drawn: dict[
             tuple[str, str], random.Random
-        ] = {}  # a role may say the same to several in any order
+        ] = {}  # one for each direction, as the order in which a role sends to several nodes is not fixed
         self.cuts: dict[tuple[str, str], int] = {}
         self.late: dict[tuple[str, str], float] = {}
         self.lossy: dict[tuple[str, str], float] = {}
-        self.held: dict[tuple[str, str], list[Callable[[], None]]] = {}  # what goes on once a way is whole
+        self.held: dict[
+            tuple[str, str], list[Callable[[], None]]
+        ] = {}  # calls to make once the partition has healed
         self.since: dict[tuple[str, str], float] = {}
 
     def open(self, a: str, b: str) -> bool:
         return not self.cuts or (a, b) not in self.cuts
 
     def delay(self, a: str, b: str) -> float:
+        """One-way latency of the next message, in s."""
         network = self.day.network
         if (draw := self.drawn.get((a, b))) is None:
             draw = self.drawn[a, b] = random.Random(f"{self.draws.seed}/way/{a}/{b}")
@@ -58,20 +61,20 @@
         if self.late and (late := self.late.get((a, b), 0.0)):
             way += late
         if self.lossy and (share := self.lossy.get((a, b), 0.0)):
-            again = AGAIN
+            again = RETRANSMIT
             while draw.random() < share and again < 1.0:
                 way, again = way + again, 2.0 * again
         return way
 
     def when_open(self, a: str, b: str, call: Callable[[], None]) -> None:
-        """At once, or once the kernel tries again after the way is whole."""
+        """Calls at once, or when the kernel retransmits after the partition has healed."""
         if self.open(a, b):
             call()
         else:
             self.held.setdefault((a, b), []).append(call)
 
     def cut(self, a: str, b: str, there: bool) -> None:
-        """`there`: one more cut, else one less."""
+        """Adds (`there`) or removes one partition of the direction from `a` to `b`; several can overlap."""
         count = self.cuts.get((a, b), 0) + (1 if there else -1)
         if count > 0:
             self.cuts[a, b] = count
@@ -79,7 +82,7 @@
             return
         self.cuts.pop((a, b), None)
         calls = self.held.pop((a, b), [])
-        # a kernel doubles its pauses: what was lost for long is said again late
+        # a kernel doubles its pauses: after a long partition it retransmits late
         lasted = self.agenda.now - self.since.pop((a, b), self.agenda.now)
         if calls:
             self.agenda.after(self.draw.random() * min(1.0, 0.5 * lasted), self.again, a, b, calls)
@@ -89,11 +92,11 @@
             self.when_open(a, b, call)
 
 
-END = None  # the mark of an end among what comes
+END = None  # marks the end of the stream among received batches
 
 
 class End:
-    """One side of a connection between two processes: what a role has as its link."""
+    """One side of a connection between two processes; the roles use it as their link."""
 
     __slots__ = (
         "accepted",
@@ -126,19 +129,21 @@
         self.waiting = self.unread = 0
         self.batch: list[tuple[str, bytes]] = []
         self.batch_at = self.last_at = -1.0
-        self.held: deque[list[tuple[str, bytes]] | None] = deque()  # by a cut, on this side
+        self.held: deque[list[tuple[str, bytes]] | None] = (
+            deque()
+        )  # batches that a partition holds back on this side
         self.held_at = 0.0
-        self.buffer: deque[list[tuple[str, bytes]] | None] = deque()  # come, and not read yet
-        self.dialled: tuple[Any, float, float] | None = None  # place, since when, the pause before it
+        self.buffer: deque[list[tuple[str, bytes]] | None] = deque()  # received and not yet read
+        self.dialled: tuple[Any, float, float] | None = None  # address, begin, and the pause before it
 
-    # ---- as a role's link
+    # ---- interface of a role's link
 
     def send(self, kind: str, word: Any) -> None:
-        """Waits for nobody; a link whose other side does not read is closed."""
+        """Sends without waiting; closes the link when the other side has left too many bytes unread."""
         if self.over:
             return
         data = word.SerializeToString()
-        size = len(data) + HEAD
+        size = len(data) + HEADER_BYTES
         self.waiting += size
         if self.peer.zone != self.role.zone:
             self.role.cross_zone_bytes[kind] = self.role.cross_zone_bytes.get(kind, 0) + size
@@ -154,7 +159,7 @@
             self.close()
 
     def leave(self, batch: list[tuple[str, bytes]] | None) -> None:
-        """Into the kernel, and on its way; in order."""
+        """Puts a batch on the network, in order."""
         net = self.net
         if self.held or not net.open(self.near, self.far):
             self.hold(batch)
@@ -170,43 +175,43 @@
         self.held.append(batch)
 
     def release(self) -> None:
-        """The way is whole: what was held goes on."""
+        """The partition has healed: sends the batches that were held back."""
         batches, self.held = self.held, deque()
         for batch in batches:
             self.leave(batch)
 
     def timeout(self, held_at: float) -> None:
-        """TCP_USER_TIMEOUT: the kernel gives up what nobody acknowledged."""
+        """TCP_USER_TIMEOUT: the kernel gives up data that stays unacknowledged."""
         if self.held and self.held_at == held_at:
             self.held.clear()
             if not self.over:
                 self.proc.event(self.close)
 
     def arrives(self, batch: list[tuple[str, bytes]] | None) -> None:
-        if self.held or not self.net.open(self.near, self.far):  # lost on its way, and said again
+        if self.held or not self.net.open(self.near, self.far):  # lost in transit, to be retransmitted
             self.hold(batch)
             return
         self.other.come(batch)
 
-    # ---- on the other side
+    # ---- receiving side
 
     def come(self, batch: list[tuple[str, bytes]] | None) -> None:
         machine = self.proc.machine
         if not machine.power:
             return
         if self.over or not self.proc.alive:
-            if batch is not END:  # nobody is there: a reset goes back
+            if batch is not END:  # no process has the connection: a reset is sent
                 self.leave(END)
             return
         if batch is not END:
-            size = sum(len(data) + HEAD for _, data in batch)
+            size = sum(len(data) + HEADER_BYTES for _, data in batch)
             self.unread += size
         self.buffer.append(batch)
         if self.accepted:
             self.proc.readable(self)
 
     def read(self) -> None:
-        """As `Link.read`: all that lies there is one piece, up to an end."""
+        """Reads as `Link.read` does: all buffered data up to an end is one piece."""
         proc, role = self.proc, self.role
         while self.buffer and not self.over:
             pieces: list[tuple[str, bytes]] = []
@@ -226,7 +231,7 @@
                 for kind, data in pieces:
                     turn = turn or kind != "pulse"
                     self.take(kind, data)
-                if turn:  # what follows from pulses alone waits for the next tick, as in `Link.read`
+                if turn:  # after keepalives alone it waits for the next tick, as in `Link.read`
                     proc.settle()
             if ended:
                 self.close()
@@ -243,7 +248,7 @@
             self.proc.world.heard(self, kind, word)
             self.proc.guarded(self.role.receive, self, kind, word)
 
-    # ---- its end
+    # ---- closing
 
     def close(self) -> None:
         if not self.over:
@@ -251,18 +256,19 @@
             self.proc.guarded(self.role.remove_link, self)
             self.proc.hung_up(self)
 
-    def drop(self, told: bool = True) -> None:
-        """`told`: its kernel tells the other side; else nobody does, and what a cut holds up is lost."""
+    def drop(self, notify: bool = True) -> None:
+        """Drops the connection; `notify`: its kernel resets the other side, else data held back by a
+        partition is lost and the other side gets nothing."""
         self.over = True
         self.proc.all.pop(self, None)
         self.buffer.clear()
-        if told:
+        if notify:
             self.leave(END)
         else:
             self.held.clear()
 
     def reset(self) -> None:
-        """By the way between: what was on it is lost, and both sides find out."""
+        """Resets the connection from the network: data in transit is lost and both sides see the end."""
         for end in (self, self.other):
             end.held.clear()
             end.buffer.clear()
--- a/opalwick/lab/post/rules_messages.py
+++ b/opalwick/lab/post/rules_messages.py
@@ -213,7 +213,7 @@
                 )
 
     def cut_off(self) -> None:
-        """LOST: a request was read and its connection closed unanswered, with only planned work at that time."""
+        """LOST: a request was read and its connection closed unanswered, with only planned work then."""
         loss, grace = self.bounds["loss"], self.bounds["grace"]
         for one in self.tries.values():
             if not one.broke or not one.was_read or self.unplanned(one.at - self.contact, one.ended):
--- a/opalwick/lab/post/rules_recovery.py
+++ b/opalwick/lab/post/rules_recovery.py
@@ -39,7 +39,7 @@
             )
 
     def waits(self) -> None:
-        """RECOVER: an accepted message is due and its service works, but it was not delivered for CALM seconds
+        """RECOVER: an accepted message is due and its service works, but it was not delivered for CALM s
         without faults."""
         end = self.asking_at
         if end == INF or any(s.end > end - CALM for s in self.spells):
--- a/opalwick/lab/post/strangers.py
+++ b/opalwick/lab/post/strangers.py
@@ -1,7 +1,7 @@
-"""Callers who ask for messages by names that nobody was given: altered, guessed, made up, under other hosts.
+"""Queries with names that were never issued: altered, guessed, made up, or under other hosts.
 
-They ask any counter, whether it is ready or not: also one that has just started, is cut off or stands still.
-Noted for the judge: `asked_wrong` (number, kind, counter, name), `told_wrong` (number, status).
+They go to any gateway, ready or not: also to one that has just started, is partitioned or paused.
+They record in the history: `asked_wrong` (number, kind, counter, name), `told_wrong` (number, status).
 """
 
 from __future__ import annotations
@@ -17,12 +17,14 @@
 
     from opalwick.lab.post.world import World
 
-PATIENCE = 2.0  # s that an asker waits
-HOST = "lode17.example"  # of all true messages
-RECENT = 200  # names among which one is drawn: the newest ones have not ended yet
+QUERY_TIMEOUT = 2.0  # s
+HOST = "lode17.example"  # of all messages of the traffic
+RECENT = 200  # newest names from which one is drawn, as their messages may not have ended yet
 
 
 class Wrong(NamedTuple):
+    """A name that was never issued, or an issued one under another host."""
+
     name: str
     host: str = HOST
 
@@ -45,28 +47,28 @@
 
 
 def mixed(draw: random.Random, name: str, other: str) -> Wrong:
-    """A piece of one name in another."""
+    """One name with a part of another."""
     pieces, others = name.split("."), other.split(".")
     at = draw.randrange(min(len(pieces), len(others)))
     return Wrong(".".join([*pieces[:at], others[at], *pieces[at + 1 :]]))
 
 
 def next_number(draw: random.Random, name: str, other: str) -> Wrong:
-    """The next message of the same process, as far as a name tells."""
+    """The name of a neighbouring message of the same process, as far as it can be guessed."""
     pieces = name.split(".")
     pieces[2] = base36(int(pieces[2], 36) + draw.choice((-1, 1, 2)) if pieces[2] != "0" else 1)
     return Wrong(".".join(pieces))
 
 
 def made(draw: random.Random, name: str, other: str) -> Wrong:
-    """All is as it should be, but for the secret."""
+    """A well-formed name with a wrong secret."""
     names = NameGenerator("", 0, draw.randbytes)
     begun = ".".join([*name.split(".")[:3], names.secret()])
     return Wrong(complete_name(begun, draw.sample([f"depot-{n}" for n in range(3)], 2), HOST))
 
 
 def version_before(draw: random.Random, name: str, other: str) -> Wrong:
-    """A true name's first pieces as the version before would have written them."""
+    """The first parts of an issued name in the format of the previous version."""
     tags = [node_tag(f"depot-{n}") for n in draw.sample(range(3), 2)]
     return Wrong("-".join([".".join(name.split(".")[:3]), *tags]))
 
@@ -94,6 +96,8 @@
 
 
 class Strangers:
+    """Callers without any issued name; queries arrive at random, `strangers` per second."""
+
     def __init__(self, world: World) -> None:
         self.world, self.draw, self.number = world, world.draws.of("strangers"), 0
 
@@ -124,4 +128,4 @@
 
         stem = self.draw.choice(("/message/", "/message-body/"))
         message = request(b"GET", stem + wrong.name, wrong.host)
-        world.exchange(world, "", machine, message, done, PATIENCE)
+        world.exchange(world, "", machine, message, done, QUERY_TIMEOUT)
--- a/opalwick/lab/post/workers.py
+++ b/opalwick/lab/post/workers.py
@@ -1,6 +1,6 @@
-"""Workers and static endpoints: slots, a queue, ids, beats, what they say and what gets lost of it.
+"""Simulated workers and static endpoints: slots, queue, ids, heartbeats, answers and their loss.
 
-What they see is noted for the judge: `arrived`, `turned`, `began`, `finished`, `said`.
+They record in the history: `arrived`, `turned`, `began`, `finished`, `said`, `drains`, `drain_acked`, `gone`.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 if TYPE_CHECKING:
     from opalwick.lab.post.world import World
 
-COLD, COLD_FOR = 1.6, 3.0  # times slower at its start, for so long
-PATIENCE = 1.0  # s that a caller of offices waits for an answer
-STAY = 0.5  # s that a worker stays after the time that a drain gives
-ALONE = 5.0  # s after which one that nobody acknowledged ends anyway
+COLD, COLD_FOR = 1.6, 3.0  # factor on the work of a worker that has just started, and for how many s
+CALL_TIMEOUT = 1.0  # s for a call to a controller
+LINGER = 0.5  # s that a worker stays after its drain is due
+DRAIN_TIMEOUT = 5.0  # s after which a worker leaves although its drain was not acknowledged
 
 
 class Run:
-    """A request that a counter has sent to a worker."""
+    """A request that a gateway has sent to a worker."""
 
     __slots__ = (
         "began",
@@ -44,21 +44,24 @@
 
     def __init__(self, number: int, sending: Sending) -> None:
         self.number, self.sending = number, sending
-        letter = sending.order.item.message
-        self.rid, self.want, self.within = letter.rid, sending.order.place[2], sending.order.within
+        message = sending.order.item.message
+        self.rid, self.want, self.within = message.rid, sending.order.place[2], sending.order.within
         self.began = self.closed = self.over = self.slot = False
         self.timer: Entry | None = None
 
 
 class Table:
-    """What the workers of a service share."""
+    """State shared by the workers of a service: seen request ids and the rate limit."""
 
     def __init__(self, world: World, service: Service) -> None:
         self.world, self.service = world, service
-        self.seen: dict[str, str] = {}  # ids: the first success' seal; empty while it runs
+        self.seen: dict[
+            str, str
+        ] = {}  # by request id: completion token of the first success; empty while it runs
         self.tokens, self.at = 0.0, 0.0
 
     def over_ceiling(self) -> bool:
+        """Takes a token of the rate limit's bucket; True if there is none."""
         rate, now = self.service.rate, self.world.agenda.now
         if not rate:
             return False
@@ -70,6 +73,8 @@
 
 
 class Worker:
+    """A worker process or static endpoint. Fault injection sets `lost`, `breaks`, `hangs` and `dark`."""
+
     def __init__(
         self, world: World, service: Service, number: int, zone: str, place: tuple[str, int]
     ) -> None:
@@ -84,7 +89,7 @@
         self.born = world.agenda.now
         self.calls = 0
         self.lost = self.breaks = 0.0
-        self.says = ""  # a zone that it says it stands in, though it does not
+        self.says = ""  # a false zone that it reports; empty: its own
         world.net.zones[self.id] = zone
         world.at_address[place] = self
         if not service.static:
@@ -97,7 +102,7 @@
         if not self.there:
             world.reset(run, self.id)
             return
-        letter = run.sending.order.item.message
+        message = run.sending.order.item.message
         world.note(
             "arrived",
             run.number,
@@ -105,7 +110,7 @@
             self.id,
             self.service.name,
             run.sending.proc.node,
-            world.intact(letter),
+            world.intact(message),
         )
         if self.dark or self.hangs:
             run.closed = True
@@ -135,13 +140,14 @@
             self.turn(run, 503)
 
     def turn(self, run: Run, status: int) -> None:
+        """Rejects the request without running it."""
         self.world.note("turned", run.number, status)
         self.say(run, status, True)
 
     def begin(self, run: Run) -> None:
         world, want = self.world, self.world.wants.get(run.rid)
         if self.service.dedup:
-            if run.rid in self.table.seen:  # another's copy began while this one waited
+            if run.rid in self.table.seen:  # a hedge at another worker began while this one was queued
                 seal = self.table.seen[run.rid]
                 if seal:
                     self.say(run, 200, False, seal)
@@ -187,7 +193,7 @@
             self.begin(self.queue.popleft())
 
     def say(self, run: Run, status: int, not_run: bool, seal: str = "") -> None:
-        """The answer goes out, whole; or it is lost."""
+        """Sends the whole answer, unless it is lost."""
         if run.over:
             return
         run.over = True
@@ -204,7 +210,7 @@
             self.world.reset(run, self.id)
 
     def hung_up(self, run: Run) -> None:
-        """Its connection has closed: most drop what came on it."""
+        """The connection was closed; most requests on it are dropped."""
         run.closed = True
         if (run.began and run in self.running and self.draw.random() < 0.8) or run in self.queue:
             run.over = True
@@ -221,7 +227,7 @@
         elif run in self.queue:
             self.queue.remove(run)
 
-    # ---- its life
+    # ---- heartbeats, drain and end
 
     def beat(self) -> None:
         if self.there and not self.ending:
@@ -232,7 +238,7 @@
     def put(
         self, state: str, acknowledged: Callable[[str], None] | None, tries: int = 4, method: bytes = b"PUT"
     ) -> None:
-        """Some call to the offices, one after the other until one answers."""
+        """Calls controllers one after the other until one accepts, at most `tries` times."""
         world = self.world
         self.calls += 1
         body = (
@@ -260,7 +266,7 @@
             elif tries > 1 and self.there:
                 world.agenda.after(0.05, self.put, state, acknowledged, tries - 1, method)
 
-        world.call(self.id, office, method, f"/workers/{self.id}", body, answered, PATIENCE)
+        world.call(self.id, office, method, f"/workers/{self.id}", body, answered, CALL_TIMEOUT)
 
     def drain(self) -> None:
         if not self.there or self.draining or self.service.static:
@@ -268,26 +274,29 @@
         self.draining = True
         self.world.note("drains", self.id)
         self.announce()
-        self.world.agenda.after(ALONE, self.leave)
+        self.world.agenda.after(DRAIN_TIMEOUT, self.leave)
 
     def announce(self) -> None:
+        """Reports the drain again until it is acknowledged."""
         if self.there and not self.ending:
             self.put("draining", self.heard, 1)
-            self.world.agenda.after(PATIENCE + 0.1, lambda: None if self.ending else self.announce())
+            self.world.agenda.after(CALL_TIMEOUT + 0.1, lambda: None if self.ending else self.announce())
 
     def heard(self, node: str) -> None:
         self.world.note("drain_acked", self.id, node)
         if not self.ending:
             self.ending = True
-            self.world.agenda.after(float(self.world.day.bounds.drain) + STAY, self.leave)
+            self.world.agenda.after(float(self.world.day.bounds.drain) + LINGER, self.leave)
 
     def leave(self) -> None:
+        """Deregisters and ends."""
         if self.there:
             self.ending = True
             self.put("", lambda node: self.world.note("drain_acked", self.id, node), 4, b"DELETE")
             self.world.agenda.after(0.1, self.end, False)
 
     def end(self, crashed: bool) -> None:
+        """Ends the process; connections with requests in progress are reset."""
         if not self.there:
             return
         self.there = False
@@ -306,6 +315,7 @@
 
 
 def request(method: bytes, target: str, host: str = "ctl", body: bytes = b"", **fields: str) -> Message:
+    """An HTTP request; underscores in names of header fields become hyphens."""
     message = Message(0.0)
     message.method, message.target, message.body = method, target.encode(), body
     message.headers = {b"host": host.encode()}
@@ -315,6 +325,7 @@
 
 
 def header(fields: tuple[str, ...], name: str) -> str:
+    """Value of the header field (name in lower case); empty: there is none."""
     return next(
         (line.partition(":")[2].strip() for line in fields if line.lower().startswith(name + ":")), ""
     )
