--- a/opalwick/lab/post/clients.py
+++ b/opalwick/lab/post/clients.py
@@ -59,8 +59,8 @@
         timeout: float,
         kept: KeptConnection | None = None,
     ) -> None:
-        """`origin`: a node of the network; empty: a client, whose links are never partitioned. `timeout` in s.
-        `kept`: the persistent connection to use."""
+        """`origin`: a node of the network; empty: a client, whose links are never partitioned.
+        `timeout` in s. `kept`: the persistent connection to use."""
         self.world, self.origin, self.machine, self.message, self.done = world, origin, machine, message, done
         self.kept = kept
         self.proc: Any = None
@@ -346,8 +346,8 @@
 
 
 class Operator:
-    """Up to two operators at once, who change the configuration. Extra routes are added, moved and removed;
-    the routes of the traffic stay."""
+    """Up to two operators at once, who change the configuration. Extra routes are added, moved and
+    removed; the routes of the traffic stay."""
 
     def __init__(self, world: World) -> None:
         self.world, self.draw = world, world.draws.of("operator")
--- a/opalwick/lab/post/day.py
+++ b/opalwick/lab/post/day.py
@@ -54,7 +54,7 @@
     retain: Seconds = Seconds(90)
 
 
-class Homed(Struct, forbid_unknown_fields=True):
+class Residency(Struct, forbid_unknown_fields=True):
     """Data residency of a partner: a service, and the country (region) that its messages must not leave."""
 
     service: str
@@ -157,7 +157,7 @@
     window: Window | None = None
     crowd: float = 0.0  # messages per second from a further partner of the first service
     regions: list[str] = []  # of each zone; empty: all zones are in one region
-    homes: list[Homed] = []  # partners with data residency, in several countries (`home_world.py`)
+    homes: list[Residency] = []  # partners with data residency, in several countries (`home_world.py`)
     roam: float = 0.04  # share of a partner's clients in other countries
 
     def region(self, zone: str) -> str:
--- a/opalwick/lab/post/faults.py
+++ b/opalwick/lab/post/faults.py
@@ -65,9 +65,9 @@
     # ---- targets
 
     def machines(self, fault: Fault, draw: random.Random) -> list[Machine]:
-        among = self.world.named(fault.of)
+        candidates = self.world.named(fault.of)
         whole = bool(fault.of) and all(name in self.world.machines for name in fault.of)
-        return among if whole else part(draw, among, fault.part)
+        return candidates if whole else part(draw, candidates, fault.part)
 
     def links(self, fault: Fault, draw: random.Random) -> list[Pair]:
         """Links between machines as (from, to), where from is one of the fault's `of`."""
@@ -81,12 +81,12 @@
         return part(draw, list(pairs), fault.part)
 
     def workers(self, fault: Fault, draw: random.Random) -> list[Worker]:
-        among = [
+        candidates = [
             w
             for w in self.world.workers
             if not fault.of or {w.service.name, w.zone, self.day.region(w.zone)} & set(fault.of)
         ]
-        return part(draw, among, fault.part)
+        return part(draw, candidates, fault.part)
 
     # ---- limits on overlapping faults
 
@@ -147,12 +147,12 @@
                 continue
             if wipe:
                 self.bare[machine.node] = 1e9
-            well = self.spell(kind, [machine])
+            end_fault = self.spell(kind, [machine])
             machine.down(power, wipe)
 
-            def back(machine: Machine = machine, well: Callable[[], None] = well) -> None:
+            def back(machine: Machine = machine, end_fault: Callable[[], None] = end_fault) -> None:
                 machine.back()
-                well()
+                end_fault()
 
             self.agenda.after(max(0.05, size), back)
 
@@ -160,19 +160,19 @@
         size = one.size or KINDS[one.kind].size
 
         def call() -> None:
-            everyone = list(self.world.machines.values())
-            wiped = draw.choice([m for m in everyone if self.counts(m)])
+            all_machines = list(self.world.machines.values())
+            wiped = draw.choice([m for m in all_machines if self.counts(m)])
             if one.kind == "wipe_one" and wiped not in self.bears([wiped], True):
-                wiped = everyone[0]  # a gateway, which has no disk
+                wiped = all_machines[0]  # a gateway, which has no disk
             self.world.note("closing", size)
             self.lost.clear()
-            well = self.spell(one.kind, everyone)
-            for machine in everyone:
+            end_fault = self.spell(one.kind, all_machines)
+            for machine in all_machines:
                 if machine is wiped and one.kind == "wipe_one" and self.counts(machine):
                     self.bare[machine.node] = 1e9
                 machine.down(one.kind != "kill_all", one.kind == "wipe_one" and machine is wiped)
                 self.agenda.after(size + 0.4 * draw.random(), machine.back)
-            self.agenda.after(size + 0.4, well)
+            self.agenda.after(size + 0.4, end_fault)
             self.agenda.after(size + 0.4, self.world.note, "back")
 
         return call
@@ -196,9 +196,9 @@
 
 @fault
 def wipe(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
-    hit = [m for m in scene.machines(fault, draw) if scene.counts(m)]
-    draw.shuffle(hit)
-    scene.take_down(hit[:1], _size(fault), fault.kind, True, True)
+    targets = [m for m in scene.machines(fault, draw) if scene.counts(m)]
+    draw.shuffle(targets)
+    scene.take_down(targets[:1], _size(fault), fault.kind, True, True)
     yield
 
 
@@ -211,55 +211,55 @@
 
 @fault
 def replaced(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
-    hit = [m for m in scene.machines(fault, draw) if scene.counts(m)]
-    draw.shuffle(hit)
-    for machine in scene.bears(hit[:1], True):
+    targets = [m for m in scene.machines(fault, draw) if scene.counts(m)]
+    draw.shuffle(targets)
+    for machine in scene.bears(targets[:1], True):
         scene.bare[machine.node] = 1e9
-        well = scene.spell(fault.kind, [machine])
+        end_fault = scene.spell(fault.kind, [machine])
         scene.world.removed(machine)
 
-        def comes(machine: Machine = machine, well: Callable[[], None] = well) -> None:
+        def add(machine: Machine = machine, end_fault: Callable[[], None] = end_fault) -> None:
             scene.world.join(machine.role, machine.zone)
-            well()
+            end_fault()
 
-        scene.agenda.after(max(0.05, _size(fault)), comes)
+        scene.agenda.after(max(0.05, _size(fault)), add)
     yield
 
 
 @fault
 def emptied(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
-    hit = [m for m in scene.machines(fault, draw) if m.role == "depot"]
-    draw.shuffle(hit)
-    for machine in hit[:1]:
+    targets = [m for m in scene.machines(fault, draw) if m.role == "depot"]
+    draw.shuffle(targets)
+    for machine in targets[:1]:
 
-        def taken(machine: Machine = machine) -> None:
+        def remove(machine: Machine = machine) -> None:
             if machine in scene.world.of("depot"):
                 # planned and without loss, but its links end
                 scene.world.trouble(fault.kind, True, [machine.node], [])
                 scene.world.well(scene.world.spells)
                 scene.world.removed(machine)
 
-        scene.world.operator.retire(machine.node, taken)
+        scene.world.operator.retire(machine.node, remove)
     yield
 
 
 @fault
 def term(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
-    hit = scene.machines(fault, draw)
-    draw.shuffle(hit)
+    targets = scene.machines(fault, draw)
+    draw.shuffle(targets)
 
     def one() -> None:
-        if not hit:
+        if not targets:
             return
-        machine = hit.pop()
+        machine = targets.pop()
         if machine in scene.bears([machine]) and machine.proc is not None:
-            well = scene.spell(fault.kind, [machine], planned=True)
+            end_fault = scene.spell(fault.kind, [machine], planned=True)
             before = machine.starts
             machine.term()
 
             def look() -> None:
                 if machine.starts > before or (machine.proc is None and machine.downs):
-                    well()
+                    end_fault()
                 else:
                     scene.agenda.after(0.05, look)
 
@@ -273,83 +273,83 @@
 @fault
 def hup(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
     """Repeated while the fault lasts. As planned work it makes no machine unavailable."""
-    hit = scene.machines(fault, draw)
-    if not hit:  # the machines that it names have been removed
+    targets = scene.machines(fault, draw)
+    if not targets:  # the machines that it names have been removed
         return
-    number = scene.world.trouble(fault.kind, True, [machine.node for machine in hit], [])
-    turns = itertools.cycle(hit)
+    number = scene.world.trouble(fault.kind, True, [machine.node for machine in targets], [])
+    turns = itertools.cycle(targets)
     yield from _each(scene, fault, lambda: next(turns).hup(), least=0.01)
     scene.world.well(number)
 
 
 @fault
 def freeze(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
-    hit = scene.bears(scene.machines(fault, draw))
-    well = scene.spell(fault.kind, hit)
-    for machine in hit:
+    targets = scene.bears(scene.machines(fault, draw))
+    end_fault = scene.spell(fault.kind, targets)
+    for machine in targets:
         machine.freeze(True)
     yield
-    for machine in hit:
+    for machine in targets:
         machine.freeze(False)
-    well()
+    end_fault()
 
 
 @fault
 def stutter(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
-    hit, size, on = scene.bears(scene.machines(fault, draw)), max(0.02, _size(fault)), [True]
-    well = scene.spell(fault.kind, hit)
-    left = [len(hit)]
+    targets, size, on = scene.bears(scene.machines(fault, draw)), max(0.02, _size(fault)), [True]
+    end_fault = scene.spell(fault.kind, targets)
+    left = [len(targets)]
 
-    def still(machine: Machine) -> None:
+    def pause(machine: Machine) -> None:
         if on[0]:
             machine.freeze(True)
-            scene.agenda.after(size * (0.5 + draw.random()), wake, machine)
+            scene.agenda.after(size * (0.5 + draw.random()), resume, machine)
         else:
             left[0] -= 1
             if not left[0]:
-                well()
+                end_fault()
 
-    def wake(machine: Machine) -> None:
+    def resume(machine: Machine) -> None:
         machine.freeze(False)
-        scene.agenda.after(size * draw.random(), still, machine)
+        scene.agenda.after(size * draw.random(), pause, machine)
 
-    for machine in hit:
-        scene.agenda.after(size * draw.random(), still, machine)
+    for machine in targets:
+        scene.agenda.after(size * draw.random(), pause, machine)
     yield
     on[0] = False
 
 
 @fault
 def step(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
-    hit = scene.machines(fault, draw)
-    for machine in hit:
+    targets = scene.machines(fault, draw)
+    for machine in targets:
         machine.step += _size(fault)
-    scene.spell(fault.kind, hit)()
+    scene.spell(fault.kind, targets)()
     yield
 
 
 @fault
 def slow_disk(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
-    hit = scene.bears([m for m in scene.machines(fault, draw) if scene.counts(m)])
-    well, before = scene.spell(fault.kind, hit), [m.sync for m in hit]
-    for machine in hit:
+    targets = scene.bears([m for m in scene.machines(fault, draw) if scene.counts(m)])
+    end_fault, before = scene.spell(fault.kind, targets), [m.sync for m in targets]
+    for machine in targets:
         machine.sync = _size(fault)
     yield
-    for machine, sync in zip(hit, before):
+    for machine, sync in zip(targets, before):
         machine.sync = sync
-    well()
+    end_fault()
 
 
 @fault
 def stalled_disk(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
-    hit = scene.bears([m for m in scene.machines(fault, draw) if scene.counts(m)])
-    well = scene.spell(fault.kind, hit)
-    for machine in hit:
+    targets = scene.bears([m for m in scene.machines(fault, draw) if scene.counts(m)])
+    end_fault = scene.spell(fault.kind, targets)
+    for machine in targets:
         machine.stall(True)
     yield
-    for machine in hit:
+    for machine in targets:
         machine.stall(False)
-    well()
+    end_fault()
 
 
 # ---- links
@@ -359,7 +359,7 @@
     return [scene.world.machines[a] for a in dict.fromkeys(a for a, _ in pairs)]
 
 
-def _borne(scene: Scene, pairs: list[Pair]) -> list[Pair]:
+def _allowed(scene: Scene, pairs: list[Pair]) -> list[Pair]:
     """Links that may be partitioned: while a machine has lost its disk, only those between gateways."""
     bare = [node for node, until in scene.bare.items() if until > scene.agenda.now]
     if not bare:
@@ -375,12 +375,12 @@
 
 
 def _while_cut(scene: Scene, kind: str, pairs: list[Pair], both: bool) -> Steps:
-    pairs = _borne(scene, pairs)
-    well = scene.spell(kind, _ends(scene, pairs), pairs)
+    pairs = _allowed(scene, pairs)
+    end_fault = scene.spell(kind, _ends(scene, pairs), pairs)
     _cut(scene, pairs, both, True)
     yield
     _cut(scene, pairs, both, False)
-    well()
+    end_fault()
 
 
 @fault
@@ -396,8 +396,8 @@
 
 @fault
 def alone(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
-    hit = scene.bears(scene.machines(fault, draw))
-    nodes = {m.node for m in hit}
+    targets = scene.bears(scene.machines(fault, draw))
+    nodes = {m.node for m in targets}
     pairs = [
         (a, b) for a in sorted(nodes) for b in scene.world.machines if a != b and (b not in nodes or a < b)
     ]
@@ -406,8 +406,8 @@
 
 @fault
 def cut_workers(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
-    hit = [m for m in scene.machines(fault, draw) if m.role == "counter"]
-    pairs = [(m.node, w.id) for m in hit for w in scene.world.workers if draw.random() < 0.6]
+    targets = [m for m in scene.machines(fault, draw) if m.role == "counter"]
+    pairs = [(m.node, w.id) for m in targets for w in scene.world.workers if draw.random() < 0.6]
     number = scene.world.trouble(fault.kind, False, [], pairs)
     _cut(scene, pairs, True, True)
     yield
@@ -417,8 +417,13 @@
 
 @fault
 def flap(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
-    pairs, size, on, down = _borne(scene, scene.links(fault, draw)), max(0.05, _size(fault)), [True], [False]
-    well = scene.spell(fault.kind, _ends(scene, pairs), pairs)
+    pairs, size, on, down = (
+        _allowed(scene, scene.links(fault, draw)),
+        max(0.05, _size(fault)),
+        [True],
+        [False],
+    )
+    end_fault = scene.spell(fault.kind, _ends(scene, pairs), pairs)
     both = draw.random() < 0.6
 
     def turn() -> None:
@@ -428,7 +433,7 @@
         if on[0] or down[0]:
             scene.agenda.after(size * (0.6 + 0.8 * draw.random()), turn)
         else:
-            well()
+            end_fault()
 
     turn()
     yield
@@ -454,10 +459,10 @@
     on[0] = False
 
 
-def _figure(scene: Scene, fault: Fault, draw: random.Random, table: dict[Pair, float]) -> Steps:
+def _adjust(scene: Scene, fault: Fault, draw: random.Random, table: dict[Pair, float]) -> Steps:
     """Adds the size to `table` for links while the fault lasts, mostly in both directions."""
     pairs = scene.links(fault, draw)
-    well = scene.spell(fault.kind, _ends(scene, pairs), pairs)
+    end_fault = scene.spell(fault.kind, _ends(scene, pairs), pairs)
     if draw.random() < 0.7:
         pairs = pairs + [(b, a) for a, b in pairs]
     for pair in pairs:
@@ -467,29 +472,29 @@
         table[pair] -= _size(fault)
         if table[pair] < 1e-6:
             del table[pair]
-    well()
+    end_fault()
 
 
 @fault
 def late(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
-    return _figure(scene, fault, draw, scene.world.net.late)
+    return _adjust(scene, fault, draw, scene.world.net.late)
 
 
 @fault
 def lossy(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
-    return _figure(scene, fault, draw, scene.world.net.lossy)
+    return _adjust(scene, fault, draw, scene.world.net.lossy)
 
 
 # ---- workers: these faults are not in the history, and excuse nothing but their own effects
 
 
 def _set(scene: Scene, fault: Fault, draw: random.Random, figure: str, value: Any) -> Steps:
-    hit = scene.workers(fault, draw)
-    before = [getattr(w, figure) for w in hit]
-    for w in hit:
+    targets = scene.workers(fault, draw)
+    before = [getattr(w, figure) for w in targets]
+    for w in targets:
         setattr(w, figure, value)
     yield
-    for w, was in zip(hit, before):
+    for w, was in zip(targets, before):
         setattr(w, figure, was)
 
 
@@ -515,21 +520,21 @@
 
 @fault
 def errors(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
-    hit = scene.workers(fault, draw)
-    for w in hit:
+    targets = scene.workers(fault, draw)
+    for w in targets:
         scene.world.more_errors[w.id] = _size(fault)
     yield
-    for w in hit:
+    for w in targets:
         scene.world.more_errors.pop(w.id, None)
 
 
 @fault
 def slow(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
-    hit = scene.workers(fault, draw)
-    for w in hit:
+    targets = scene.workers(fault, draw)
+    for w in targets:
         scene.world.slow[w.id] = _size(fault)
     yield
-    for w in hit:
+    for w in targets:
         scene.world.slow.pop(w.id, None)
 
 
@@ -557,11 +562,11 @@
 
 @fault
 def release(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
-    hit = [w for w in scene.workers(fault, draw) if not w.service.static]
+    targets = [w for w in scene.workers(fault, draw) if not w.service.static]
 
     def one() -> None:
-        if hit:
-            w = hit.pop()
+        if targets:
+            w = targets.pop()
             scene.world.add(w.service, w.zone)
             scene.agenda.after(0.3, w.drain)
             scene.agenda.after(max(0.05, _size(fault)), one)
--- a/opalwick/lab/post/net.py
+++ b/opalwick/lab/post/net.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from opalwick.lab.post.process import Proc
 
-WORDS: dict[str, Any] = {
+MESSAGE_TYPES: dict[str, Any] = {
     name: getattr(wire_pb2, found.message_type.name)
     for name, found in Envelope.DESCRIPTOR.fields_by_name.items()
     if found.message_type is not None
@@ -85,9 +85,9 @@
         # a kernel doubles its pauses: after a long partition it retransmits late
         lasted = self.agenda.now - self.since.pop((a, b), self.agenda.now)
         if calls:
-            self.agenda.after(self.draw.random() * min(1.0, 0.5 * lasted), self.again, a, b, calls)
+            self.agenda.after(self.draw.random() * min(1.0, 0.5 * lasted), self.retransmit, a, b, calls)
 
-    def again(self, a: str, b: str, calls: list[Callable[[], None]]) -> None:
+    def retransmit(self, a: str, b: str, calls: list[Callable[[], None]]) -> None:
         for call in calls:
             self.when_open(a, b, call)
 
@@ -138,11 +138,11 @@
 
     # ---- interface of a role's link
 
-    def send(self, kind: str, word: Any) -> None:
+    def send(self, kind: str, message: Any) -> None:
         """Sends without waiting; closes the link when the other side has left too many bytes unread."""
         if self.over:
             return
-        data = word.SerializeToString()
+        data = message.SerializeToString()
         size = len(data) + HEADER_BYTES
         self.waiting += size
         if self.peer.zone != self.role.zone:
@@ -154,18 +154,18 @@
             self.batch.append((kind, data))
         else:
             self.batch, self.batch_at = [(kind, data)], now
-            self.leave(self.batch)
+            self.transmit(self.batch)
         if self.waiting > self.proc.world.day.network.bound:
             self.close()
 
-    def leave(self, batch: list[tuple[str, bytes]] | None) -> None:
+    def transmit(self, batch: list[tuple[str, bytes]] | None) -> None:
         """Puts a batch on the network, in order."""
         net = self.net
         if self.held or not net.open(self.near, self.far):
             self.hold(batch)
             return
         self.last_at = max(self.last_at, net.agenda.now + net.delay(self.near, self.far))
-        net.agenda.at(self.last_at, self.arrives, batch)
+        net.agenda.at(self.last_at, self.arrive, batch)
 
     def hold(self, batch: list[tuple[str, bytes]] | None) -> None:
         if not self.held:
@@ -178,7 +178,7 @@
         """The partition has healed: sends the batches that were held back."""
         batches, self.held = self.held, deque()
         for batch in batches:
-            self.leave(batch)
+            self.transmit(batch)
 
     def timeout(self, held_at: float) -> None:
         """TCP_USER_TIMEOUT: the kernel gives up data that stays unacknowledged."""
@@ -187,21 +187,21 @@
             if not self.over:
                 self.proc.event(self.close)
 
-    def arrives(self, batch: list[tuple[str, bytes]] | None) -> None:
+    def arrive(self, batch: list[tuple[str, bytes]] | None) -> None:
         if self.held or not self.net.open(self.near, self.far):  # lost in transit, to be retransmitted
             self.hold(batch)
             return
-        self.other.come(batch)
+        self.other.receive(batch)
 
     # ---- receiving side
 
-    def come(self, batch: list[tuple[str, bytes]] | None) -> None:
+    def receive(self, batch: list[tuple[str, bytes]] | None) -> None:
         machine = self.proc.machine
         if not machine.power:
             return
         if self.over or not self.proc.alive:
             if batch is not END:  # no process has the connection: a reset is sent
-                self.leave(END)
+                self.transmit(END)
             return
         if batch is not END:
             size = sum(len(data) + HEADER_BYTES for _, data in batch)
@@ -239,14 +239,14 @@
     def take(self, kind: str, data: bytes) -> None:
         if self.over:
             return
-        word = WORDS[kind].FromString(data)
+        message = MESSAGE_TYPES[kind].FromString(data)
         if kind == "hello":
-            known, self.peer = self.peer, word
+            known, self.peer = self.peer, message
             if not known.node:
                 self.proc.guarded(self.role.add_link, self)
         elif self.peer.node:
-            self.proc.world.heard(self, kind, word)
-            self.proc.guarded(self.role.receive, self, kind, word)
+            self.proc.world.heard(self, kind, message)
+            self.proc.guarded(self.role.receive, self, kind, message)
 
     # ---- closing
 
@@ -263,7 +263,7 @@
         self.proc.all.pop(self, None)
         self.buffer.clear()
         if notify:
-            self.leave(END)
+            self.transmit(END)
         else:
             self.held.clear()
 
--- a/opalwick/lab/post/rules_messages.py
+++ b/opalwick/lab/post/rules_messages.py
@@ -6,7 +6,7 @@
 
 from opalwick.lab.post.history import INF, History
 
-NEVER_RUN = (408, 421, 429, 503)  # answers which promise that the message is never run
+PROMISES = (408, 421, 429, 503)  # answers which promise that the message is never run
 IN_FLIGHT = 0.01  # s that a report of completion takes to the stores, and a delivery to its worker
 COPIES = 2  # `survive.boxes` is 1 in all scenarios
 REPAIRED = 13.0  # s without faults after which every lost replica has been restored elsewhere
@@ -19,7 +19,7 @@
     def answers(self) -> None:
         """REFUSED: a message was run although its answer promised that it never would be."""
         for one in self.tries.values():
-            if one.status in NEVER_RUN:
+            if one.status in PROMISES:
                 for run in self.of[one.id]:
                     if run.began < INF:
                         self.breach(
