--- a/opalwick/lab/post/clients.py
+++ b/opalwick/lab/post/clients.py
@@ -26,7 +26,7 @@
 RETRIES = 2
 QUERY_TIMEOUT = 2.0  # s
 FINAL_TRIES = 8  # for each query at the end
-READ = (200, 400, 409, 412, 413, 422)  # answers after which an operator does not send again
+DEFINITE = (200, 400, 409, 412, 413, 422)  # answers after which an operator does not send again
 
 Done = Callable[[int, bytes, tuple[str, ...]], None]
 
@@ -556,7 +556,7 @@
         world.note("conf_sent", key, machine.node)
 
         def done(status: int, body: bytes, fields: tuple[str, ...]) -> None:
-            if self.acks_lost and status in READ and self.draw.random() < self.acks_lost:
+            if self.acks_lost and status in DEFINITE and self.draw.random() < self.acks_lost:
                 status = -1
             if status == 200:
                 if b"superseded" in body:
@@ -567,7 +567,7 @@
                 if acknowledged is not None:
                     acknowledged()
                 world.acknowledged()
-            elif status in READ:
+            elif status in DEFINITE:
                 world.note("conf_refused", key, status)
             elif world.agenda.now < world.ends_at:
                 pause = min(0.05 * 2.0**turn, 1.0)
--- a/opalwick/lab/post/disks.py
+++ b/opalwick/lab/post/disks.py
@@ -21,12 +21,12 @@
         self.id, self.starts, self.rotten = name, 1, 0
         self.db = sqlite3.connect(":memory:", isolation_level=None, check_same_thread=False)
         self.db.executescript(disk._TABLES)
-        self.told: Callable[[Sequence[tuple[str, tuple[Any, ...]]]], None] | None = None
+        self.on_commit: Callable[[Sequence[tuple[str, tuple[Any, ...]]]], None] | None = None
 
     def commit(self, writes: Sequence[tuple[str, tuple[Any, ...]]]) -> None:
         super().commit(writes)
-        if self.told is not None:
-            self.told(writes)
+        if self.on_commit is not None:
+            self.on_commit(writes)
 
 
 class Office:
@@ -34,7 +34,7 @@
 
     def __init__(self) -> None:
         self.stored: Stored | None = None
-        self.told = b""
+        self.directory = b""
 
     def load(self) -> Stored | None:
         return self.stored
@@ -43,7 +43,7 @@
         self.stored = stored
 
     def remember(self, told: bytes) -> None:
-        self.told = told
+        self.directory = told
 
     def remembered(self) -> bytes:
-        return self.told
+        return self.directory
--- a/opalwick/lab/post/faults.py
+++ b/opalwick/lab/post/faults.py
@@ -36,10 +36,10 @@
 
     def __init__(self, world: World) -> None:
         self.world, self.agenda, self.day = world, world.agenda, world.day
-        self.lost: dict[
+        self.unavailable: dict[
             str, tuple[float, int]
         ] = {}  # machines with data: unavailable until then, and by how many faults now
-        self.bare: dict[str, float] = {}  # machines that lost their disks: until when that counts
+        self.wiped: dict[str, float] = {}  # machines that lost their disks: until when that counts
         for i, one in enumerate(self.day.faults):
             if one.kind in CLOSING:
                 at = max(0.0, float(one.at))
@@ -90,23 +90,23 @@
 
     # ---- limits on overlapping faults
 
-    def counts(self, machine: Machine) -> bool:
+    def has_data(self, machine: Machine) -> bool:
         """Whether the machine has data, as a store or controller."""
         return machine.role != "counter"
 
-    def bears(self, machines: list[Machine], wipe: bool = False) -> list[Machine]:
+    def tolerated(self, machines: list[Machine], wipe: bool = False) -> list[Machine]:
         """Those of them that may be made unavailable now; at most one with data if `wipe`."""
         now, found = self.agenda.now, []
         for machine in machines:
-            if not self.counts(machine):
+            if not self.has_data(machine):
                 found.append(machine)
                 continue
             others = [
                 node
-                for node, (until, held) in self.lost.items()
+                for node, (until, held) in self.unavailable.items()
                 if node != machine.node and (held or until > now)
             ]
-            bare = [node for node, until in self.bare.items() if node != machine.node and until > now]
+            bare = [node for node, until in self.wiped.items() if node != machine.node and until > now]
             if not bare and not (wipe and others):
                 found.append(machine)
                 if wipe:
@@ -115,14 +115,14 @@
 
     def lose(self, machine: Machine, there: bool) -> None:
         """Adds (`there`) or removes one fault that makes the machine unavailable."""
-        if self.counts(machine):
-            _, held = self.lost.get(machine.node, (0.0, 0))
+        if self.has_data(machine):
+            _, held = self.unavailable.get(machine.node, (0.0, 0))
             held += 1 if there else -1
-            self.lost[machine.node] = self.agenda.now + float(self.day.bounds.sync), held
-            if machine.node in self.bare:
-                self.bare[machine.node] = 1e9 if held else self.agenda.now + float(self.day.bounds.sync)
+            self.unavailable[machine.node] = self.agenda.now + float(self.day.bounds.sync), held
+            if machine.node in self.wiped:
+                self.wiped[machine.node] = 1e9 if held else self.agenda.now + float(self.day.bounds.sync)
 
-    def spell(
+    def record_fault(
         self, kind: str, machines: list[Machine], pairs: list[Pair] | None = None, planned: bool = False
     ) -> Callable[[], None]:
         """Records the begin of a fault; the returned function records its end."""
@@ -142,12 +142,12 @@
     def take_down(
         self, machines: list[Machine], size: float, kind: str, power: bool, wipe: bool = False
     ) -> None:
-        for machine in self.bears(machines, wipe):
-            if wipe and not self.counts(machine):
+        for machine in self.tolerated(machines, wipe):
+            if wipe and not self.has_data(machine):
                 continue
             if wipe:
-                self.bare[machine.node] = 1e9
-            end_fault = self.spell(kind, [machine])
+                self.wiped[machine.node] = 1e9
+            end_fault = self.record_fault(kind, [machine])
             machine.down(power, wipe)
 
             def back(machine: Machine = machine, end_fault: Callable[[], None] = end_fault) -> None:
@@ -161,15 +161,15 @@
 
         def call() -> None:
             all_machines = list(self.world.machines.values())
-            wiped = draw.choice([m for m in all_machines if self.counts(m)])
-            if one.kind == "wipe_one" and wiped not in self.bears([wiped], True):
+            wiped = draw.choice([m for m in all_machines if self.has_data(m)])
+            if one.kind == "wipe_one" and wiped not in self.tolerated([wiped], True):
                 wiped = all_machines[0]  # a gateway, which has no disk
             self.world.note("closing", size)
-            self.lost.clear()
-            end_fault = self.spell(one.kind, all_machines)
+            self.unavailable.clear()
+            end_fault = self.record_fault(one.kind, all_machines)
             for machine in all_machines:
-                if machine is wiped and one.kind == "wipe_one" and self.counts(machine):
-                    self.bare[machine.node] = 1e9
+                if machine is wiped and one.kind == "wipe_one" and self.has_data(machine):
+                    self.wiped[machine.node] = 1e9
                 machine.down(one.kind != "kill_all", one.kind == "wipe_one" and machine is wiped)
                 self.agenda.after(size + 0.4 * draw.random(), machine.back)
             self.agenda.after(size + 0.4, end_fault)
@@ -196,7 +196,7 @@
 
 @fault
 def wipe(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
-    targets = [m for m in scene.machines(fault, draw) if scene.counts(m)]
+    targets = [m for m in scene.machines(fault, draw) if scene.has_data(m)]
     draw.shuffle(targets)
     scene.take_down(targets[:1], _size(fault), fault.kind, True, True)
     yield
@@ -211,11 +211,11 @@
 
 @fault
 def replaced(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
-    targets = [m for m in scene.machines(fault, draw) if scene.counts(m)]
+    targets = [m for m in scene.machines(fault, draw) if scene.has_data(m)]
     draw.shuffle(targets)
-    for machine in scene.bears(targets[:1], True):
-        scene.bare[machine.node] = 1e9
-        end_fault = scene.spell(fault.kind, [machine])
+    for machine in scene.tolerated(targets[:1], True):
+        scene.wiped[machine.node] = 1e9
+        end_fault = scene.record_fault(fault.kind, [machine])
         scene.world.removed(machine)
 
         def add(machine: Machine = machine, end_fault: Callable[[], None] = end_fault) -> None:
@@ -252,8 +252,8 @@
         if not targets:
             return
         machine = targets.pop()
-        if machine in scene.bears([machine]) and machine.proc is not None:
-            end_fault = scene.spell(fault.kind, [machine], planned=True)
+        if machine in scene.tolerated([machine]) and machine.proc is not None:
+            end_fault = scene.record_fault(fault.kind, [machine], planned=True)
             before = machine.starts
             machine.term()
 
@@ -284,8 +284,8 @@
 
 @fault
 def freeze(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
-    targets = scene.bears(scene.machines(fault, draw))
-    end_fault = scene.spell(fault.kind, targets)
+    targets = scene.tolerated(scene.machines(fault, draw))
+    end_fault = scene.record_fault(fault.kind, targets)
     for machine in targets:
         machine.freeze(True)
     yield
@@ -296,8 +296,8 @@
 
 @fault
 def stutter(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
-    targets, size, on = scene.bears(scene.machines(fault, draw)), max(0.02, _size(fault)), [True]
-    end_fault = scene.spell(fault.kind, targets)
+    targets, size, on = scene.tolerated(scene.machines(fault, draw)), max(0.02, _size(fault)), [True]
+    end_fault = scene.record_fault(fault.kind, targets)
     left = [len(targets)]
 
     def pause(machine: Machine) -> None:
@@ -324,14 +324,14 @@
     targets = scene.machines(fault, draw)
     for machine in targets:
         machine.step += _size(fault)
-    scene.spell(fault.kind, targets)()
+    scene.record_fault(fault.kind, targets)()
     yield
 
 
 @fault
 def slow_disk(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
-    targets = scene.bears([m for m in scene.machines(fault, draw) if scene.counts(m)])
-    end_fault, before = scene.spell(fault.kind, targets), [m.sync for m in targets]
+    targets = scene.tolerated([m for m in scene.machines(fault, draw) if scene.has_data(m)])
+    end_fault, before = scene.record_fault(fault.kind, targets), [m.sync for m in targets]
     for machine in targets:
         machine.sync = _size(fault)
     yield
@@ -342,8 +342,8 @@
 
 @fault
 def stalled_disk(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
-    targets = scene.bears([m for m in scene.machines(fault, draw) if scene.counts(m)])
-    end_fault = scene.spell(fault.kind, targets)
+    targets = scene.tolerated([m for m in scene.machines(fault, draw) if scene.has_data(m)])
+    end_fault = scene.record_fault(fault.kind, targets)
     for machine in targets:
         machine.stall(True)
     yield
@@ -361,10 +361,10 @@
 
 def _allowed(scene: Scene, pairs: list[Pair]) -> list[Pair]:
     """Links that may be partitioned: while a machine has lost its disk, only those between gateways."""
-    bare = [node for node, until in scene.bare.items() if until > scene.agenda.now]
+    bare = [node for node, until in scene.wiped.items() if until > scene.agenda.now]
     if not bare:
         return pairs
-    return [pair for pair in pairs if all(not scene.counts(scene.world.machines[node]) for node in pair)]
+    return [pair for pair in pairs if all(not scene.has_data(scene.world.machines[node]) for node in pair)]
 
 
 def _cut(scene: Scene, pairs: list[Pair], both: bool, there: bool) -> None:
@@ -376,7 +376,7 @@
 
 def _while_cut(scene: Scene, kind: str, pairs: list[Pair], both: bool) -> Steps:
     pairs = _allowed(scene, pairs)
-    end_fault = scene.spell(kind, _ends(scene, pairs), pairs)
+    end_fault = scene.record_fault(kind, _ends(scene, pairs), pairs)
     _cut(scene, pairs, both, True)
     yield
     _cut(scene, pairs, both, False)
@@ -396,7 +396,7 @@
 
 @fault
 def alone(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
-    targets = scene.bears(scene.machines(fault, draw))
+    targets = scene.tolerated(scene.machines(fault, draw))
     nodes = {m.node for m in targets}
     pairs = [
         (a, b) for a in sorted(nodes) for b in scene.world.machines if a != b and (b not in nodes or a < b)
@@ -423,7 +423,7 @@
         [True],
         [False],
     )
-    end_fault = scene.spell(fault.kind, _ends(scene, pairs), pairs)
+    end_fault = scene.record_fault(fault.kind, _ends(scene, pairs), pairs)
     both = draw.random() < 0.6
 
     def turn() -> None:
@@ -462,7 +462,7 @@
 def _adjust(scene: Scene, fault: Fault, draw: random.Random, table: dict[Pair, float]) -> Steps:
     """Adds the size to `table` for links while the fault lasts, mostly in both directions."""
     pairs = scene.links(fault, draw)
-    end_fault = scene.spell(fault.kind, _ends(scene, pairs), pairs)
+    end_fault = scene.record_fault(fault.kind, _ends(scene, pairs), pairs)
     if draw.random() < 0.7:
         pairs = pairs + [(b, a) for a, b in pairs]
     for pair in pairs:
--- a/opalwick/lab/post/history.py
+++ b/opalwick/lab/post/history.py
@@ -36,7 +36,7 @@
 INF = float("inf")
 
 
-class Breach(NamedTuple):
+class Violation(NamedTuple):
     """A violation of a rule; `id` is a message, node, worker or version."""
 
     rule: str
@@ -45,7 +45,7 @@
     why: str
 
 
-class Spell(NamedTuple):
+class FaultInterval(NamedTuple):
     """The interval of one fault: nodes and directions of links that it affects."""
 
     begin: float
@@ -53,7 +53,7 @@
     kind: str
     planned: bool
     nodes: frozenset[str]
-    ways: frozenset[tuple[str, str]]
+    links: frozenset[tuple[str, str]]
 
 
 class UnknownNameQuery:
@@ -143,15 +143,15 @@
         self.contact = self.bounds["contact"]
         self.confs: list[dict[str, Any]] = history["confs"]
         self.roles = {node: found[0] for node, found in history["machines"].items()}
-        self.breaches: list[Breach] = []
+        self.violations: list[Violation] = []
         self.tries: dict[str, Try] = {}
         self.runs: dict[int, Run] = {}
-        self.of: dict[str, list[Run]] = defaultdict(list)
-        self.spells: list[Spell] = []
-        self.lives: dict[str, list[tuple[float, int]]] = defaultdict(list)
-        self.told: list[tuple[float, str, str, int, str, str, bool]] = []
-        self.strange: dict[int, UnknownNameQuery] = {}
-        self.bare: list[tuple[float, str]] = []
+        self.runs_of: dict[str, list[Run]] = defaultdict(list)
+        self.fault_intervals: list[FaultInterval] = []
+        self.incarnations: dict[str, list[tuple[float, int]]] = defaultdict(list)
+        self.query_answers: list[tuple[float, str, str, int, str, str, bool]] = []
+        self.unknown_name_queries: dict[int, UnknownNameQuery] = {}
+        self.not_on_disk: list[tuple[float, str]] = []
         self.copies: dict[str, int] = {}
         self.conf_sent: dict[int, float] = {}
         self.conf_acked: dict[int, float] = {}
@@ -159,10 +159,10 @@
         self.conf_refused: dict[int, float] = {}
         self.refusals: list[tuple[float, int, int]] = []
         self.superseded: set[int] = set()
-        self.seen: list[tuple[float, int, float, str]] = []
+        self.versions_read: list[tuple[float, int, float, str]] = []
         self.conf_read: tuple[float, int] | None = None
-        self.drains: dict[str, list[tuple[float, str]]] = defaultdict(list)
-        self.draining: dict[str, float] = {}
+        self.drain_acks: dict[str, list[tuple[float, str]]] = defaultdict(list)
+        self.drain_began: dict[str, float] = {}
         self.gone: dict[str, float] = {}
         self.closing_at = self.back_at = self.asking_at = INF
         self.from_, self.to = 0.0, 0.0
@@ -175,7 +175,7 @@
             at = us / 1e6
             if what == "arrived":
                 run = self.runs[f[0]] = Run(f[0], f[1], f[2], f[3], f[4], f[5], at)
-                self.of[run.id].append(run)
+                self.runs_of[run.id].append(run)
             elif what == "began":
                 self.runs[f[0]].began = at
             elif what == "finished":
@@ -192,7 +192,7 @@
                 self.runs[f[0]].turned = f[1]
             elif what == "sent":
                 one = self.tries[f[0]] = Try(at, tuple(f))
-                lives = self.lives[one.counter]
+                lives = self.incarnations[one.counter]
                 one.life = lives[-1][1] if lives else -1
             elif what == "answer":
                 one = self.tries[f[0]]
@@ -203,22 +203,22 @@
             elif what == "silent":
                 self.tries[f[0]].ended = at
             elif what == "bare":
-                self.bare.append((at, f[0]))
+                self.not_on_disk.append((at, f[0]))
             elif what == "copies":
                 self.copies[f[0]] = f[1]
             elif what == "told":
-                self.told.append((at, *f))  # type: ignore[arg-type]
+                self.query_answers.append((at, *f))  # type: ignore[arg-type]
             elif what == "asked_wrong":
-                self.strange[f[0]] = UnknownNameQuery(at, *f[1:])
+                self.unknown_name_queries[f[0]] = UnknownNameQuery(at, *f[1:])
             elif what == "told_wrong":
-                self.strange[f[0]].status = f[1]
+                self.unknown_name_queries[f[0]].status = f[1]
             elif what == "trouble":
                 open_[f[0]] = at, f[1], f[2], f[3], f[4]
             elif what == "well":
                 begin, kind, planned, nodes, ways = open_.pop(f[0])
-                self.spell(begin, at, kind, planned, nodes, ways)
+                self.add_interval(begin, at, kind, planned, nodes, ways)
             elif what == "up":
-                self.lives[f[0]].append((at, f[1]))
+                self.incarnations[f[0]].append((at, f[1]))
             elif what == "conf_sent":
                 self.conf_sent.setdefault(f[0], at)
             elif what == "conf_acked":
@@ -230,13 +230,13 @@
             elif what == "conf_superseded":
                 self.superseded.add(f[0])
             elif what == "conf_seen":
-                self.seen.append((at, f[0], f[1], f[2]))
+                self.versions_read.append((at, f[0], f[1], f[2]))
             elif what == "conf_read":
                 self.conf_read = at, f[0]
             elif what == "drains":
-                self.draining[f[0]] = at
+                self.drain_began[f[0]] = at
             elif what == "drain_acked":
-                self.drains[f[0]].append((at, f[1]))
+                self.drain_acks[f[0]].append((at, f[1]))
             elif what == "gone":
                 self.gone[f[0]] = at
             elif what == "traffic":
@@ -248,59 +248,60 @@
             elif what == "back":
                 self.back_at = at
         for begin, kind, planned, nodes, ways in open_.values():
-            self.spell(begin, self.history["ended"], kind, planned, nodes, ways)
+            self.add_interval(begin, self.history["ended"], kind, planned, nodes, ways)
 
-    def spell(
+    def add_interval(
         self, begin: float, end: float, kind: str, planned: bool, nodes: list[str], ways: list[list[str]]
     ) -> None:
-        self.spells.append(
-            Spell(begin, end, kind, planned, frozenset(nodes), frozenset((a, b) for a, b in ways))
+        self.fault_intervals.append(
+            FaultInterval(begin, end, kind, planned, frozenset(nodes), frozenset((a, b) for a, b in ways))
         )
 
-    def breach(self, rule: str, at: float, id: str, why: str) -> None:
-        self.breaches.append(Breach(rule, round(at, 6), id, why))
+    def add_violation(self, rule: str, at: float, id: str, why: str) -> None:
+        self.violations.append(Violation(rule, round(at, 6), id, why))
 
-    def hit(self, spell: Spell, node: str) -> bool:
+    def affects(self, spell: FaultInterval, node: str) -> bool:
         """Whether the fault affects that machine or the core (stores and controllers)."""
         if node in spell.nodes or spell.nodes & self.core:
             return True
-        return any(node in way or (way[0] in self.core and way[1] in self.core) for way in spell.ways)
+        return any(node in way or (way[0] in self.core and way[1] in self.core) for way in spell.links)
 
-    def touch(self, node: str, since: float, at: float) -> bool:
+    def undisturbed(self, node: str, since: float, at: float) -> bool:
         """Whether no fault affected the node or the core from `since` to `at`."""
         return not any(
-            s.begin <= at and s.end >= since - self.contact and self.hit(s, node) for s in self.spells
+            s.begin <= at and s.end >= since - self.contact and self.affects(s, node)
+            for s in self.fault_intervals
         )
 
     def settled(self, since: float, at: float) -> bool:
         """Whether no fault affected the core or any link from `since` to `at`."""
         return not any(
-            s.begin <= at and s.end >= since - self.contact and (s.nodes & self.core or s.ways)
-            for s in self.spells
+            s.begin <= at and s.end >= since - self.contact and (s.nodes & self.core or s.links)
+            for s in self.fault_intervals
         )
 
     def unplanned(self, since: float, at: float) -> bool:
-        return any(not s.planned and s.begin <= at and s.end >= since for s in self.spells)
+        return any(not s.planned and s.begin <= at and s.end >= since for s in self.fault_intervals)
 
-    def held_up(self, run: Run) -> bool:
+    def link_faulty(self, run: Run) -> bool:
         return any(
             s.begin <= run.at
             and s.end >= run.at - self.contact
-            and ((run.counter, run.worker) in s.ways or (run.worker, run.counter) in s.ways)
-            for s in self.spells
+            and ((run.counter, run.worker) in s.links or (run.worker, run.counter) in s.links)
+            for s in self.fault_intervals
         )
 
     @staticmethod
-    def both(spell: Spell, a: str, b: str) -> bool:
+    def partitions(spell: FaultInterval, a: str, b: str) -> bool:
         """Whether the fault partitions the two nodes from each other."""
-        return spell.kind in ("cut", "alone") and ((a, b) in spell.ways or (b, a) in spell.ways)
+        return spell.kind in ("cut", "alone") and ((a, b) in spell.links or (b, a) in spell.links)
 
     def find(self, key: int, host: str, target: str) -> list[Any] | None:
         """The route in that configuration: host, stem, service, tries, limit, retain."""
         found = [r for r in self.confs[key]["routes"] if r[0] == host and target.startswith(r[1])]
         return max(found, key=lambda r: len(r[1])) if found else None
 
-    def may_be(self, at: float, until: float) -> list[int]:
+    def possible_versions(self, at: float, until: float) -> list[int]:
         """Keys of the versions that may be in force at some time between: the newest one acknowledged at
         least `apply` seconds before, and all newer ones that were sent."""
         known = [
@@ -320,13 +321,13 @@
 
     def ended_by(self, one: Try, at: float) -> str:
         """Why the message has ended by then; empty: it has not, whatever the system reports."""
-        runs = [run for run in self.of[one.id] if run.said <= at]
+        runs = [run for run in self.runs_of[one.id] if run.said <= at]
         if any(run.status == 200 for run in runs):
             return "done"
         if any(run.status == 422 for run in runs):
             return "rejected by its worker"
         fails = sum(run.status == 500 for run in runs)
-        for key in self.may_be(one.at, at):
+        for key in self.possible_versions(one.at, at):
             route = self.find(key, one.host, one.target)
             if route is None:
                 return "its route was dropped"
@@ -338,4 +339,4 @@
 
     def succeeded(self, id: str, at: float) -> set[str]:
         """Completion tokens of its successful runs, including those whose answer was lost."""
-        return {run.seal for run in self.of[id] if run.status == 200 and run.ended <= at and run.seal}
+        return {run.seal for run in self.runs_of[id] if run.status == 200 and run.ended <= at and run.seal}
--- a/opalwick/lab/post/home_faults.py
+++ b/opalwick/lab/post/home_faults.py
@@ -66,7 +66,7 @@
 def resettled(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
     """SIGHUP: by its new settings a machine's zone is in another country; and back again."""
     hit = scene.machines(fault, draw)
-    well = scene.spell(fault.kind, hit)
+    well = scene.record_fault(fault.kind, hit)
     for machine in hit:
         region = next(r for r in scene.day.regions if r != scene.day.region(machine.zone))
         settings = machine.settings()
--- a/opalwick/lab/post/home_judge.py
+++ b/opalwick/lab/post/home_judge.py
@@ -12,7 +12,7 @@
 
 from opalwick.lab.post.history import INF, Try
 from opalwick.lab.post.judge import Judge
-from opalwick.lab.post.rules_messages import PROMISES
+from opalwick.lab.post.rules_messages import NEVER_RUN
 
 TAKEN = 0.08  # s within which a 202 is wanted
 AIM = 0.6  # s within which a run begins after it is due, as the report's `late` has it
@@ -59,7 +59,7 @@
         until = min(one.ended, one.at + 2.0)
         found = set()
         for policy in self.policies(one.at, until):
-            for key in self.may_be(one.at, until) or self.valid():
+            for key in self.possible_versions(one.at, until) or self.valid():
                 route = self.find(key, one.host, one.target)
                 if route is not None:
                     found.add(policy.get(route[2], ""))
@@ -104,20 +104,26 @@
                     self.abroad["bytes"] += octets or sizes.get(id, 0)
             if away:
                 at, what, country, _, who = away[0]
-                self.breach("ABROAD", at, id, f"{what} at {who} in {country}; its home: {sorted(homes)}")
+                self.add_violation(
+                    "ABROAD", at, id, f"{what} at {who} in {country}; its home: {sorted(homes)}"
+                )
 
     def audited(self) -> None:
         """AUDIT: the depots' own list against what their disks and the workers saw."""
         listed = {(home, what, country): count for home, what, country, count in self.history["audit"]}
         for home, what, country in listed:
             if home != country:
-                self.breach("AUDIT", self.history["ended"], "", f"listed: {what} of {home} in {country}")
+                self.add_violation(
+                    "AUDIT", self.history["ended"], "", f"listed: {what} of {home} in {country}"
+                )
         if self.history["disks"] or len(self.history["homes"]) != 1:
             return  # a list went with its disk, or whose message it was has changed
         owned = {id for id, one in self.tries.items() if self.homes(one) is not None}
         copies = sum(id in owned for _, _, id, _ in self.stored)
         if listed and copies != sum(n for (_, what, _), n in listed.items() if what == "copies"):
-            self.breach("AUDIT", self.history["ended"], "", f"{copies} copies on disks, listed: {listed}")
+            self.add_violation(
+                "AUDIT", self.history["ended"], "", f"{copies} copies on disks, listed: {listed}"
+            )
 
     # ---- how it went
 
@@ -135,7 +141,7 @@
                 last[one.message] = one
         good = dict.fromkeys(first, False)
         for one in self.tries.values():
-            began = min((run.began for run in self.of[one.id]), default=INF)
+            began = min((run.began for run in self.runs_of[one.id]), default=INF)
             if one.message in good and one.status == 202:
                 at = first[one.message].at
                 timely = one.ended <= at + TAKEN and began <= at + one.delay + AIM
@@ -147,7 +153,7 @@
             "at_home": round(sum(near) / len(near), 4) if near else 0.0,
             "at_home_messages": len(near),
             "abroad": self.abroad,
-            "refused": sum(one.status in PROMISES for one in last.values()),
+            "refused": sum(one.status in NEVER_RUN for one in last.values()),
             "recovered_s": self.recovered(marks),
         }
 
@@ -159,7 +165,7 @@
     def recovered(self, marks: list[tuple[float, bool]]) -> float | None:
         """s from the last trouble's end to the first window whose share in aim is good; None where there was
         no trouble, or too little comes after it."""
-        ends = [f[2] for f in self.history["faults"]] + [s.end for s in self.spells]
+        ends = [f[2] for f in self.history["faults"]] + [s.end for s in self.fault_intervals]
         since = max((end - self.from_ for end in ends), default=INF)
         if since < INF:  # others stand for workers that were lost
             since = max(since, *(at - self.from_ for at in self.stood))
--- a/opalwick/lab/post/home_world.py
+++ b/opalwick/lab/post/home_world.py
@@ -19,7 +19,7 @@
 from msgspec.structs import replace
 
 from opalwick.checked import Seconds
-from opalwick.lab.post.clients import READ, Clients, Exchange, Platform
+from opalwick.lab.post.clients import DEFINITE, Clients, Exchange, Platform
 from opalwick.lab.post.day import ROLES, Fault, PostDay, Service
 from opalwick.lab.post.kinds import ALL, AT_HOME
 from opalwick.lab.post.process import Machine
@@ -85,7 +85,7 @@
 
     def disk_made(self, machine: Machine) -> None:
         if machine.role == "depot":
-            machine.disk.told = lambda writes: self.stored(machine, writes)
+            machine.disk.on_commit = lambda writes: self.stored(machine, writes)
 
     def stored(self, machine: Machine, writes: Any) -> None:
         for kind, fields in writes:
@@ -155,7 +155,7 @@
         machine = self.orders.choice(self.of("office"))
 
         def done(status: int, _: bytes, __: tuple[str, ...]) -> None:
-            if status in READ:
+            if status in DEFINITE:
                 over(status)
             elif self.agenda.now < self.ends_at:
                 self.agenda.after(AGAIN, self.order, method, target, body, over)
--- a/opalwick/lab/post/judge.py
+++ b/opalwick/lab/post/judge.py
@@ -45,10 +45,10 @@
         ):
             rule()
         for at, node, problem, where in self.history["problems"]:
-            self.breach(
+            self.add_violation(
                 "FAULT", at, node, f"{problem}: {where.strip().splitlines()[-2].strip() if where else ''}"
             )
-        self.breaches.sort(key=lambda b: (b.at, b.rule, b.id))
+        self.violations.sort(key=lambda b: (b.at, b.rule, b.id))
         return self.report()
 
     def report(self) -> dict[str, Any]:
@@ -61,12 +61,12 @@
         in_target = [one for one in tries if one.status == 202 and one.ended <= firsts[one.message].at + 0.08]
         waiting = [one for one in accepted if not self.ended_by(one, end)]
         doubled = sum(
-            max(0, sum(run.status == 200 and run.began < INF for run in self.of[one.id]) - 1)
+            max(0, sum(run.status == 200 and run.began < INF for run in self.runs_of[one.id]) - 1)
             for one in accepted
         )
         late = 0
         for one in accepted:
-            began = min((run.began for run in self.of[one.id]), default=INF)
+            began = min((run.began for run in self.runs_of[one.id]), default=INF)
             late += INF > began > firsts.get(one.message, one).at + one.delay + 0.6
         return {
             "day": self.history["day"],
@@ -75,11 +75,11 @@
             "accepted": len(accepted),
             "ended": len(accepted) - len(waiting),
             "waiting": len(waiting),
-            "lost": sum(b.rule == "LOST" for b in self.breaches),
+            "lost": sum(b.rule == "LOST" for b in self.violations),
             "doubled": doubled,
             "late": late,
             "in_aim": round(len(in_target) / len(firsts), 4) if firsts else 0.0,
-            "broken": [{"rule": b.rule, "at": b.at, "message": b.id, "why": b.why} for b in self.breaches],
+            "broken": [{"rule": b.rule, "at": b.at, "message": b.id, "why": b.why} for b in self.violations],
         }
 
 
--- a/opalwick/lab/post/rules_configuration.py
+++ b/opalwick/lab/post/rules_configuration.py
@@ -16,27 +16,29 @@
         """CONFIG: an acknowledged configuration is in force in time; an invalid one never is."""
         for key, at in self.conf_acked.items():
             if not self.confs[key]["valid"]:
-                self.breach(
+                self.add_violation(
                     "CONFIG", at, str(self.confs[key]["gen"]), "an invalid configuration was acknowledged"
                 )
         for one in self.tries.values():
-            if one.status not in (202, 404) or not self.touch(
+            if one.status not in (202, 404) or not self.undisturbed(
                 one.counter, one.at, min(one.ended, one.at + 2.0)
             ):
                 continue
-            keys = self.may_be(one.at, one.ended)
+            keys = self.possible_versions(one.at, one.ended)
             routes = [self.find(key, one.host, one.target) for key in keys]
             if not keys:
                 continue
             if one.status == 404 and all(routes):
-                self.breach("CONFIG", one.at, one.id, f"{one.counter} answered 404 although its route exists")
-            for run in self.of[one.id]:
-                if run.began < INF and self.touch(run.counter, one.at, run.began):
-                    keys = self.may_be(one.at, run.at)
+                self.add_violation(
+                    "CONFIG", one.at, one.id, f"{one.counter} answered 404 although its route exists"
+                )
+            for run in self.runs_of[one.id]:
+                if run.began < INF and self.undisturbed(run.counter, one.at, run.began):
+                    keys = self.possible_versions(one.at, run.at)
                     if keys and run.svc not in {
                         r[2] for k in keys if (r := self.find(k, one.host, one.target))
                     }:
-                        self.breach(
+                        self.add_violation(
                             "CONFIG",
                             run.at,
                             one.id,
@@ -66,7 +68,7 @@
                     and (self.find(k, one.host, one.target) is not None) == (one.status == 202)
                 ]
                 if not fits:
-                    self.breach(
+                    self.add_violation(
                         "CONFIG",
                         one.ended,
                         one.id,
@@ -79,10 +81,10 @@
                             s.kind in ("stutter", "late", "lossy", "slow_disk")
                             and counter in s.nodes
                             and s.begin <= one.at <= s.end + self.contact
-                            for s in self.spells
+                            for s in self.fault_intervals
                         )
                         if not slowed or one.at > seen + SLOW * self.bounds["revert"]:
-                            self.breach(
+                            self.add_violation(
                                 "CONFIG",
                                 one.at,
                                 one.id,
@@ -101,13 +103,13 @@
         acked = [k for k in self.conf_acked if self.confs[k]["valid"]]
         newest = max((self.confs[k]["gen"] for k in acked), default=-1)
         if key == -2:
-            if not any(s.end >= at - self.contact - 2.0 for s in self.spells) and newest >= 0:
-                self.breach("CONFIG", at, str(newest), "reading the configuration back gave no answer")
+            if not any(s.end >= at - self.contact - 2.0 for s in self.fault_intervals) and newest >= 0:
+                self.add_violation("CONFIG", at, str(newest), "reading the configuration back gave no answer")
         elif key == -1:
-            self.breach("CONFIG", at, str(newest), "the configuration read back is none that was sent")
+            self.add_violation("CONFIG", at, str(newest), "the configuration read back is none that was sent")
         elif self.confs[key]["gen"] < newest:
             rule = "LOST" if self.closing_at < at else "CONFIG"
-            self.breach(
+            self.add_violation(
                 rule,
                 at,
                 str(newest),
@@ -122,7 +124,7 @@
                 continue
             known, since = confirmed.setdefault(self.confs[key]["gen"], (key, at))
             if known != key:
-                self.breach(
+                self.add_violation(
                     "NUMBER",
                     at,
                     str(self.confs[key]["gen"]),
@@ -131,7 +133,7 @@
         for at, key, status in self.refusals:
             acked = self.conf_acked.get(key, INF)
             if acked < at and key not in self.superseded:
-                self.breach(
+                self.add_violation(
                     "NUMBER",
                     at,
                     str(self.confs[key]["gen"]),
@@ -140,7 +142,7 @@
 
     def seen_old(self) -> None:
         """STALE: no controller returns a configuration older than one acknowledged before the read began."""
-        for at, key, began, office in self.seen:
+        for at, key, began, office in self.versions_read:
             acked = [
                 self.confs[k]["gen"]
                 for k, t in self.conf_acked.items()
@@ -153,6 +155,6 @@
                     if key == -1
                     else f"version {self.confs[key]['gen']}"
                 )
-                self.breach(
+                self.add_violation(
                     "STALE", at, str(newest), f"{office} returned {has}, but {newest} was acknowledged"
                 )
--- a/opalwick/lab/post/rules_control.py
+++ b/opalwick/lab/post/rules_control.py
@@ -19,7 +19,7 @@
             if not found["rate"]:
                 continue
             times = [
-                (run.at, run.id) for run in self.runs.values() if run.svc == svc and not self.held_up(run)
+                (run.at, run.id) for run in self.runs.values() if run.svc == svc and not self.link_faulty(run)
             ]
             times.sort()
             most = found["rate"] * window * excess + 5
@@ -28,7 +28,7 @@
                 while times[low][0] <= at - window:
                     low += 1
                 if i - low + 1 > most:
-                    self.breach(
+                    self.add_violation(
                         "CEILING",
                         at,
                         id,
@@ -39,16 +39,16 @@
     def drain(self) -> None:
         """DRAIN: a worker receives nothing more once its acknowledged drain is due."""
         for run in self.runs.values():
-            acks = self.drains.get(run.worker)
+            acks = self.drain_acks.get(run.worker)
             if not acks or run.turned == 421 or run.id not in self.tries:
                 continue
-            since = next((at for at, office in acks if self.touch(office, at, at)), INF)
+            since = next((at for at, office in acks if self.undisturbed(office, at, at)), INF)
             if (
                 run.at > since + self.bounds["drain"]
-                and self.touch(run.counter, since, run.at)
-                and not self.held_up(run)
+                and self.undisturbed(run.counter, since, run.at)
+                and not self.link_faulty(run)
             ):
-                self.breach(
+                self.add_violation(
                     "DRAIN",
                     run.at,
                     run.id,
@@ -59,20 +59,20 @@
     def drained_alone(self) -> None:
         """ALONE: no controller acknowledges a drain while partitioned from the majority for ALONE seconds."""
         offices = [node for node, role in self.roles.items() if role == "office"]
-        for worker, acks in self.drains.items():
+        for worker, acks in self.drain_acks.items():
             for at, office in acks:
                 cut = {
                     other
                     for other in offices
                     if other != office
                     and any(
-                        s.begin < at - ALONE and s.end > at and self.both(s, office, other)
-                        for s in self.spells
+                        s.begin < at - ALONE and s.end > at and self.partitions(s, office, other)
+                        for s in self.fault_intervals
                     )
                 }
                 if 2 * (len(offices) - len(cut)) <= len(offices):
                     why = f"{office} acknowledged a drain while partitioned from {sorted(cut)}"
-                    self.breach("ALONE", at, worker, why)
+                    self.add_violation("ALONE", at, worker, why)
 
     def acknowledged(self) -> None:
         """ACKS: while the stores and controllers are free of faults, a valid configuration and a drain are
@@ -88,14 +88,18 @@
                 and self.conf_acked.get(key, INF) > sent + ack + 0.1
                 and (sent + ack + 0.1 < self.history["ended"] and self.settled(sent, sent + ack + 0.1))
             ):
-                self.breach("ACKS", sent, str(self.confs[key]["gen"]), f"not acknowledged within {ack:g} s")
+                self.add_violation(
+                    "ACKS", sent, str(self.confs[key]["gen"]), f"not acknowledged within {ack:g} s"
+                )
         late = [
             w
-            for w, at in self.draining.items()
+            for w, at in self.drain_began.items()
             if self.settled(at, at + ack)
             and at + ack < self.history["ended"]
-            and min((t for t, _ in self.drains.get(w, [])), default=INF) > at + ack
+            and min((t for t, _ in self.drain_acks.get(w, [])), default=INF) > at + ack
             and self.gone.get(w, INF) > at + ack
         ]
-        if late and len(late) >= max(3, len(self.draining) / 5):
-            self.breach("ACKS", self.draining[late[0]], late[0], f"{len(late)} drains were not acknowledged")
+        if late and len(late) >= max(3, len(self.drain_began) / 5):
+            self.add_violation(
+                "ACKS", self.drain_began[late[0]], late[0], f"{len(late)} drains were not acknowledged"
+            )
--- a/opalwick/lab/post/rules_messages.py
+++ b/opalwick/lab/post/rules_messages.py
@@ -6,7 +6,7 @@
 
 from opalwick.lab.post.history import INF, History
 
-PROMISES = (408, 421, 429, 503)  # answers which promise that the message is never run
+NEVER_RUN = (408, 421, 429, 503)  # answers which promise that the message is never run
 IN_FLIGHT = 0.01  # s that a report of completion takes to the stores, and a delivery to its worker
 COPIES = 2  # `survive.boxes` is 1 in all scenarios
 REPAIRED = 13.0  # s without faults after which every lost replica has been restored elsewhere
@@ -19,10 +19,10 @@
     def answers(self) -> None:
         """REFUSED: a message was run although its answer promised that it never would be."""
         for one in self.tries.values():
-            if one.status in PROMISES:
-                for run in self.of[one.id]:
+            if one.status in NEVER_RUN:
+                for run in self.runs_of[one.id]:
                     if run.began < INF:
-                        self.breach(
+                        self.add_violation(
                             "REFUSED",
                             max(run.began, one.ended),
                             one.id,
@@ -35,7 +35,7 @@
         for run in self.runs.values():
             one = self.tries.get(run.id)
             if one is None or not run.intact:
-                self.breach(
+                self.add_violation(
                     "UNASKED",
                     run.at,
                     run.id,
@@ -52,13 +52,13 @@
                 and self.confs[key]["valid"]
             }
             if run.svc not in allowed:
-                self.breach(
+                self.add_violation(
                     "ROUTE", run.at, run.id, f"{run.svc} ran it at {run.worker}; allowed: {sorted(allowed)}"
                 )
 
     def twice(self) -> None:
         """TWICE: a message was run again after its success was read, with no unplanned fault between."""
-        for id, runs in self.of.items():
+        for id, runs in self.runs_of.items():
             one = self.tries.get(id)
             if one is None or len(runs) < 2:
                 continue
@@ -78,7 +78,7 @@
                         and run is not first
                         and not self.unplanned(first.began - self.contact, run.at)
                     ):
-                        self.breach(
+                        self.add_violation(
                             "TWICE",
                             run.began,
                             id,
@@ -91,7 +91,7 @@
         """AGAIN: a message whose success was read by a gateway without faults is not delivered again by any
         gateway, whatever faults others have. Deployments don't forbid this, they only charge for it; it
         follows from the completions that a gateway keeps and from the numbers of assignments."""
-        for id, runs in self.of.items():
+        for id, runs in self.runs_of.items():
             if len(runs) < 2 or id not in self.tries:
                 continue
             for first in runs:
@@ -101,15 +101,15 @@
                     if (
                         run.began < INF
                         and run.at > first.read + IN_FLIGHT
-                        and not self.held_up(run)
+                        and not self.link_faulty(run)
                         and not any(
                             s.begin <= run.at
                             and s.end >= first.at - self.contact
-                            and (first.counter in s.nodes or any(first.counter in way for way in s.ways))
-                            for s in self.spells
+                            and (first.counter in s.nodes or any(first.counter in way for way in s.links))
+                            for s in self.fault_intervals
                         )
                     ):
-                        self.breach(
+                        self.add_violation(
                             "AGAIN",
                             run.began,
                             id,
@@ -123,16 +123,16 @@
 
     def asked(self) -> None:
         """MIXED: a state or body was returned that is not the message's own."""
-        for at, id, what, status, state, seal, same in self.told:
+        for at, id, what, status, state, seal, same in self.query_answers:
             one = self.tries[id]
             if status != 200:
                 continue
             if what == "body":
                 if not same:
-                    self.breach("MIXED", at, id, "body differs from the bytes that were sent")
+                    self.add_violation("MIXED", at, id, "body differs from the bytes that were sent")
             elif state == "complete":
                 if seal not in self.succeeded(id, at):
-                    self.breach(
+                    self.add_violation(
                         "MIXED",
                         at,
                         id,
@@ -140,15 +140,15 @@
                     )
             elif state == "dlq":
                 if not self.ended_by(one, at):
-                    self.breach("MIXED", at, id, "state is dlq, but the message has not ended")
+                    self.add_violation("MIXED", at, id, "state is dlq, but the message has not ended")
             elif state != "pending":
-                self.breach("MIXED", at, id, f"unknown state {state!r}")
+                self.add_violation("MIXED", at, id, f"unknown state {state!r}")
 
     def strangers(self) -> None:
         """MIXED: a request with a name that was never issued is answered as if a message had that name."""
-        for one in self.strange.values():
+        for one in self.unknown_name_queries.values():
             if one.status > 0 and one.status not in (404, 503):
-                self.breach(
+                self.add_violation(
                     "MIXED",
                     one.at,
                     one.name[:64],
@@ -157,17 +157,17 @@
 
     def denied(self) -> None:
         """LOST: 404 for the state of a message that has not ended or whose state must still be kept."""
-        for at, id, what, status, *_ in self.told:
+        for at, id, what, status, *_ in self.query_answers:
             one = self.tries[id]
             if what == "state" and status == 404 and not self.ended_by(one, at - self.bounds["state"]):
-                self.breach("LOST", at, id, "request for its state by its name was answered 404")
+                self.add_violation("LOST", at, id, "request for its state by its name was answered 404")
 
     def lost(self) -> None:
         """LOST: an accepted message has not ended and can't be read back at the end."""
         if self.asking_at == INF:
             return
         last: dict[str, list[tuple[float, str, int, str, bool]]] = defaultdict(list)
-        for at, id, what, status, state, _, same in self.told:
+        for at, id, what, status, state, _, same in self.query_answers:
             if at >= self.asking_at:
                 last[id].append((at, what, status, state, same))
         for one in self.tries.values():
@@ -177,7 +177,7 @@
             found = last.get(one.id, [])
             states = [entry[3] for entry in found if entry[1] == "state" and entry[2] == 200]
             if any(state in ("complete", "dlq") for state in states):
-                self.breach(
+                self.add_violation(
                     "LOST",
                     one.at,
                     one.id,
@@ -185,7 +185,7 @@
                 )
             elif not any(entry[1] == "body" and entry[4] for entry in found):
                 told = ", ".join(f"{entry[1]} {entry[2]}" for entry in found) or "nothing"
-                self.breach(
+                self.add_violation(
                     "LOST",
                     one.at,
                     one.id,
@@ -195,17 +195,17 @@
     def kept(self) -> None:
         """COPIES: an accepted message is always on a disk, and on two after REPAIRED s without faults."""
         seen: set[str] = set()
-        for at, id in self.bare:
+        for at, id in self.not_on_disk:
             if id not in seen and not self.ended_by(self.tries[id], at):
                 seen.add(id)
-                self.breach("COPIES", at, id, "accepted, not ended, and no longer on any disk")
+                self.add_violation("COPIES", at, id, "accepted, not ended, and no longer on any disk")
         # a step of the wall clock moves no replica, but may expire a message early when its stores restart
-        if any(s.end > self.asking_at - REPAIRED for s in self.spells):
+        if any(s.end > self.asking_at - REPAIRED for s in self.fault_intervals):
             return
         for id, count in self.copies.items():
             one = self.tries[id]
             if count < COPIES and not self.ended_by(one, self.asking_at) and one.at < self.asking_at - CALM:
-                self.breach(
+                self.add_violation(
                     "COPIES",
                     self.asking_at,
                     id,
@@ -220,10 +220,10 @@
                 continue
             planned = any(
                 s.planned and one.counter in s.nodes and s.begin <= one.ended <= s.begin + grace + 1.0
-                for s in self.spells
+                for s in self.fault_intervals
             )
-            if planned and (self.of[one.id] or one.ended > one.at + loss):
-                self.breach(
+            if planned and (self.runs_of[one.id] or one.ended > one.at + loss):
+                self.add_violation(
                     "LOST",
                     one.ended,
                     one.id,
@@ -234,7 +234,7 @@
         """EARLY: no message is run before its delay has passed, and a 202 does not wait for the run."""
         long = early = 0
         for one in self.tries.values():
-            runs = [run for run in self.of[one.id] if run.began < INF]
+            runs = [run for run in self.runs_of[one.id] if run.began < INF]
             if not runs:
                 continue
             first = min(runs, key=lambda run: run.began)
@@ -243,9 +243,9 @@
             if (
                 one.delay
                 and first.began < one.at + one.delay - self.bounds["skew"]
-                and not any(s.kind == "step" and s.begin <= first.began for s in self.spells)
+                and not any(s.kind == "step" and s.begin <= first.began for s in self.fault_intervals)
             ):
-                self.breach(
+                self.add_violation(
                     "EARLY",
                     first.began,
                     one.id,
@@ -255,7 +255,7 @@
                 long += 1
                 early += one.ended < first.ended
         if long >= 5 and 2 * early < long:
-            self.breach(
+            self.add_violation(
                 "EARLY",
                 self.from_,
                 "",
--- a/opalwick/lab/post/rules_recovery.py
+++ b/opalwick/lab/post/rules_recovery.py
@@ -16,7 +16,7 @@
         if self.closing_at < INF and self.back_at < INF:
             before = [good for at, good in served if at < self.closing_at]
             # a later fault has a recovery time of its own
-            others = [s for s in self.spells if s.end > self.back_at]
+            others = [s for s in self.fault_intervals if s.end > self.back_at]
             after = [
                 good
                 for at, good in served
@@ -24,17 +24,17 @@
                 and not any(s.begin <= at <= s.end + self.bounds["recover"] for s in others)
             ]
             if before and 4 * sum(before) >= len(before) and len(after) >= 5 and 4 * sum(after) < len(after):
-                self.breach(
+                self.add_violation(
                     "RECOVER",
                     self.back_at,
                     "",
                     f"{sum(after)} of {len(after)} messages accepted after all machines were back",
                 )
-        last = max((s.end for s in self.spells), default=0.0)
+        last = max((s.end for s in self.fault_intervals), default=0.0)
         after = [good for at, good in served if at > last + self.bounds["recover"]]
         # stores without free space rightly reject messages, for as long as they keep dead letters
-        if self.history["room"] and self.spells and len(after) >= 8 and 4 * sum(after) < len(after):
-            self.breach(
+        if self.history["room"] and self.fault_intervals and len(after) >= 8 and 4 * sum(after) < len(after):
+            self.add_violation(
                 "RECOVER", last, "", f"{sum(after)} of {len(after)} messages accepted after the last fault"
             )
 
@@ -42,7 +42,7 @@
         """RECOVER: an accepted message is due and its service works, but it was not delivered for CALM s
         without faults."""
         end = self.asking_at
-        if end == INF or any(s.end > end - CALM for s in self.spells):
+        if end == INF or any(s.end > end - CALM for s in self.fault_intervals):
             return
         troubled = {f[0] for f in self.history["faults"] if f[2] > end - CALM}
         # faults of workers have no rows, only entries in the scenario's list; services with a rate limit may
@@ -63,12 +63,12 @@
         for one in self.tries.values():
             if one.status != 202 or self.ended_by(one, end) or one.at + one.delay > end - CALM + 1.0:
                 continue
-            keys = self.may_be(end, end)
+            keys = self.possible_versions(end, end)
             services = {r[2] for k in keys if (r := self.find(k, one.host, one.target))}
             if one.poison or len(services) != 1 or self.history["services"][min(services)]["rate"]:
                 continue
-            if not any(run.at > end - CALM for run in self.of[one.id]):
-                self.breach(
+            if not any(run.at > end - CALM for run in self.runs_of[one.id]):
+                self.add_violation(
                     "RECOVER",
                     end,
                     one.id,
--- a/opalwick/lab/post/window.py
+++ b/opalwick/lab/post/window.py
@@ -205,7 +205,7 @@
         machines, places = self.racks[name]
         world, agenda = self.world, self.world.agenda
         self.down[name], self.handed[name] = False, self.handed.get(name, 0) + 1
-        well = self.scene.spell("window", machines, planned=True)
+        well = self.scene.record_fault("window", machines, planned=True)
         for machine in machines:
             self.few_copies += self.lacking(machine) if machine.role == "depot" else 0
             machine.term()
--- a/opalwick/lab/post/workers.py
+++ b/opalwick/lab/post/workers.py
@@ -121,28 +121,28 @@
                 return
             world.agenda.after(0.02 * self.draw.random(), self.break_off, run)
         if run.want and run.want != self.id:
-            self.turn(run, 421)
+            self.reject(run, 421)
             return
         if self.table.over_ceiling():
-            self.turn(run, 429)
+            self.reject(run, 429)
             return
         if self.service.dedup and (seal := self.table.seen.get(run.rid)) is not None:
             if not seal:
-                self.turn(run, 409)
+                self.reject(run, 409)
                 return
-            self.say(run, 200, False, seal)
+            self.answer(run, 200, False, seal)
             return
         if len(self.running) < self.service.slots:
             self.begin(run)
         elif len(self.queue) < self.service.queue:
             self.queue.append(run)
         else:
-            self.turn(run, 503)
+            self.reject(run, 503)
 
-    def turn(self, run: Run, status: int) -> None:
+    def reject(self, run: Run, status: int) -> None:
         """Rejects the request without running it."""
         self.world.note("turned", run.number, status)
-        self.say(run, status, True)
+        self.answer(run, status, True)
 
     def begin(self, run: Run) -> None:
         world, want = self.world, self.world.wants.get(run.rid)
@@ -150,9 +150,9 @@
             if run.rid in self.table.seen:  # a hedge at another worker began while this one was queued
                 seal = self.table.seen[run.rid]
                 if seal:
-                    self.say(run, 200, False, seal)
+                    self.answer(run, 200, False, seal)
                 else:
-                    self.turn(run, 409)
+                    self.reject(run, 409)
                 return
             self.table.seen[run.rid] = ""
         run.began = run.slot = True
@@ -185,14 +185,14 @@
             else:
                 self.table.seen.pop(run.rid, None)
         world.note("finished", run.number, status, seal)
-        self.say(run, status, False, seal)
+        self.answer(run, status, False, seal)
         self.next()
 
     def next(self) -> None:
         while self.queue and len(self.running) < self.service.slots:
             self.begin(self.queue.popleft())
 
-    def say(self, run: Run, status: int, not_run: bool, seal: str = "") -> None:
+    def answer(self, run: Run, status: int, not_run: bool, seal: str = "") -> None:
         """Sends the whole answer, unless it is lost."""
         if run.over:
             return
@@ -232,10 +232,10 @@
     def beat(self) -> None:
         if self.there and not self.ending:
             if not self.dark:
-                self.put("draining" if self.draining else "up", None)
+                self.call_controller("draining" if self.draining else "up", None)
             self.world.agenda.after(float(self.world.day.beat) * (0.9 + 0.2 * self.draw.random()), self.beat)
 
-    def put(
+    def call_controller(
         self, state: str, acknowledged: Callable[[str], None] | None, tries: int = 4, method: bytes = b"PUT"
     ) -> None:
         """Calls controllers one after the other until one accepts, at most `tries` times."""
@@ -264,7 +264,7 @@
                 if acknowledged is not None:
                     acknowledged(office.node)
             elif tries > 1 and self.there:
-                world.agenda.after(0.05, self.put, state, acknowledged, tries - 1, method)
+                world.agenda.after(0.05, self.call_controller, state, acknowledged, tries - 1, method)
 
         world.call(self.id, office, method, f"/workers/{self.id}", body, answered, CALL_TIMEOUT)
 
@@ -279,10 +279,10 @@
     def announce(self) -> None:
         """Reports the drain again until it is acknowledged."""
         if self.there and not self.ending:
-            self.put("draining", self.heard, 1)
+            self.call_controller("draining", self.drain_acknowledged, 1)
             self.world.agenda.after(CALL_TIMEOUT + 0.1, lambda: None if self.ending else self.announce())
 
-    def heard(self, node: str) -> None:
+    def drain_acknowledged(self, node: str) -> None:
         self.world.note("drain_acked", self.id, node)
         if not self.ending:
             self.ending = True
@@ -292,7 +292,7 @@
         """Deregisters and ends."""
         if self.there:
             self.ending = True
-            self.put("", lambda node: self.world.note("drain_acked", self.id, node), 4, b"DELETE")
+            self.call_controller("", lambda node: self.world.note("drain_acked", self.id, node), 4, b"DELETE")
             self.world.agenda.after(0.1, self.end, False)
 
     def end(self, crashed: bool) -> None:
