--- a/opalwick/lab/post/clients.py
+++ b/opalwick/lab/post/clients.py
@@ -271,10 +271,10 @@
         left = want.first_at + DEADLINE - world.agenda.now
         want.tries += 1
 
-        def done(status: int, body: bytes, told: tuple[str, ...]) -> None:
+        def done(status: int, body: bytes, headers: tuple[str, ...]) -> None:
             again = 0.02
             if status == 202:
-                name = header(told, "x-msg-id") or rid
+                name = header(headers, "x-msg-id") or rid
                 world.note("answer", rid, 202, name)
                 self.accepted(rid, name, want)
                 return
@@ -289,7 +289,7 @@
                 world.note("answer", rid, status, "")
                 if status not in (408, 421, 429, 503):
                     return
-                again = float(header(told, "retry-after") or 0.02)
+                again = float(header(headers, "retry-after") or 0.02)
             if (
                 want.kind != "probe"
                 and want.tries <= RETRIES
@@ -318,15 +318,15 @@
         target = ("/message-body/" if body else "/message/") + self.names[rid]
         world.note("asked", rid, what, machine.node)
 
-        def done(status: int, told: bytes, fields: tuple[str, ...]) -> None:
+        def done(status: int, answer: bytes, fields: tuple[str, ...]) -> None:
             state = seal = ""
             same = False
             if status == 200 and body:
-                same = told == want.body
+                same = answer == want.body
             elif status == 200:
                 try:
-                    said = json.loads(told)
-                    state, seal = said["state"], said.get("seal", "")
+                    found = json.loads(answer)
+                    state, seal = found["state"], found.get("seal", "")
                 except (ValueError, KeyError, TypeError):
                     state = "unreadable"
             world.note("told", rid, what, status, state, seal, same)
@@ -539,7 +539,7 @@
                 "operator",
                 there,
                 message,
-                lambda status, told, fields: answered(status, told, fields, ordered),
+                lambda status, body, fields: answered(status, body, fields, ordered),
                 1.0,
             )
 
--- a/opalwick/lab/post/disks.py
+++ b/opalwick/lab/post/disks.py
@@ -42,8 +42,8 @@
     def save(self, stored: Stored) -> None:
         self.stored = stored
 
-    def remember(self, told: bytes) -> None:
-        self.directory = told
+    def remember(self, directory: bytes) -> None:
+        self.directory = directory
 
     def remembered(self) -> bytes:
         return self.directory
--- a/opalwick/lab/post/faults.py
+++ b/opalwick/lab/post/faults.py
@@ -106,8 +106,8 @@
                 for node, (until, held) in self.unavailable.items()
                 if node != machine.node and (held or until > now)
             ]
-            bare = [node for node, until in self.wiped.items() if node != machine.node and until > now]
-            if not bare and not (wipe and others):
+            wiped = [node for node, until in self.wiped.items() if node != machine.node and until > now]
+            if not wiped and not (wipe and others):
                 found.append(machine)
                 if wipe:
                     break
@@ -361,8 +361,8 @@
 
 def _allowed(scene: Scene, pairs: list[Pair]) -> list[Pair]:
     """Links that may be partitioned: while a machine has lost its disk, only those between gateways."""
-    bare = [node for node, until in scene.wiped.items() if until > scene.agenda.now]
-    if not bare:
+    wiped = [node for node, until in scene.wiped.items() if until > scene.agenda.now]
+    if not wiped:
         return pairs
     return [pair for pair in pairs if all(not scene.has_data(scene.world.machines[node]) for node in pair)]
 
--- a/opalwick/lab/post/history.py
+++ b/opalwick/lab/post/history.py
@@ -192,8 +192,8 @@
                 self.runs[f[0]].turned = f[1]
             elif what == "sent":
                 one = self.tries[f[0]] = Try(at, tuple(f))
-                lives = self.incarnations[one.counter]
-                one.life = lives[-1][1] if lives else -1
+                incarnations = self.incarnations[one.counter]
+                one.life = incarnations[-1][1] if incarnations else -1
             elif what == "answer":
                 one = self.tries[f[0]]
                 one.status, one.ended, one.name = f[1], at, f[2]
@@ -215,8 +215,8 @@
             elif what == "trouble":
                 open_[f[0]] = at, f[1], f[2], f[3], f[4]
             elif what == "well":
-                begin, kind, planned, nodes, ways = open_.pop(f[0])
-                self.add_interval(begin, at, kind, planned, nodes, ways)
+                begin, kind, planned, nodes, links = open_.pop(f[0])
+                self.add_interval(begin, at, kind, planned, nodes, links)
             elif what == "up":
                 self.incarnations[f[0]].append((at, f[1]))
             elif what == "conf_sent":
@@ -247,14 +247,14 @@
                 self.closing_at = at
             elif what == "back":
                 self.back_at = at
-        for begin, kind, planned, nodes, ways in open_.values():
-            self.add_interval(begin, self.history["ended"], kind, planned, nodes, ways)
+        for begin, kind, planned, nodes, links in open_.values():
+            self.add_interval(begin, self.history["ended"], kind, planned, nodes, links)
 
     def add_interval(
-        self, begin: float, end: float, kind: str, planned: bool, nodes: list[str], ways: list[list[str]]
+        self, begin: float, end: float, kind: str, planned: bool, nodes: list[str], links: list[list[str]]
     ) -> None:
         self.fault_intervals.append(
-            FaultInterval(begin, end, kind, planned, frozenset(nodes), frozenset((a, b) for a, b in ways))
+            FaultInterval(begin, end, kind, planned, frozenset(nodes), frozenset((a, b) for a, b in links))
         )
 
     def add_violation(self, rule: str, at: float, id: str, why: str) -> None:
--- a/opalwick/lab/post/rules_messages.py
+++ b/opalwick/lab/post/rules_messages.py
@@ -184,12 +184,12 @@
                     f"accepted by {one.counter}, not ended, but reported as {states[-1]}",
                 )
             elif not any(entry[1] == "body" and entry[4] for entry in found):
-                told = ", ".join(f"{entry[1]} {entry[2]}" for entry in found) or "nothing"
+                answers = ", ".join(f"{entry[1]} {entry[2]}" for entry in found) or "nothing"
                 self.add_violation(
                     "LOST",
                     one.at,
                     one.id,
-                    f"accepted by {one.counter}, not ended, and its body can't be read back ({told})",
+                    f"accepted by {one.counter}, not ended, and its body can't be read back ({answers})",
                 )
 
     def kept(self) -> None:
