--- a/opalwick/lab/post/history.py
+++ b/opalwick/lab/post/history.py
@@ -1,28 +1,31 @@
-"""What clients, workers, operators and whoever made the trouble saw in a day of the post.
-The rules that judge it stand in `rules_*.py`. Nothing of what is judged is imported.
-
-A row is (microseconds since the day began, what, ...):
-  up (node, start), down (node)             a process began, is gone
-  trouble (number, kind, planned, nodes, ways), well (number)      from, to; a way is (from, to)
-  closing (seconds), back                   all were hit at once; all are there again
-  traffic (from, to), asking                when messages are sent; when it is asked back at the end
-  sent (id, message, counter, kind, host, target, delay, zone, poison)     one try of a client
+"""History of a scenario: what clients, workers, operators and the fault injection observed.
+
+The rules that check it are in `rules_*.py`. Nothing of the system under test is imported. The rows' names for
+the roles are counter (gateway), depot (store) and office (controller).
+
+A row is (microseconds since the scenario began, what, ...):
+  up (node, start), down (node)             a process has started, has ended
+  trouble (number, kind, planned, nodes, ways), well (number)      begin and end of a fault;
+      a way is a direction of a link, (from, to)
+  closing (seconds), back                   a fault of all machines at once; all are back
+  traffic (from, to), asking                when messages are sent; begin of the read-back at the end
+  sent (id, message, counter, kind, host, target, delay, zone, poison)     one try by a client
   answer (id, status, name), broke (id, whether it was read), silent (id)  how that ended for the client
-  asked (id, "state" | "body", counter), told (id, which, status, state, seal, whether the bytes are
-      those sent)
-  asked_wrong (number, kind, counter, name), told_wrong (number, status)   for a name that nobody was given
-  arrived (run, id, worker, service, counter, whether it is what was sent)  at a worker
-  turned (run, status), began (run), finished (run, status, seal)          and what became of it
-  said (run, status, seal), read (run)      the whole answer went out; its sender has read it
-  bare (id)                                 accepted, and on no depot's disk any more, nor its end
-  copies (id, count)                        at `asking`: disks that have it, where none has its end
+  asked (id, "state" | "body", counter), told (id, which, status, state, seal, whether the body is
+      what was sent)                        a query for a message, and its answer
+  asked_wrong (number, kind, counter, name), told_wrong (number, status)   for a name that was never issued
+  arrived (run, id, worker, service, counter, whether it is what was sent)  a request at a worker
+  turned (run, status), began (run), finished (run, status, seal)          its rejection, start, result
+  said (run, status, seal), read (run)      the whole answer was sent; the gateway has read it
+  bare (id)                                 accepted, and neither it nor its completion is on a store's disk
+  copies (id, count)                        at `asking`: disks that have it, where none has its completion
   drains (worker), drain_acked (worker, office), gone (worker, whether it crashed)
   conf_sent (key, office), conf_acked (key, office), conf_refused (key, status), conf_read (key; -1
-      other, -2 none), conf_superseded (key): acknowledged as older than what is in force
-  conf_seen (key, when the reading began, office)       read in the middle of the day
+      none that was sent, -2 no answer), conf_superseded (key): acknowledged as older than what is in force
+  conf_seen (key, when the read began, office)          read during the scenario
 
-The rules and their excuses are those of the deployments; what cannot be known counts in the system's
-favour.
+The rules and their exceptions are those of the deployments; where the history leaves a question open, it is
+decided in the system's favour.
 """
 
 from __future__ import annotations
@@ -33,33 +36,39 @@
 INF = float("inf")
 
 
-class Breach(NamedTuple):
+class Violation(NamedTuple):
+    """A violation of a rule; `id` is a message, node, worker or version."""
+
     rule: str
     at: float
     id: str
     why: str
 
 
-class Spell(NamedTuple):
+class FaultInterval(NamedTuple):
+    """The interval of one fault: nodes and directions of links that it affects."""
+
     begin: float
     end: float
     kind: str
     planned: bool
     nodes: frozenset[str]
-    ways: frozenset[tuple[str, str]]
+    links: frozenset[tuple[str, str]]
 
 
-class StrangeQuestion:
-    """Somebody asked for a message by a name that nobody was given, or under another host."""
+class UnknownNameQuery:
+    """A request for a message by a name that was never issued, or under another host."""
 
     __slots__ = ("at", "counter", "kind", "name", "status")
 
     def __init__(self, at: float, kind: str, counter: str, name: str) -> None:
         self.at, self.kind, self.counter, self.name = at, kind, counter, name
-        self.status = 0  # of the answer; 0 and less: there was none
+        self.status = 0  # of the answer; 0 or less: none came
 
 
 class Run:
+    """One request at a worker; times in s, INF for what has not happened."""
+
     __slots__ = (
         "at",
         "began",
@@ -87,6 +96,8 @@
 
 
 class Try:
+    """One try of a client to send a message; times in s."""
+
     __slots__ = (
         "at",
         "broke",
@@ -124,7 +135,7 @@
 
 
 class History:
-    """A day as it was seen; rules note their breaches here."""
+    """The parsed history of a scenario, with the violations that the rules found."""
 
     def __init__(self, history: dict[str, Any]) -> None:
         self.history = history
@@ -132,15 +143,15 @@
         self.contact = self.bounds["contact"]
         self.confs: list[dict[str, Any]] = history["confs"]
         self.roles = {node: found[0] for node, found in history["machines"].items()}
-        self.breaches: list[Breach] = []
+        self.violations: list[Violation] = []
         self.tries: dict[str, Try] = {}
         self.runs: dict[int, Run] = {}
-        self.of: dict[str, list[Run]] = defaultdict(list)
-        self.spells: list[Spell] = []
-        self.lives: dict[str, list[tuple[float, int]]] = defaultdict(list)
-        self.told: list[tuple[float, str, str, int, str, str, bool]] = []
-        self.strange: dict[int, StrangeQuestion] = {}
-        self.bare: list[tuple[float, str]] = []
+        self.runs_of: dict[str, list[Run]] = defaultdict(list)
+        self.fault_intervals: list[FaultInterval] = []
+        self.incarnations: dict[str, list[tuple[float, int]]] = defaultdict(list)
+        self.query_answers: list[tuple[float, str, str, int, str, str, bool]] = []
+        self.unknown_name_queries: dict[int, UnknownNameQuery] = {}
+        self.not_on_disk: list[tuple[float, str]] = []
         self.copies: dict[str, int] = {}
         self.conf_sent: dict[int, float] = {}
         self.conf_acked: dict[int, float] = {}
@@ -148,10 +159,10 @@
         self.conf_refused: dict[int, float] = {}
         self.refusals: list[tuple[float, int, int]] = []
         self.superseded: set[int] = set()
-        self.seen: list[tuple[float, int, float, str]] = []
+        self.versions_read: list[tuple[float, int, float, str]] = []
         self.conf_read: tuple[float, int] | None = None
-        self.drains: dict[str, list[tuple[float, str]]] = defaultdict(list)
-        self.draining: dict[str, float] = {}
+        self.drain_acks: dict[str, list[tuple[float, str]]] = defaultdict(list)
+        self.drain_began: dict[str, float] = {}
         self.gone: dict[str, float] = {}
         self.closing_at = self.back_at = self.asking_at = INF
         self.from_, self.to = 0.0, 0.0
@@ -164,7 +175,7 @@
             at = us / 1e6
             if what == "arrived":
                 run = self.runs[f[0]] = Run(f[0], f[1], f[2], f[3], f[4], f[5], at)
-                self.of[run.id].append(run)
+                self.runs_of[run.id].append(run)
             elif what == "began":
                 self.runs[f[0]].began = at
             elif what == "finished":
@@ -173,7 +184,7 @@
             elif what == "said":
                 run = self.runs[f[0]]
                 run.said = at
-                if run.began == INF:  # a repeat of the first success, or turned away
+                if run.began == INF:  # answered from the first success, or rejected
                     run.status, run.seal = f[1], f[2]
             elif what == "read":
                 self.runs[f[0]].read = at
@@ -181,8 +192,8 @@
                 self.runs[f[0]].turned = f[1]
             elif what == "sent":
                 one = self.tries[f[0]] = Try(at, tuple(f))
-                lives = self.lives[one.counter]
-                one.life = lives[-1][1] if lives else -1
+                incarnations = self.incarnations[one.counter]
+                one.life = incarnations[-1][1] if incarnations else -1
             elif what == "answer":
                 one = self.tries[f[0]]
                 one.status, one.ended, one.name = f[1], at, f[2]
@@ -192,22 +203,22 @@
             elif what == "silent":
                 self.tries[f[0]].ended = at
             elif what == "bare":
-                self.bare.append((at, f[0]))
+                self.not_on_disk.append((at, f[0]))
             elif what == "copies":
                 self.copies[f[0]] = f[1]
             elif what == "told":
-                self.told.append((at, *f))  # type: ignore[arg-type]
+                self.query_answers.append((at, *f))  # type: ignore[arg-type]
             elif what == "asked_wrong":
-                self.strange[f[0]] = StrangeQuestion(at, *f[1:])
+                self.unknown_name_queries[f[0]] = UnknownNameQuery(at, *f[1:])
             elif what == "told_wrong":
-                self.strange[f[0]].status = f[1]
+                self.unknown_name_queries[f[0]].status = f[1]
             elif what == "trouble":
                 open_[f[0]] = at, f[1], f[2], f[3], f[4]
             elif what == "well":
-                begin, kind, planned, nodes, ways = open_.pop(f[0])
-                self.spell(begin, at, kind, planned, nodes, ways)
+                begin, kind, planned, nodes, links = open_.pop(f[0])
+                self.add_interval(begin, at, kind, planned, nodes, links)
             elif what == "up":
-                self.lives[f[0]].append((at, f[1]))
+                self.incarnations[f[0]].append((at, f[1]))
             elif what == "conf_sent":
                 self.conf_sent.setdefault(f[0], at)
             elif what == "conf_acked":
@@ -219,13 +230,13 @@
             elif what == "conf_superseded":
                 self.superseded.add(f[0])
             elif what == "conf_seen":
-                self.seen.append((at, f[0], f[1], f[2]))
+                self.versions_read.append((at, f[0], f[1], f[2]))
             elif what == "conf_read":
                 self.conf_read = at, f[0]
             elif what == "drains":
-                self.draining[f[0]] = at
+                self.drain_began[f[0]] = at
             elif what == "drain_acked":
-                self.drains[f[0]].append((at, f[1]))
+                self.drain_acks[f[0]].append((at, f[1]))
             elif what == "gone":
                 self.gone[f[0]] = at
             elif what == "traffic":
@@ -236,62 +247,63 @@
                 self.closing_at = at
             elif what == "back":
                 self.back_at = at
-        for begin, kind, planned, nodes, ways in open_.values():
-            self.spell(begin, self.history["ended"], kind, planned, nodes, ways)
+        for begin, kind, planned, nodes, links in open_.values():
+            self.add_interval(begin, self.history["ended"], kind, planned, nodes, links)
 
-    def spell(
-        self, begin: float, end: float, kind: str, planned: bool, nodes: list[str], ways: list[list[str]]
+    def add_interval(
+        self, begin: float, end: float, kind: str, planned: bool, nodes: list[str], links: list[list[str]]
     ) -> None:
-        self.spells.append(
-            Spell(begin, end, kind, planned, frozenset(nodes), frozenset((a, b) for a, b in ways))
+        self.fault_intervals.append(
+            FaultInterval(begin, end, kind, planned, frozenset(nodes), frozenset((a, b) for a, b in links))
         )
 
-    def breach(self, rule: str, at: float, id: str, why: str) -> None:
-        self.breaches.append(Breach(rule, round(at, 6), id, why))
+    def add_violation(self, rule: str, at: float, id: str, why: str) -> None:
+        self.violations.append(Violation(rule, round(at, 6), id, why))
 
-    def hit(self, spell: Spell, node: str) -> bool:
-        """Whether it touches that machine, or the core."""
+    def affects(self, spell: FaultInterval, node: str) -> bool:
+        """Whether the fault affects that machine or the core (stores and controllers)."""
         if node in spell.nodes or spell.nodes & self.core:
             return True
-        return any(node in way or (way[0] in self.core and way[1] in self.core) for way in spell.ways)
+        return any(node in way or (way[0] in self.core and way[1] in self.core) for way in spell.links)
 
-    def touch(self, node: str, since: float, at: float) -> bool:
-        """In touch all the time from `since` to `at`."""
+    def undisturbed(self, node: str, since: float, at: float) -> bool:
+        """Whether no fault affected the node or the core from `since` to `at`."""
         return not any(
-            s.begin <= at and s.end >= since - self.contact and self.hit(s, node) for s in self.spells
+            s.begin <= at and s.end >= since - self.contact and self.affects(s, node)
+            for s in self.fault_intervals
         )
 
     def settled(self, since: float, at: float) -> bool:
-        """The core, and no link in trouble."""
+        """Whether no fault affected the core or any link from `since` to `at`."""
         return not any(
-            s.begin <= at and s.end >= since - self.contact and (s.nodes & self.core or s.ways)
-            for s in self.spells
+            s.begin <= at and s.end >= since - self.contact and (s.nodes & self.core or s.links)
+            for s in self.fault_intervals
         )
 
     def unplanned(self, since: float, at: float) -> bool:
-        return any(not s.planned and s.begin <= at and s.end >= since for s in self.spells)
+        return any(not s.planned and s.begin <= at and s.end >= since for s in self.fault_intervals)
 
-    def held_up(self, run: Run) -> bool:
+    def link_faulty(self, run: Run) -> bool:
         return any(
             s.begin <= run.at
             and s.end >= run.at - self.contact
-            and ((run.counter, run.worker) in s.ways or (run.worker, run.counter) in s.ways)
-            for s in self.spells
+            and ((run.counter, run.worker) in s.links or (run.worker, run.counter) in s.links)
+            for s in self.fault_intervals
         )
 
     @staticmethod
-    def both(spell: Spell, a: str, b: str) -> bool:
-        """Whether it cuts them off both ways."""
-        return spell.kind in ("cut", "alone") and ((a, b) in spell.ways or (b, a) in spell.ways)
+    def partitions(spell: FaultInterval, a: str, b: str) -> bool:
+        """Whether the fault partitions the two nodes from each other."""
+        return spell.kind in ("cut", "alone") and ((a, b) in spell.links or (b, a) in spell.links)
 
     def find(self, key: int, host: str, target: str) -> list[Any] | None:
-        """The route: host, stem, service, tries, limit, retain."""
+        """The route in that configuration: host, stem, service, tries, limit, retain."""
         found = [r for r in self.confs[key]["routes"] if r[0] == host and target.startswith(r[1])]
         return max(found, key=lambda r: len(r[1])) if found else None
 
-    def may_be(self, at: float, until: float) -> list[int]:
-        """Keys of versions that may be in force at some time between: the newest that was acknowledged
-        `apply` before, and all that were sent and are newer."""
+    def possible_versions(self, at: float, until: float) -> list[int]:
+        """Keys of the versions that may be in force at some time between: the newest one acknowledged at
+        least `apply` seconds before, and all newer ones that were sent."""
         known = [
             k for k, t in self.conf_acked.items() if t + self.bounds["apply"] < at and self.confs[k]["valid"]
         ]
@@ -308,23 +320,23 @@
         )
 
     def ended_by(self, one: Try, at: float) -> str:
-        """Why it has ended by then; empty: it has not, whatever anybody says."""
-        runs = [run for run in self.of[one.id] if run.said <= at]
+        """Why the message has ended by then; empty: it has not, whatever the system reports."""
+        runs = [run for run in self.runs_of[one.id] if run.said <= at]
         if any(run.status == 200 for run in runs):
             return "done"
         if any(run.status == 422 for run in runs):
-            return "refused for good"
+            return "rejected by its worker"
         fails = sum(run.status == 500 for run in runs)
-        for key in self.may_be(one.at, at):
+        for key in self.possible_versions(one.at, at):
             route = self.find(key, one.host, one.target)
             if route is None:
                 return "its route was dropped"
             if fails >= route[3]:
-                return "failed for good"
+                return "out of tries"
             if one.at + route[5] <= at:
-                return "kept for long enough"
+                return "retention time is over"
         return ""
 
     def succeeded(self, id: str, at: float) -> set[str]:
-        """Seals of its successful runs; one whose answer got lost is one."""
-        return {run.seal for run in self.of[id] if run.status == 200 and run.ended <= at and run.seal}
+        """Completion tokens of its successful runs, including those whose answer was lost."""
+        return {run.seal for run in self.runs_of[id] if run.status == 200 and run.ended <= at and run.seal}
