--- a/opalwick/lab/post/process.py
+++ b/opalwick/lab/post/process.py
@@ -1,8 +1,9 @@
-"""A machine, and the process on it: what `post/link.py`'s Shell is to a role, on the virtual clock.
+"""Simulated machines and the processes on them: the counterpart on the virtual clock of the Shell in
+`post/link.py`, which runs a role.
 
-A process that stands still hears nothing and does nothing; what came meanwhile, and its own timers that ran
-out, reach it as it wakes, in an order that is drawn: which of its greenlets a loop runs first is nobody's
-promise.
+A frozen process receives nothing and does nothing. What arrived meanwhile, and timers of its own that have
+expired, are handled on resumption in a random order, since an event loop does not guarantee which greenlet
+runs first.
 """
 
 from __future__ import annotations
@@ -32,8 +33,8 @@
 
 Place = tuple[str, int]
 PORT = 7300
-UNIX = 1.8e9  # the time of day as a day begins
-AGAIN = (0.3, 0.8)  # s until the platform starts a process that has ended
+UNIX = 1.8e9  # Unix time in seconds at the start of a scenario
+AGAIN = (0.3, 0.8)  # s, least and most, until the platform restarts a process that has exited
 MOST_PROBLEMS = 50
 _BASE = """node=x
 role=x
@@ -47,13 +48,13 @@
 
 @cache
 def base() -> Settings:
-    """Reading a file takes milliseconds, and each start of a process reads one."""
+    """Returns parsed base settings. Cached: parsing takes milliseconds, and each process start needs one."""
     return parse(_BASE, "lab")
 
 
 @cache
 def quiet(role: type[RoleBase]) -> type[RoleBase]:
-    """The same role, whose events are kept instead of printed."""
+    """Returns a subclass of the role that collects its events in `lab_events` instead of printing them."""
 
     def event(self: Any, number: int, **fields: Any) -> None:
         self.__dict__.setdefault("lab_events", []).append((self.now, number, fields))
@@ -62,26 +63,28 @@
 
 
 class Machine:
+    """A simulated machine: its clocks, its disk, and at most one process."""
+
     def __init__(self, world: World, node: str, role: str, zone: str, number: int) -> None:
         self.world, self.node, self.role, self.zone, self.number = world, node, role, zone, number
         self.ip = f"10.{1 + world.day.zones.index(zone)}.0.{10 + number}"
         self.draw = world.draws.of(f"machine/{node}")
-        self.ahead = 1000.0 + 5000.0 * self.draw.random()  # its steady clock's start
-        self.step = 0.04 * self.draw.random() - 0.02  # its time of day against the true one
+        self.ahead = 1000.0 + 5000.0 * self.draw.random()  # s, offset of its monotonic clock
+        self.step = 0.04 * self.draw.random() - 0.02  # s, error of its wall clock
         self.power = True
-        self.losses = 0  # of power
+        self.losses = 0  # number of power losses
         self.starts = 0
-        self.joined = False  # later than the others
+        self.joined = False  # added after the start of the scenario
         self.proc: Proc | None = None
         self.disk: Any = None
         self.disks = 0
-        self.downs = 0  # faults that hold it down
-        self.still = 0  # faults that hold its process still
-        self.sync, self.stalls = float(world.day.sync), 0  # seconds of a sync, faults that stall it
-        self.waits: list[Callable[[], None]] = []  # syncs that a stall holds up
+        self.downs = 0  # number of active faults that keep it down
+        self.still = 0  # number of active faults that freeze its process
+        self.sync, self.stalls = float(world.day.sync), 0  # s per sync; number of active disk stalls
+        self.waits: list[Callable[[], None]] = []  # syncs blocked by a stall
         self.new_disk()
 
-    # ---- its clocks and its disk
+    # ---- clocks and disk
 
     def steady(self) -> float:
         return self.ahead + self.world.agenda.now
@@ -96,7 +99,8 @@
             self.world.disk_made(self)
 
     def on_disk(self, proc: Proc, work: Callable[[], Any], over: Callable[[Any], None]) -> None:
-        """One transaction: there, and told, as its sync ends; a process that dies meanwhile may leave it."""
+        """Runs one disk transaction: it takes effect, and `over` gets its result, when the sync completes.
+        If the process dies before, the transaction may or may not be on the disk."""
 
         def done() -> None:
             if self.stalls:
@@ -110,13 +114,14 @@
         self.world.agenda.after(self.sync * (0.7 + 1.1 * self.draw.random()), done)
 
     def stall(self, there: bool) -> None:
+        """Adds (True) or removes (False) a fault that blocks all syncs."""
         self.stalls += 1 if there else -1
         if not self.stalls:
             waits, self.waits = self.waits, []
             for done in waits:
                 self.world.agenda.after(0.0, done)
 
-    # ---- what befalls it
+    # ---- starts, stops and faults
 
     def settings(self) -> Settings:
         day, offices = self.world.day, self.world.of("office")
@@ -138,11 +143,12 @@
         )
 
     def hup(self) -> None:
-        """Its settings file has changed in nothing that matters, and its process is told."""
+        """SIGHUP: the process reloads its settings, which have not changed in any relevant way."""
         if self.proc is not None:
             self.proc.event(self.proc.role.apply_settings, self.settings())
 
     def start(self) -> None:
+        """Starts the process unless it runs or a fault keeps the machine down."""
         if self.proc is None and not self.downs:
             self.power = True
             self.world.note("up", self.node, self.starts)
@@ -153,7 +159,7 @@
                 self.proc.freeze(True)
 
     def over(self, crashed: bool, power: bool = False) -> None:
-        """Its process is gone. `power`: with all that the machine had not on its disk."""
+        """Ends the process at once. `power`: the machine loses power, and all that isn't on its disk."""
         proc = self.proc
         if power:
             self.power = False
@@ -162,35 +168,38 @@
             return
         self.proc = None
         self.world.note("down", self.node)
-        proc.die(told=not power)
+        proc.die(notify=not power)
         if proc.writing is not None and self.draw.random() < 0.5:
-            proc.work()  # its last transaction got that far
+            proc.work()  # the transaction in progress reached the disk
         proc.writing = None
 
     def ended(self, proc: Proc) -> None:
-        """By itself, as it was told to: the platform starts it again."""
+        """Called when the process has exited or been killed after SIGTERM: the platform restarts it."""
         if self.proc is proc:
             self.over(False)
             least, most = AGAIN
             self.world.agenda.after(least + (most - least) * self.draw.random(), self.start)
 
     def down(self, power: bool, wipe: bool = False) -> None:
+        """Takes the machine down until `back`. `wipe`: its disk is replaced by an empty one."""
         self.downs += 1
         self.over(True, power)
         if wipe:
             self.new_disk()
 
     def back(self) -> None:
+        """Ends one `down`; the process starts when no other fault keeps the machine down."""
         self.downs -= 1
         self.start()
 
     def freeze(self, still: bool) -> None:
+        """Adds (True) or removes (False) a fault that freezes the process."""
         self.still += 1 if still else -1
         if self.proc is not None and self.still == (1 if still else 0):
             self.proc.freeze(still)
 
     def term(self) -> None:
-        """SIGTERM, and SIGKILL where it is there too long."""
+        """SIGTERM, followed by SIGKILL if the process has not exited within the grace period."""
         if (proc := self.proc) is None or proc.leaving:
             return
         proc.leaving = True
@@ -199,7 +208,7 @@
 
 
 class Proc:
-    """One process, from its start to its end."""
+    """One process, from start to exit: runs a role as Shell does."""
 
     kind: type[RoleBase] = RoleBase
 
@@ -213,11 +222,12 @@
         self.ticking: Entry | None = None
         self.turns = 0
         self.tick_at = 0.0
-        self.writing: Any = None  # what is on its way to the disk
+        self.writing: Any = None  # the transaction in progress
         self.work: Callable[[], Any] = lambda: None
         self.role = self.make(machine.settings(), int(machine.unix() * 1000), self.now())
 
     def make(self, settings: Settings, life: int, now: float) -> Any:
+        """Creates the role. `life`: number of the process incarnation."""
         raise NotImplementedError
 
     def now(self) -> float:
@@ -227,9 +237,10 @@
         self.agenda.after(PULSE * self.machine.draw.random(), self.event, self.keep_pulse)
         self.event(self.time_passes)
 
-    # ---- what reaches it
+    # ---- events
 
     def event(self, call: Callable[..., Any], *fields: Any) -> None:
+        """Handles an event now, or on resumption if the process is frozen; ignored after its exit."""
         if not self.alive:
             return
         if self.still:
@@ -242,6 +253,7 @@
         return self.agenda.after(seconds, self.event, call, *fields)
 
     def readable(self, end: End) -> None:
+        """Called when a connection has data."""
         if self.alive:
             if self.still:
                 self.unread[end] = None
@@ -259,29 +271,31 @@
             self.event(call, *fields)
 
     def check_invariants(self) -> None:
-        """What the role has counted and must never be so is a fault of the day."""
+        """Reports counters of the role that must be zero as problems of the scenario."""
         if count := self.role.figures().get("begun_after_end", 0):
             problem = f"{count} deliveries were about to go out after their message's end was known"
             self.world.problems.append((self.agenda.now, self.node, problem, ""))
 
-    def die(self, told: bool) -> None:
+    def die(self, notify: bool) -> None:
+        """Ends the process. `notify`: the kernel still closes its connections, so peers see it."""
         self.check_invariants()
         self.alive = False
         for end in list(self.all):
-            end.drop(told)
+            end.drop(notify)
 
-    # ---- the role, as Shell has it
+    # ---- running the role, as Shell does
 
-    def guarded(self, hear: Callable[..., Any], *told: Any) -> None:
+    def guarded(self, handler: Callable[..., Any], *fields: Any) -> None:
+        """Calls a handler of the role; an exception is recorded as a problem."""
         try:
-            hear(*told)
-        except Exception as problem:  # noqa: BLE001 - as Shell: it costs that word
+            handler(*fields)
+        except Exception as problem:  # noqa: BLE001 - as in Shell, only that peer message is lost
             if len(self.world.problems) < MOST_PROBLEMS:
                 where = traceback.format_exc(limit=-3)
                 self.world.problems.append((self.agenda.now, self.node, repr(problem), where))
 
     def settle(self, turn: bool = True) -> None:
-        """`turn`: something came in that may change what is next."""
+        """Lets the role act on what it received. `turn`: the input may change when its next tick is due."""
         role = self.role
         role.clock(self.now())
         self.guarded(role.settle)
@@ -294,7 +308,7 @@
             self.tick_in(0.0)
 
     def perform(self) -> None:
-        """Carries out what the role left behind."""
+        """Executes the commands that the role has queued."""
 
     def tick_in(self, seconds: float) -> None:
         if self.ticking is not None:
@@ -303,12 +317,14 @@
         self.ticking = self.agenda.after(seconds, self.event, self.time_passes)
 
     def time_passes(self) -> None:
+        """Runs the role's tick and schedules the next one."""
         self.tick_at = self.agenda.now
         self.guarded(self.role.tick)
         self.settle(False)
         self.tick_in(max(0.002, min(self.role.next_at(), self.role.now + TICK_INTERVAL) - self.now()))
 
     def keep_pulse(self) -> None:
+        """Sends heartbeats on all links and closes silent ones."""
         now, self.turns = self.now(), (self.turns + 1) % SLOW_FACTOR
         for number, end in enumerate(list(self.all)):
             if now - end.last_received > SILENT:
@@ -326,7 +342,7 @@
         began, net = self.agenda.now, self.world.net
         target = self.world.by_ip.get(place[0])
         way = net.delay(self.node, target.node) if target is not None else 0.0
-        # a SYN that gets no answer is said again after a second: later than this gives up
+        # an unanswered SYN is retransmitted after 1 s, which is later than this time-out
         lost = [self.agenda.after(CONNECT_TIMEOUT, self.event, self.dialled, place, began, pause)]
         if target is not None and net.open(self.node, target.node):
             self.agenda.after(way, self.syn, target, place, began, pause, way, lost)
@@ -343,7 +359,8 @@
         self.agenda.after(back, self.event, self.connected, target.proc, place, began, pause)
 
     def connected(self, other: Proc | None, place: Place, began: float, pause: float) -> None:
-        """The answer to a SYN: nobody listens there, or this one stood still for too long, or it is up."""
+        """Handles the answer to a SYN: the port is closed, or this process was frozen beyond the time-out, or
+        the connection is up."""
         if other is None or (self.agenda.now - began > CONNECT_TIMEOUT and self.machine.draw.random() < 0.5):
             self.dialled(place, began, pause)
             return
@@ -357,7 +374,7 @@
         self.agenda.after(self.world.net.delay(self.node, other.node), other.accept, far)
 
     def accept(self, end: End) -> None:
-        """Its kernel has taken the connection; the process finds it."""
+        """The kernel has accepted the connection; the process handles it as its next event."""
         self.event(self.accepted, end)
 
     def accepted(self, end: End) -> None:
@@ -372,15 +389,15 @@
             self.dialled(*end.dialled)
 
     def dialled(self, place: Place, began: float, pause: float) -> None:
-        """A dial has come to nothing, or its link has ended."""
+        """A dial has failed, or its link has ended: dials again after a pause in seconds."""
         if self.agenda.now - began > 2.0:
             pause = RECONNECT_DELAY
         self.after(pause, self.dial, place, min(2.0 * pause, MAX_RECONNECT_DELAY))
 
-    # ---- its end
+    # ---- exit
 
     def term(self) -> None:
-        """SIGTERM has come."""
+        """Handles SIGTERM."""
         raise NotImplementedError
 
     def exit(self) -> None:
--- a/opalwick/lab/post/world.py
+++ b/opalwick/lab/post/world.py
@@ -1,5 +1,5 @@
-"""A day put up: machines, ways, workers, clients and operators on one agenda; and what those outside saw,
-as rows."""
+"""The simulated cluster of one scenario: machines, network, workers, clients and operators on one event
+queue, and the history of what was observed from outside, as rows."""
 
 from __future__ import annotations
 
@@ -18,15 +18,16 @@
 from opalwick.lab.post.strangers import Strangers
 from opalwick.lab.post.workers import Run, Table, Worker, request
 
-FIRST = 0.6  # s until the operator's first configuration
-LEAD = 1.5  # s from its acknowledgement to the traffic
-GIVE_UP = 15.0  # s until a day without a configuration ends
-INSPECT = 0.5  # s between looks on the disks: a copy that is gone does not come back
-ASKING = 4.5  # s that is asked back at the end
+FIRST = 0.6  # s from the start to the operator's first configuration
+LEAD = 1.5  # s from the acknowledgement of the first configuration to the start of the traffic
+GIVE_UP = 15.0  # s after which a scenario whose configuration was never acknowledged ends
+INSPECT = 0.5  # s between inspections of the disks; a lost replica does not reappear, so none is missed
+ASKING = 4.5  # s at the end during which clients look up the outcomes of their messages
 
 
 class World:
-    """On the virtual clock; `sockets/world.py` has real processes in the place of machines and ways."""
+    """The cluster on the virtual clock. `sockets/world.py` replaces machines and network by real processes
+    on loopback sockets."""
 
     agenda_of: Any = Agenda
     machine_of: Any = Machine
@@ -54,8 +55,8 @@
         }
         self.confs: list[dict[str, Any]] = []
         self.wants: dict[str, Want] = {}
-        self.over: set[str] = set()  # messages that a worker has ended
-        self.rids: dict[int, str] = {}  # of each run
+        self.over: set[str] = set()  # request ids of messages that a worker has completed
+        self.rids: dict[int, str] = {}  # request id by run number
         self.runs = self.spells = self.born = 0
         self.slow: dict[str, float] = {}
         self.more_errors: dict[str, float] = {}
@@ -67,25 +68,26 @@
         self.begins_at = 0.0
         self.ends_at = self.patience
         self.shaded: list[tuple[str, float, float]] = []
-        self.closing: Any = None  # called once right after an acknowledgement
+        self.closing: Any = None  # (time, callback): called once, right after the first 202 from that time on
         self.on_traffic: Any = lambda: None
-        self.crew: Any = None  # of a day with a maintenance window
+        self.crew: Any = None  # the maintenance crew, in a scenario with a maintenance window
 
     def note(self, what: str, *fields: Any) -> None:
+        """Appends a row to the history."""
         if what == "said" and fields[1] in (200, 422):
             self.over.add(self.rids[fields[0]])
         self.ledger.note(self.agenda.now, what, *fields)
 
     def disk_made(self, machine: Machine) -> None:
-        """A machine has a disk with nothing on it."""
+        """Called when a machine gets a new, empty disk."""
 
     def heard(self, end: Any, kind: str, word: Any) -> None:
-        """A process hears a word on a link."""
+        """Called when a process receives a peer message on a link."""
 
     def of(self, role: str) -> list[Machine]:
         return self.by_role[role]
 
-    # ---- the day
+    # ---- the scenario
 
     def begin(self) -> None:
         for machine in self.machines.values():
@@ -96,7 +98,7 @@
         self.agenda.at(FIRST, self.operator.first)
 
     def traffic(self) -> None:
-        """The first configuration is acknowledged."""
+        """Schedules the traffic; called when the first configuration is acknowledged."""
         day = self.day
         self.begins_at = self.agenda.now + LEAD
         until = self.begins_at + day.length
@@ -109,15 +111,16 @@
         self.inspect()
 
     def inspect(self) -> None:
-        """Looks on all disks now and then, as those who made the trouble can: is each message still there?"""
+        """Records periodically each message that is on no disk any more, as observed from outside the
+        cluster."""
         for rid, (letters, ends) in self.copies().items():
             if not letters and not ends:
                 self.note("bare", rid)
         self.agenda.after(INSPECT, self.inspect)
 
     def copies(self) -> dict[str, tuple[int, int]]:
-        """Of each message that was accepted and that no worker has ended: on how many depots' disks it is,
-        and on how many its end is, whether the machines are up or not."""
+        """Returns, for each accepted message that no worker has completed, the number of store disks that
+        hold it and the number that hold its end record, whether or not their machines are up."""
         letters, ends = Counter[str](), Counter[str]()
         for machine in self.of("depot"):
             letters.update(row[0] for row in machine.disk.db.execute("select mid from letters"))
@@ -129,6 +132,7 @@
         return found
 
     def asks(self) -> None:
+        """Records the replica counts and has clients look up the outcomes, at the end of the scenario."""
         for rid, (letters, ends) in self.copies().items():
             if not ends:
                 self.note("copies", rid, letters)
@@ -145,22 +149,23 @@
                 machine.proc.check_invariants()
 
     def acknowledged(self) -> None:
+        """Called after each acknowledgement to a client."""
         if self.closing is not None and self.agenda.now >= self.closing[0]:
             (_, call), self.closing = self.closing, None
             call()
 
     def reset_links(self, pairs: set[tuple[str, str]]) -> None:
-        """The connections between these machines, by who dialled and who was dialled."""
+        """Resets the connections between these pairs of (dialling, dialled) machines."""
         for machine in self.machines.values():
             if machine.proc is not None:
                 for end in list(machine.proc.all):
                     if (end.near, end.far) in pairs and not end.over:
                         end.reset()
 
-    # ---- machines that come and go for good
+    # ---- machines that are added or removed for good
 
     def join(self, role: str, zone: str) -> Machine:
-        """One more, with a name, an address and a disk that nobody had before."""
+        """Adds and starts a machine with a new name, address and disk."""
         number = len(self.machines)
         node = f"{role}-{sum(m.role == role for m in self.machines.values())}"
         machine = self.machines[node] = self.machine_of(self, node, role, zone, number)
@@ -172,12 +177,13 @@
         return machine
 
     def removed(self, machine: Machine) -> None:
-        """It is gone, and its disk with it."""
+        """Removes a machine together with its disk."""
         machine.down(True, True)
         self.by_role[machine.role].remove(machine)
 
     def named(self, names: list[str]) -> list[Machine]:
-        """Machines that are there, by name, role or zone; all where none is given."""
+        """Returns the present machines that match any of the node names, roles or zones; all if none is
+        given."""
         return [
             m
             for m in self.machines.values()
@@ -187,6 +193,7 @@
     # ---- workers
 
     def static(self, service: Service) -> str | None:
+        """Returns the configured address of a static service, or None."""
         number = self.day.services.index(service)
         return f"172.20.0.{number + 1}:8043" if service.static else None
 
@@ -198,11 +205,11 @@
         self.workers.append(Worker(self, service, self.born, zone, place or self.place()))
 
     def place(self) -> tuple[str, int]:
-        """Of the worker that was born last."""
+        """Returns the address for the worker created last."""
         return f"10.128.{self.born >> 8}.{self.born & 255}", 8080
 
     def vacated(self, worker: Worker) -> None:
-        """Its end: it is no more among those that faults meet."""
+        """Called when a worker has ended: faults no longer select it."""
         self.workers.remove(worker)
 
     def slowness(self, worker: Worker) -> float:
@@ -212,7 +219,7 @@
         return self.more_errors.get(worker.id, 0.0)
 
     def intact(self, letter: Any) -> bool:
-        """Whether a delivery is what its client sent."""
+        """Whether a delivered message equals what its client sent."""
         want = self.wants.get(letter.rid)
         return (
             want is not None
@@ -222,9 +229,10 @@
             == [(b"x-note", b"%d" % want.number)]
         )
 
-    # ---- deliveries on their way
+    # ---- deliveries in flight
 
     def deliver(self, sending: Sending, worker: Worker) -> None:
+        """Sends an attempt to a worker over the simulated network."""
         self.runs += 1
         run = sending.run = Run(self.runs, sending)
         self.rids[run.number] = run.rid
@@ -232,7 +240,8 @@
         losses = machine.losses
 
         def arrives(held: bool) -> None:
-            if held and machine.losses != losses:  # its kernel had it, and is no more
+            # the message waited in the sender's kernel, and the machine has since lost power
+            if held and machine.losses != losses:
                 return
             if not self.net.open(machine.node, worker.id):
                 self.net.when_open(machine.node, worker.id, lambda: arrives(True))
@@ -246,15 +255,17 @@
         self.agenda.after(self.net.delay(machine.node, worker.id), arrives, False)
 
     def back(self, run: Run, id: str, status: int, not_run: bool, seal: str, load: bytes) -> None:
+        """Returns a worker's answer to the sender; `seal` is the completion token."""
         sending = run.sending
         node = sending.proc.node
 
-        def comes() -> None:
+        def arrives() -> None:
             sending.proc.event(sending.answered, run, status, not_run, seal, load)
 
-        self.agenda.after(self.net.delay(id, node), self.net.when_open, id, node, comes)
+        self.agenda.after(self.net.delay(id, node), self.net.when_open, id, node, arrives)
 
     def reset(self, run: Run, id: str) -> None:
+        """Resets the connection of a run from the worker's side."""
         run.over = True
         sending = run.sending
         node = sending.proc.node
@@ -263,19 +274,19 @@
         )
 
     def hang_up(self, sending: Sending) -> None:
-        """The sender closes the connection while it waits on it."""
+        """The sender closes the connection before the answer has arrived."""
         run, sending.run = sending.run, None
         assert run is not None
         node, worker = sending.proc.node, sending.worker
         assert worker is not None
 
-        def comes() -> None:
+        def arrives() -> None:
             if run.number in self.rids and not run.over:
                 run.closed = True
                 worker.hung_up(run)
 
         self.agenda.after(
-            self.net.delay(node, worker.id) + 0.0001, self.net.when_open, node, worker.id, comes
+            self.net.delay(node, worker.id) + 0.0001, self.net.when_open, node, worker.id, arrives
         )
 
     def call(
@@ -288,27 +299,30 @@
         done: Any,
         patience: float,
     ) -> None:
-        """A worker's call to an office."""
+        """Sends a worker's request to a controller. `patience`: time-out in seconds."""
         self.exchange(
             self,
             origin,
             machine,
             request(method, target, body=body),
-            lambda status, told, _: done(status, told),
+            lambda status, answer, _: done(status, answer),
             patience,
         )
 
-    # ---- trouble, as whoever makes it knows
+    # ---- periods of faults, as recorded by the fault injection
 
     def trouble(self, kind: str, planned: bool, nodes: list[str], pairs: list[tuple[str, str]]) -> int:
+        """Records that a fault begins; returns its number for `well`."""
         self.spells += 1
         self.note("trouble", self.spells, kind, planned, nodes, [list(pair) for pair in pairs])
         return self.spells
 
     def well(self, number: int) -> None:
+        """Records that a fault has ended."""
         self.note("well", number)
 
     def head(self) -> dict[str, Any]:
+        """Returns the header of the history, with what the judge needs about the scenario."""
         day = self.day
         return {
             "day": day.title,
