--- a/opalwick/lab/post/command.py
+++ b/opalwick/lab/post/command.py
@@ -1,4 +1,4 @@
-"""`python -m opalwick lab post`: plays days, or hunts; what is printed."""
+"""Implements `python -m opalwick lab post`: runs scenarios or hunts for failures, and prints reports."""
 
 from __future__ import annotations
 
@@ -13,14 +13,15 @@
 from opalwick.lab.post.day import PostDay, drawn, read
 from opalwick.lab.post.run import hunt, run, shrink
 
-DRAWN_ON = "calm"  # the day that drawn faults befall
-SHRUNK = 3  # broken histories that a hunt cuts down, each of another kind
-BROKEN, VOID = 1, 3  # exit codes, as `lab run` has them
+DRAWN_ON = "calm"  # the scenario that random faults are added to
+SHRUNK = 3  # failing histories that a hunt shrinks, each with another set of violated rules
+BROKEN, VOID = 1, 3  # exit codes, the same as those of `lab run`
 COUNTS = ("messages", "accepted", "ended", "waiting", "lost", "doubled", "late")
 
 
 def found(which: str, seed: int, clock: str = "virtual", on: str = DRAWN_ON) -> PostDay:
-    """BadDay for one that this clock cannot play."""
+    """Returns the named scenario, or a random one for "drawn". Raises BadDay for one that this clock cannot
+    run."""
     if clock == "virtual":
         return drawn(read(on), seed) if which == "drawn" else read(which)
     from opalwick.lab.post.sockets.kinds import DRAWN, strange
@@ -32,11 +33,13 @@
 
 
 def line(report: dict[str, Any]) -> str:
+    """Returns the summary line of a report."""
     counts = ", ".join(f"{key} {report[key]}" for key in COUNTS)
     return f"{report['day']} (seed {report['seed']}): {counts}, in aim {report['in_aim']:.4f}"
 
 
 def tell(report: dict[str, Any], most: int = 10) -> None:
+    """Prints a report with at most `most` violations."""
     typer.echo(line(report))
     if report.get("void"):
         typer.echo(f"  void: {report['void']}")
@@ -47,12 +50,12 @@
             f"{report['at_home']:.4f}, alone {report['alone']:.4f}"
         )
     for breach in report["broken"][:most]:
-        whose = f" (message {breach['message']})" if breach["message"] else ""
-        typer.echo(f"  broken: {breach['rule']} at {breach['at']:.3f} s: {breach['why']}{whose}")
+        message = f" (message {breach['message']})" if breach["message"] else ""
+        typer.echo(f"  broken: {breach['rule']} at {breach['at']:.3f} s: {breach['why']}{message}")
 
 
 def of_windows(reports: list[dict[str, Any]]) -> dict[str, Any]:
-    """Of the days with a maintenance window; nothing where there is none."""
+    """Returns totals of the scenarios with a maintenance window; empty if there are none."""
     if not reports:
         return {}
     messages = sum(r["messages"] for r in reports)
@@ -66,7 +69,7 @@
 
 
 def summed(reports: list[dict[str, Any]]) -> dict[str, Any]:
-    """One object for all that were played."""
+    """Returns one report with the totals of all scenarios."""
     messages = sum(r["messages"] for r in reports)
     return {
         "day": ", ".join(r["day"] for r in reports),
@@ -82,7 +85,7 @@
 
 
 def away(reports: list[dict[str, Any]]) -> dict[str, Any]:
-    """Of days whose partners have homes; nothing where none is."""
+    """Returns totals of the scenarios with data residency; empty if there are none."""
     found = [r for r in reports if "abroad" in r]
     if not found:
         return {}
@@ -98,16 +101,16 @@
 
 
 def code_of(broken: int, void: int) -> int:
-    """A day that does not count proves nothing, whatever is broken in it."""
+    """Returns the exit code. A void run proves nothing, whatever rules it violates."""
     return VOID if void else BROKEN if broken else 0
 
 
 def played(days: list[str], seed: int, as_json: bool, clock: str = "virtual", out: Path | None = None) -> int:
-    """The exit code."""
+    """Runs and prints scenarios; returns the exit code."""
     reports = []
     for which, day in [
         (which, found(which, seed, clock)) for which in days
-    ]:  # all are read before the first is played
+    ]:  # all are read before the first one runs
         place = out / f"{Path(which).stem}-{seed}" if out is not None and clock == "sockets" else None
         reports.append({**run(day, seed, clock, place), "day": which})
         if place is not None:
@@ -121,7 +124,7 @@
 
 
 def on_sockets(seed: int, histories: int, as_json: bool) -> int:
-    """Drawn days on processes, one after the other: each takes its time. The exit code."""
+    """Runs random scenarios on real processes, one after the other, and returns the exit code."""
     reports = []
     for number in range(seed, seed + histories):
         reports.append({**run(found("drawn", number, "sockets"), number, "sockets"), "day": "drawn"})
@@ -138,9 +141,10 @@
 
 
 def hunted(seed: int, histories: int, jobs: int, out: Path | None, as_json: bool, on: str = DRAWN_ON) -> int:
-    """The exit code."""
+    """Hunts for failing random scenarios, shrinks and prints them; returns the exit code. `out`: the folder
+    for scenario files, or None. Raises BadDay for counts out of range."""
     if histories < 1 or jobs < 0:
-        raise BadDay(f"--histories {histories}, --jobs {jobs}: that is nothing to hunt with")
+        raise BadDay(f"--histories {histories}, --jobs {jobs}: at least 1 history and 0 jobs are needed")
     began, bad, reports = time.perf_counter(), list[dict[str, Any]](), list[dict[str, Any]]()
     for report in hunt(read(on), seed, histories, jobs):
         reports.append({key: value for key, value in report.items() if key != "broken"})
@@ -157,10 +161,10 @@
                     f"# seed {report['seed']}\n" + write(found("drawn", report["seed"], on=on))
                 )
     spent = time.perf_counter() - began
-    kinds = dict[frozenset[str], dict[str, Any]]()
+    by_rules = dict[frozenset[str], dict[str, Any]]()
     for report in bad:
-        kinds.setdefault(frozenset(b["rule"] for b in report["broken"]), report)
-    for rules, report in list(kinds.items())[:SHRUNK]:
+        by_rules.setdefault(frozenset(b["rule"] for b in report["broken"]), report)
+    for rules, report in list(by_rules.items())[:SHRUNK]:
         number = report["seed"]
         small = shrink(found("drawn", number, on=on), number, rules=set(rules))
         again = run(small, number)
--- a/opalwick/lab/post/process.py
+++ b/opalwick/lab/post/process.py
@@ -33,9 +33,9 @@
 
 Place = tuple[str, int]
 PORT = 7300
-UNIX = 1.8e9  # Unix time in seconds at the start of a scenario
-AGAIN = (0.3, 0.8)  # s, least and most, until the platform restarts a process that has exited
-MOST_PROBLEMS = 50
+START_TIME = 1.8e9  # Unix time in seconds at the start of a scenario
+RESTART_DELAY = (0.3, 0.8)  # s, least and most, until the platform restarts a process that has exited
+MAX_PROBLEMS = 50
 _BASE = """node=x
 role=x
 ip=10.0.0.1
@@ -53,7 +53,7 @@
 
 
 @cache
-def quiet(role: type[RoleBase]) -> type[RoleBase]:
+def recording_events(role: type[RoleBase]) -> type[RoleBase]:
     """Returns a subclass of the role that collects its events in `lab_events` instead of printing them."""
 
     def event(self: Any, number: int, **fields: Any) -> None:
@@ -69,7 +69,7 @@
         self.world, self.node, self.role, self.zone, self.number = world, node, role, zone, number
         self.ip = f"10.{1 + world.day.zones.index(zone)}.0.{10 + number}"
         self.draw = world.draws.of(f"machine/{node}")
-        self.ahead = 1000.0 + 5000.0 * self.draw.random()  # s, offset of its monotonic clock
+        self.clock_offset = 1000.0 + 5000.0 * self.draw.random()  # s, offset of its monotonic clock
         self.step = 0.04 * self.draw.random() - 0.02  # s, error of its wall clock
         self.power = True
         self.losses = 0  # number of power losses
@@ -86,11 +86,11 @@
 
     # ---- clocks and disk
 
-    def steady(self) -> float:
-        return self.ahead + self.world.agenda.now
+    def monotonic(self) -> float:
+        return self.clock_offset + self.world.agenda.now
 
-    def unix(self) -> float:
-        return UNIX + self.world.agenda.now + self.step
+    def wall_clock(self) -> float:
+        return START_TIME + self.world.agenda.now + self.step
 
     def new_disk(self) -> None:
         self.disks += 1
@@ -177,7 +177,7 @@
         """Called when the process has exited or been killed after SIGTERM: the platform restarts it."""
         if self.proc is proc:
             self.over(False)
-            least, most = AGAIN
+            least, most = RESTART_DELAY
             self.world.agenda.after(least + (most - least) * self.draw.random(), self.start)
 
     def down(self, power: bool, wipe: bool = False) -> None:
@@ -224,14 +224,14 @@
         self.tick_at = 0.0
         self.writing: Any = None  # the transaction in progress
         self.work: Callable[[], Any] = lambda: None
-        self.role = self.make(machine.settings(), int(machine.unix() * 1000), self.now())
+        self.role = self.make(machine.settings(), int(machine.wall_clock() * 1000), self.now())
 
     def make(self, settings: Settings, life: int, now: float) -> Any:
         """Creates the role. `life`: number of the process incarnation."""
         raise NotImplementedError
 
     def now(self) -> float:
-        return self.machine.ahead + self.agenda.now
+        return self.machine.clock_offset + self.agenda.now
 
     def begin(self) -> None:
         self.agenda.after(PULSE * self.machine.draw.random(), self.event, self.keep_pulse)
@@ -290,7 +290,7 @@
         try:
             handler(*fields)
         except Exception as problem:  # noqa: BLE001 - as in Shell, only that peer message is lost
-            if len(self.world.problems) < MOST_PROBLEMS:
+            if len(self.world.problems) < MAX_PROBLEMS:
                 where = traceback.format_exc(limit=-3)
                 self.world.problems.append((self.agenda.now, self.node, repr(problem), where))
 
--- a/opalwick/lab/post/roles.py
+++ b/opalwick/lab/post/roles.py
@@ -1,5 +1,5 @@
-"""The three roles as processes: what each agent (`post/*/agent.py`) brings to its role, on the virtual
-clock."""
+"""The processes of the three roles on the virtual clock: the counterparts of the agents in
+`post/*/agent.py`. "counter", "depot" and "office" are the outer names of gateway, store and controller."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from opalwick.lab.agenda import Entry
 from opalwick.lab.post import disks
-from opalwick.lab.post.process import DISKS, PROCESSES, Machine, Proc, quiet
+from opalwick.lab.post.process import DISKS, PROCESSES, Machine, Proc, recording_events
 from opalwick.post.counter.agent import MAX_ACCEPTS, EXIT_MARGIN
 from opalwick.post.counter.desks import parse_load as read_load
 from opalwick.post.counter.front import decode_message, answer_error, parse_lookup
@@ -28,59 +28,60 @@
 if TYPE_CHECKING:
     from opalwick.lab.post.workers import Run, Worker
 
-CONNECT = 0.3  # s for a connection to a worker: as the counter's limits have it
-IDLE = 10.0  # s that workers keep an idle connection; the pool lets go well before
+CONNECT = 0.3  # s, time-out for connecting to a worker, as in the gateway's limits
+IDLE = 10.0  # s that workers keep an idle connection; the pool closes it well before
 
 
-class Asked:
-    """A request that has come to a process, and the way back of its answer."""
+class PendingRequest:
+    """A request received by a process, with the callback for its answer."""
 
-    def __init__(self, message: Message, told: Callable[[int, bytes, tuple[str, ...]], None]) -> None:
+    def __init__(self, message: Message, respond: Callable[[int, bytes, tuple[str, ...]], None]) -> None:
         self.call = Call(message, True, self)  # type: ignore[arg-type]
-        self.told: Callable[[int, bytes, tuple[str, ...]], None] | None = told
+        self.respond: Callable[[int, bytes, tuple[str, ...]], None] | None = respond
 
     def set(self) -> None:
-        """An answer is there."""
-        if self.told is not None and self.call.reply is not None:
-            told, self.told = self.told, None
-            told(*self.call.reply)
+        """Called when the answer is there: passes it on once. Named as in `threading.Event`, for Call."""
+        if self.respond is not None and self.call.reply is not None:
+            respond, self.respond = self.respond, None
+            respond(*self.call.reply)
 
 
 class Serving(Proc):
-    """A process with connections of callers."""
+    """A process that serves HTTP requests."""
 
     def __init__(self, world: Any, machine: Machine) -> None:
         super().__init__(world, machine)
         self.callers: dict[Any, None] = {}  # connections, each with `broken()`
 
-    def die(self, told: bool) -> None:
-        super().die(told)
+    def die(self, notify: bool) -> None:
+        super().die(notify)
         callers, self.callers = self.callers, {}
-        if told:  # a machine without power tells nobody
+        if notify:  # a machine that lost power does not close its connections
             for caller in callers:
                 caller.broken()
 
     def ask(self, caller: Any, message: Message) -> None:
-        """A whole request lies in the process' socket."""
-        came = self.now()
-        self.event(self.read, caller, message, came)
+        """Called when a complete request is in the process's socket."""
+        received_at = self.now()
+        self.event(self.read, caller, message, received_at)
 
-    def read(self, caller: Any, message: Message, came: float) -> None:
-        message.first_at = came
+    def read(self, caller: Any, message: Message, received_at: float) -> None:
+        message.first_at = received_at
         caller.read = True
-        asked = Asked(message, caller.told)
-        self.whole(asked.call)
+        pending = PendingRequest(message, caller.told)
+        self.whole(pending.call)
 
     def whole(self, call: Call) -> None:
+        """Handles a complete request."""
         raise NotImplementedError
 
 
 class Sending:
-    """A delivery: `protocol/errand.py`, as far as it matters to a role."""
+    """A delivery attempt: the counterpart of `protocol/errand.py`, as far as a role depends on it."""
 
     __slots__ = ("given_up", "kept", "order", "over", "proc", "run", "sent", "timer", "until", "worker")
 
-    def __init__(self, proc: CounterProc, order: Start) -> None:
+    def __init__(self, proc: GatewayProcess, order: Start) -> None:
         self.proc, self.order = proc, order
         self.until = proc.now() + order.within + 0.05
         self.given_up = self.over = self.sent = self.kept = False
@@ -103,7 +104,7 @@
             if (
                 worker.there
                 and proc.agenda.now - since < 0.7 * IDLE - 0.1
-                # whoever is there has said who it is as the connection came up
+                # the worker was identified when the connection was made
                 and (worker.id == self.order.place[2] or not proc.role.must_identify(self.order))
             ):
                 self.worker, self.kept = worker, True
@@ -129,9 +130,9 @@
         if self.over:
             return
         if worker is None or not worker.there or worker.dark:
-            self.end(DeliveryOutcome.ABSENT)  # nobody listens there
+            self.end(DeliveryOutcome.ABSENT)  # connection refused
             return
-        # answered while it came up, or given up: nothing is sent any more
+        # the message was completed, or the attempt cancelled, while the connection was made
         if self.unwanted():
             self.end(DeliveryOutcome.NOT_SENT)
             return
@@ -143,7 +144,7 @@
         self.send()
 
     def meets(self, worker: Worker) -> None:
-        """It has said who it is, before the message goes out."""
+        """The worker has identified itself, before the message is sent."""
         if self.over:
             return
         if not worker.there or worker.dark or not self.proc.role.is_intended(self.order, worker.id):
@@ -166,29 +167,30 @@
         )
         proc.world.deliver(self, worker)
 
-    def answered(self, run: Run, status: int, not_run: bool, seal: str, told: bytes) -> None:
-        """A worker's whole answer lies in its socket."""
+    def answered(self, run: Run, status: int, not_run: bool, seal: str, load: bytes) -> None:
+        """Called when a worker's complete answer has arrived; `seal` is the completion token."""
         if self.over:
             return
         self.run = None
         self.proc.world.note("read", run.number)
-        verdict = outcome_of_status(status, not_run, bool(seal))
+        outcome = outcome_of_status(status, not_run, bool(seal))
         assert self.worker is not None
-        if verdict is not DeliveryOutcome.ABSENT:
+        if outcome is not DeliveryOutcome.ABSENT:
             self.proc.idle.setdefault(self.order.place[:2], []).append((self.worker, self.proc.agenda.now))
-        self.end(verdict, seal, read_load(told) if told else None)
+        self.end(outcome, seal, read_load(load) if load else None)
 
     def broken(self) -> None:
-        """The connection was reset, or closed."""
+        """Called when the connection was reset or closed."""
         self.run = None
         self.end(DeliveryOutcome.CANCELLED if self.given_up else DeliveryOutcome.BROKEN, kept=self.kept)
 
     def give_up(self) -> None:
+        """Cancels the attempt."""
         self.given_up = True
         if self.sent:
             self.proc.after(0.0, self.end, DeliveryOutcome.CANCELLED)
 
-    def end(self, verdict: DeliveryOutcome, seal: str = "", load: Any = None, kept: bool = False) -> None:
+    def end(self, outcome: DeliveryOutcome, seal: str = "", load: Any = None, kept: bool = False) -> None:
         if self.over:
             return
         self.over = True
@@ -198,26 +200,28 @@
             self.proc.world.hang_up(self)
         proc = self.proc
         proc.sendings.pop((self.order.key, self.order.number), None)
-        if verdict.ran is None and verdict is not DeliveryOutcome.CANCELLED:
+        if outcome.ran is None and outcome is not DeliveryOutcome.CANCELLED:
             proc.idle.pop(self.order.place[:2], None)
-        proc.guarded(proc.role.delivery_ended, self.order, verdict, seal, load, kept)
+        proc.guarded(proc.role.delivery_ended, self.order, outcome, seal, load, kept)
         proc.settle()
 
 
-class CounterProc(Serving):
+class GatewayProcess(Serving):
+    """A gateway process."""
+
     role: Gateway
 
     def __init__(self, world: Any, machine: Machine) -> None:
         self.sendings: dict[tuple[Any, int], Sending] = {}
-        self.idle: dict[Any, list[tuple[Worker, float]]] = {}  # kept connections to workers
+        self.idle: dict[Any, list[tuple[Worker, float]]] = {}  # idle connections to workers, since when
         super().__init__(world, machine)
 
     def make(self, settings: Settings, life: int, now: float) -> Any:
-        octets = Random(f"{settings.node}/{life}").randbytes
-        return quiet(Gateway)(settings, life, now, MAX_ACCEPTS, octets)  # type: ignore[call-arg]
+        random_bytes = Random(f"{settings.node}/{life}").randbytes
+        return recording_events(Gateway)(settings, life, now, MAX_ACCEPTS, random_bytes)  # type: ignore[call-arg]
 
     def ready(self) -> bool:
-        """As the platform finds out."""
+        """Whether the platform's readiness probe would succeed."""
         return self.alive and not self.still and self.role.ready()
 
     def perform(self) -> None:
@@ -230,10 +234,10 @@
                 found.give_up()
 
     def whole(self, call: Call) -> None:
-        """As `front.Counting.whole`."""
+        """Handles a complete request, as the real front end does."""
         message = call.message
-        if (asked := parse_lookup(message)) is not None:
-            self.guarded(self.role.asked_back, call, asked.name, asked.body)
+        if (lookup := parse_lookup(message)) is not None:
+            self.guarded(self.role.asked_back, call, lookup.name, lookup.body)
             return
         try:
             letter, delay = decode_message(message)
@@ -243,13 +247,13 @@
         self.guarded(self.role.offered, call, message, letter, delay)
         self.settle()
 
-    def die(self, told: bool) -> None:
-        super().die(told)
+    def die(self, notify: bool) -> None:
+        super().die(notify)
         for sending in list(self.sendings.values()):
             sending.over = True
             if sending.timer is not None:
                 sending.timer.cancel()
-            if sending.run is not None and told:
+            if sending.run is not None and notify:
                 self.world.hang_up(sending)
 
     def term(self) -> None:
@@ -257,23 +261,26 @@
         self.leave(self.now() + self.role.settings.bounds.grace - EXIT_MARGIN)
 
     def leave(self, until: float) -> None:
+        """Polls until the role has drained, or until the time limit, then exits."""
         if self.now() >= until or (self.role.gone and not self.callers):
             self.after(0.05, self.exit)
         else:
             self.after(0.05, self.leave, until)
 
 
-class DepotProc(Proc):
+class StoreProcess(Proc):
+    """A store process."""
+
     role: StoreRole
 
     def __init__(self, world: Any, machine: Machine) -> None:
         self.gathering = self.closed = False
-        self.since = machine.unix() - machine.steady()
+        self.since = machine.wall_clock() - machine.monotonic()
         super().__init__(world, machine)
 
     def make(self, settings: Settings, life: int, now: float) -> Any:
         disk = self.machine.disk
-        role = quiet(StoreRole)(settings, life, now, disk.id)  # type: ignore[call-arg]
+        role = recording_events(StoreRole)(settings, life, now, disk.id)  # type: ignore[call-arg]
         load(role, disk, self.since)  # type: ignore[arg-type]
         return role
 
@@ -308,7 +315,9 @@
             self.after(0.01, self.leave)
 
 
-class OfficeProc(Serving):
+class ControllerProcess(Serving):
+    """A controller process."""
+
     role: Controller
 
     def __init__(self, world: Any, machine: Machine) -> None:
@@ -317,14 +326,15 @@
         self.role.load_directory(machine.disk.remembered())
 
     def make(self, settings: Settings, life: int, now: float) -> Any:
-        return quiet(Controller)(settings, life, now, self.machine.disk.load())  # type: ignore[call-arg]
+        return recording_events(Controller)(settings, life, now, self.machine.disk.load())  # type: ignore[call-arg]
 
     def begin(self) -> None:
         super().begin()
         self.after(STORE_INTERVAL, self.remember)
 
     def whole(self, call: Call) -> None:
-        """As `Calling.whole`; an exception ends the connection there."""
+        """Handles a complete request as the real process does, except that there an exception ends the
+        connection."""
         try:
             self.role.called(call)
         except Malformed as problem:
@@ -348,9 +358,9 @@
         self.settle()
 
     def remember(self) -> None:
-        if not self.saving and (told := self.role.directory_to_store()) is not None:
+        if not self.saving and (directory := self.role.directory_to_store()) is not None:
             disk, self.saving = self.machine.disk, True
-            self.machine.on_disk(self, lambda: disk.remember(told), lambda _: self.saved([]))
+            self.machine.on_disk(self, lambda: disk.remember(directory), lambda _: self.saved([]))
         self.after(STORE_INTERVAL, self.remember)
 
     def term(self) -> None:
@@ -363,4 +373,4 @@
 
 
 DISKS.update(depot=disks.Depot, office=lambda name: disks.Office())
-PROCESSES.update(counter=CounterProc, depot=DepotProc, office=OfficeProc)
+PROCESSES.update(counter=GatewayProcess, depot=StoreProcess, office=ControllerProcess)
--- a/opalwick/lab/post/run.py
+++ b/opalwick/lab/post/run.py
@@ -1,5 +1,5 @@
-"""Days of the post, played and judged; drawn ones by the thousand; a broken one cut to the little that
-still breaks."""
+"""Runs and judges scenarios of the messaging service, generates random ones in bulk, and shrinks a failing
+scenario to a minimal one."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from opalwick.checked import Seconds
 from opalwick.lab.day import BadDay, write
 from opalwick.lab.hunt import Shrinking
-from opalwick.lab.post import home_faults, home_world  # noqa: F401 - its faults are among the others then
+from opalwick.lab.post import home_faults, home_world  # noqa: F401 - the import registers its faults
 from opalwick.lab.post.day import PostDay, drawn, parse
 from opalwick.lab.post.faults import Scene
 from opalwick.lab.post.home_judge import judge as judge_home
@@ -23,15 +23,17 @@
 from opalwick.lab.post.window import Crew, Crowd, served, without
 from opalwick.lab.post.world import World
 
-CHUNK = 8  # histories that a process of a hunt takes at once
+CHUNK = 8  # histories per task of a hunt's process pool
 
 
 def play(
     day: PostDay, seed: int, words: bool = False, clock: str = "virtual", out: Path | None = None
 ) -> World:
-    """`clock`: virtual, or sockets; then `out` is where settings and logs are kept; none: nowhere."""
+    """Runs a scenario and returns its final state. `clock`: "virtual" or "sockets" (real processes). `out`:
+    the folder for settings and logs on sockets; None: they are deleted. Raises BadDay for a scenario that
+    this clock cannot run."""
     if clock == "sockets" and day.regions:
-        raise BadDay(f"{day.title}: days of several countries are played on the virtual clock alone")
+        raise BadDay(f"{day.title}: scenarios with several countries run on the virtual clock only")
     if clock == "sockets":
         from opalwick.lab.post.sockets.world import SocketWorld
 
@@ -48,16 +50,18 @@
 
 
 def history(world: World) -> dict[str, Any]:
+    """Returns the history for the judge: header and rows."""
     return {**world.head(), "rows": world.ledger.rows}
 
 
 def run(day: PostDay, seed: int, clock: str = "virtual", out: Path | None = None) -> dict[str, Any]:
-    """The report: what is asked for of each day, and the breaches under "broken". On sockets `void` says why
-    the day does not count, where the machine was too busy, and `page` what was seen."""
+    """Runs and judges a scenario, and returns the report, with violations under "broken". On sockets, `void`
+    is the reason why the run is invalid (the machine was too busy) or empty, and `page` is a summary in
+    Markdown."""
     began = time.perf_counter()
     world = play(day, seed, clock=clock, out=out)
-    told = history(world)
-    report = judge_home(told) if day.regions else judge(told)
+    observed = history(world)
+    report = judge_home(observed) if day.regions else judge(observed)
     if not world.begins_at:
         report["broken"].append(
             {
@@ -81,7 +85,7 @@
 
 
 def of_window(world: World, day: PostDay, seed: int) -> dict[str, Any]:
-    """What a window adds to a report."""
+    """Returns what a maintenance window adds to a report, compared with a run without the window."""
     plain = play(without(day), seed)
     now, then = served(world.ledger.rows, day), served(plain.ledger.rows, day)
     return {
@@ -92,7 +96,8 @@
 
 
 def alone(day: PostDay, seed: int) -> dict[str, Any]:
-    """The in-aim share of systems that have one country each: its machines, its clients, its troubles."""
+    """Returns the share of messages in aim if each country were a cluster of its own, with its own machines,
+    clients and faults."""
     good = messages = 0.0
     for country in dict.fromkeys(day.regions):
         found = judge_home(history(play(home_world.part(day, country), seed)))
@@ -100,17 +105,17 @@
     return {"alone": round(good / messages, 4) if messages else 0.0, "alone_messages": int(messages)}
 
 
-# ---- drawn days
+# ---- random scenarios
 
 
 def trial(text: str, first: int, count: int) -> list[dict[str, Any]]:
-    """Some seeds of days drawn upon that one."""
+    """Runs random scenarios based on this one, for `count` seeds from `first`."""
     found = []
     for seed in range(first, first + count):
         day = drawn(parse(text, "day"), seed)
         try:
             report = run(day, seed)
-        except Exception as problem:  # noqa: BLE001 - whatever the program raises is what is looked for
+        except Exception as problem:  # noqa: BLE001 - any exception of the program is a finding
             report = {
                 "seed": seed,
                 "broken": [{"rule": "FAULT", "at": 0.0, "message": "", "why": repr(problem)}],
@@ -124,7 +129,8 @@
 
 
 def hunt(day: PostDay, first: int, histories: int, jobs: int = 0) -> Iterator[dict[str, Any]]:
-    """Reports, in the order of their seeds."""
+    """Yields the reports of random scenarios in the order of their seeds. `jobs`: processes; 0: one per
+    processor."""
     text, starts = write(day), range(first, first + histories, CHUNK)
     counts = [min(CHUNK, first + histories - start) for start in starts]
     if jobs == 1:
@@ -139,13 +145,13 @@
 def shrink(
     day: PostDay, seed: int, told: Callable[[str], None] = lambda _: None, rules: set[str] | None = None
 ) -> PostDay:
-    """The smallest day found that still breaks one of these rules (none given: any): faults first, then
-    messages and services. ValueError where the day breaks none as it is."""
+    """Returns the smallest scenario found that still violates one of these rules (None: any), reducing faults
+    first, then messages and services. Raises ValueError if the given scenario violates none."""
 
     def fails(candidate: PostDay) -> bool:
         try:
             broken = {b["rule"] for b in run(parse(write(candidate), "day"), seed)["broken"]}
-        except Exception:  # noqa: BLE001 - what cannot be played does not fail as it did
+        except Exception:  # noqa: BLE001 - a scenario that cannot run does not reproduce the failure
             return False
         return bool(broken & rules if rules else broken)
 
--- a/opalwick/lab/post/sockets/machine.py
+++ b/opalwick/lab/post/sockets/machine.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from opalwick.lab.post.process import AGAIN, MOST_PROBLEMS
+from opalwick.lab.post.process import RESTART_DELAY, MAX_PROBLEMS
 
 if TYPE_CHECKING:
     from opalwick.lab.post.sockets.world import SocketWorld
@@ -124,11 +124,11 @@
         if not (self.leaving and code == 0):
             self.problem(f"its process ended by itself with {code}")
         self.gone()
-        least, most = AGAIN
+        least, most = RESTART_DELAY
         self.world.agenda.after(least + (most - least) * self.draw.random(), self.start)
 
     def problem(self, what: str) -> None:
-        if len(self.world.problems) < MOST_PROBLEMS:
+        if len(self.world.problems) < MAX_PROBLEMS:
             self.world.problems.append((self.world.agenda.now, self.node, what, ""))
 
     def gone(self) -> None:
--- a/opalwick/lab/post/window.py
+++ b/opalwick/lab/post/window.py
@@ -1,7 +1,7 @@
-"""A maintenance window on the virtual clock: the operator who starts it, the crew that takes down what is
-handed over and puts it up again, and what a bystander sees of it.
+"""A maintenance window in a scenario: the operator who starts it, the act that takes racks down and brings
+them back, and an independent observer that measures capacity.
 
-The bystander goes by the lab's own machines and workers: not by what the system says of itself.
+The observer measures the simulated machines and workers directly and does not use what the system reports.
 """
 
 from __future__ import annotations
@@ -22,32 +22,34 @@
 from opalwick.post.maintenance.planner import Planner
 from opalwick.post.maintenance.racks import check
 
-ASK = 0.3  # s between looks of the crew at how the window stands
-LOOK = 0.05  # s between looks of the bystander
-TERM = 0.05  # s between looks whether a process that was told to end has
-COPIES = 2  # disks that a message is on
-PACE = 1.0  # s at least between two blind steps: nobody looks what has come back warm
-CROWD = "/crowd/"  # the stem of the further partner's route
+POLL_INTERVAL = 0.3  # s between the act's requests for the state of the window
+OBSERVATION_INTERVAL = 0.05  # s between observations of the capacity
+EXIT_POLL_INTERVAL = 0.05  # s between checks whether a process has exited after SIGTERM
+COPIES = 2  # disks that hold each message
+BLIND_PAUSE = 1.0  # s at least between two blind steps, which do not wait until returned racks are warm
+CROWD = "/crowd/"  # path prefix of the extra partner's route
 
 
 class Crew:
+    """The operator, the maintenance act and the observer of one scenario."""
+
     def __init__(self, world: World, scene: Scene) -> None:
         self.world, self.scene, self.day = world, scene, world.day
         window = world.day.window
         assert window is not None
         self.window = window
-        self.draw = world.draws.of("crew")
+        self.draw = world.draws.of("act")
         self.racks: dict[str, tuple[list[Machine], list[tuple[Service, str, tuple[str, int]]]]] = {}
-        self.down: dict[str, bool] = {}  # racks that are in the crew's hands: whether they are wanted back
-        self.handed: dict[str, int] = {}  # how often each was
-        self.seen: dict[str, Any] = {}  # how the window stood last
+        self.down: dict[str, bool] = {}  # racks that the act has taken down: whether each is recalled
+        self.handed: dict[str, int] = {}  # how often each rack was handed over
+        self.seen: dict[str, Any] = {}  # the last state of the window that was received
         self.first: dict[str, Any] = {}
         self.refused: list[Any] = []
-        self.cut_off = 0  # runs that were going on where a rack went down
-        self.few_copies = 0  # messages of a store that went down which too few others had
-        self.below = self.below_alone = 0.0
-        self.lacks: dict[str, float] = {}  # s by need
-        self.lost: dict[str, float] = {}  # slot-seconds by service
+        self.cut_off = 0  # runs in progress or queued on workers of a rack when it was taken down
+        self.few_copies = 0  # messages left on too few other stores when a store was taken down
+        self.below = self.below_alone = 0.0  # s below the needs; thereof without other faults at that time
+        self.lacks: dict[str, float] = {}  # s below, by need
+        self.lost: dict[str, float] = {}  # slot-seconds lost, by service
         self.most_away = 0
         self.ended_at = 0.0
         begin = world.on_traffic
@@ -59,8 +61,9 @@
         world.on_traffic = traffic
 
     def begin(self) -> None:
+        """Assigns machines and workers to racks and schedules the window and its orders."""
         agenda, start = self.world.agenda, self.world.begins_at
-        dealt: dict[tuple[str, str], int] = {}
+        assigned: dict[tuple[str, str], int] = {}
         for zone in self.day.zones:
             for i in range(self.window.racks):
                 own = [m for m in self.world.machines.values() if m.zone == zone and not i]
@@ -68,18 +71,19 @@
         for worker in self.world.workers:
             if not worker.service.static:
                 key = worker.zone, worker.service.name
-                dealt[key] = dealt.get(key, -1) + 1
-                rack = f"{worker.zone}-{dealt[key] % self.window.racks + 1}"
+                assigned[key] = assigned.get(key, -1) + 1
+                rack = f"{worker.zone}-{assigned[key] % self.window.racks + 1}"
                 self.racks[rack][1].append((worker.service, worker.zone, worker.place))
         self.slots = {s.name: s.slots * s.workers for s in self.day.services if not s.static}
         agenda.at(start + float(self.window.at), self.start_blind if self.window.blind else self.start)
         for order in self.window.orders:
             agenda.at(start + float(order.at), self.order, order.what)
-        self.look()
+        self.observe()
 
     # ---- the operator
 
     def declaration(self) -> dict[str, Any]:
+        """Returns the body of the request that starts the window."""
         w = self.window
         services = [s for s in self.day.services if not s.static]
         found: dict[str, Any] = {
@@ -106,56 +110,61 @@
         return found
 
     def call(self, method: bytes, path: str, body: bytes, done: Any) -> None:
+        """Sends a request to a random controller; `done` gets the status and the body."""
         office = self.draw.choice(self.world.of("office"))
         self.world.exchange(
             self.world,
             "operator",
             office,
             request(method, path, body=body),
-            lambda status, told, _: done(status, told),
+            lambda status, answer, _: done(status, answer),
             1.0,
         )
 
     def start(self) -> None:
         body = json.dumps(self.declaration()).encode()
 
-        def done(status: int, told: bytes) -> None:
-            if status == 200 or (status == 409 and b"running" in told):
-                self.ask()
+        def done(status: int, answer: bytes) -> None:
+            if status == 200 or (status == 409 and b"running" in answer):
+                self.poll()
                 return
             if status == 409 and len(self.refused) < 20:
-                self.refused.append([round(self.world.agenda.now, 3), json.loads(told)["err"]])
+                self.refused.append([round(self.world.agenda.now, 3), json.loads(answer)["err"]])
             if self.world.agenda.now < self.world.ends_at:
                 self.world.agenda.after(0.5, self.start)
 
         self.call(b"PUT", "/maintenance", body, done)
 
     def order(self, what: str) -> None:
+        """Sends an order such as "back zone-1", again until the answer is clear."""
         what, _, rack = what.partition(" ")
 
-        def done(status: int, told: bytes) -> None:
+        def done(status: int, answer: bytes) -> None:
             if status in (0, -1, 503, 504):
                 self.world.agenda.after(0.3, self.order, f"{what} {rack}".strip())
 
         self.call(b"POST", f"/maintenance/{what}", json.dumps({"rack": rack}).encode(), done)
 
-    def ask(self) -> None:
-        def done(status: int, told: bytes) -> None:
+    def poll(self) -> None:
+        """Polls the state of the window until it has ended, and has the act act on it."""
+
+        def done(status: int, answer: bytes) -> None:
             if status == 200:
-                self.seen = json.loads(told)
+                self.seen = json.loads(answer)
                 self.first = self.first or self.seen
                 if self.seen["phase"] in ("done", "aborted"):
                     self.ended_at = self.ended_at or self.world.agenda.now
                 else:
-                    self.crew()
+                    self.act()
             if not self.ended_at:
-                self.world.agenda.after(ASK, self.ask)
+                self.world.agenda.after(POLL_INTERVAL, self.poll)
 
         self.call(b"GET", "/maintenance", b"", done)
 
-    # ---- without a conductor: for comparison
+    # ---- without the maintenance coordinator, for comparison
 
     def start_blind(self) -> None:
+        """Takes racks down step by step without regard to the state of the system."""
         self.seen = {"racks": {}, "phase": "running"}
         names = list(self.racks)
         if self.window.blind == "zones":
@@ -167,7 +176,7 @@
         self.next_blind(steps)
 
     def greedy(self) -> list[list[str]]:
-        """As a planner without foresight packs them, by what was there at the start."""
+        """Returns the steps of a greedy planner for the fleet at the start."""
         found = check(json.dumps(self.declaration()).encode()).unwrap()
         rate = self.day.rate / sum(s.share for s in self.day.services)
         fleet = Fleet(
@@ -187,25 +196,27 @@
             self.world.agenda.after(0.1, self.next_blind, steps)
         elif steps:
             for name in steps[0]:
-                self.take_down(name)
-            self.world.agenda.after(PACE, self.next_blind, steps[1:])
+                self.take_rack_down(name)
+            self.world.agenda.after(BLIND_PAUSE, self.next_blind, steps[1:])
         else:
             self.seen["phase"], self.ended_at = "done", self.world.agenda.now
 
-    # ---- the crew
+    # ---- the act
 
-    def crew(self) -> None:
+    def act(self) -> None:
+        """Takes down the racks that are handed over, and marks those that are recalled."""
         for name, course in self.seen["racks"].items():
             if course["state"] == "away" and name not in self.down and not self.handed.get(name):
-                self.take_down(name)
+                self.take_rack_down(name)
             elif name in self.down and course["recalled"] and not self.down[name]:
                 self.down[name] = True
 
-    def take_down(self, name: str) -> None:
+    def take_rack_down(self, name: str) -> None:
+        """Stops a rack's processes and workers, and brings it back after its time away."""
         machines, places = self.racks[name]
         world, agenda = self.world, self.world.agenda
         self.down[name], self.handed[name] = False, self.handed.get(name, 0) + 1
-        well = self.scene.spell("window", machines, planned=True)
+        fault_over = self.scene.spell("window", machines, planned=True)
         for machine in machines:
             self.few_copies += self.lacking(machine) if machine.role == "depot" else 0
             machine.term()
@@ -220,38 +231,39 @@
         def off() -> None:
             for machine in list(left):
                 proc: Any = machine.proc
-                # which of the two knows it depends on the clock
+                # the attribute is on the machine for real processes, on the process on the virtual clock
                 if proc is None or not getattr(machine, "leaving", getattr(proc, "leaving", False)):
                     left.remove(machine)
                     machine.down(True)
             if left:
-                agenda.after(TERM, off)
+                agenda.after(EXIT_POLL_INTERVAL, off)
             else:
-                agenda.after(float(self.window.away), self.put_up, name, machines, places, well)
+                agenda.after(float(self.window.away), self.return_rack, name, machines, places, fault_over)
 
         off()
 
     def lacking(self, machine: Machine) -> int:
-        """Messages that have not ended, and would have too few copies without that store."""
+        """Returns the number of unfinished messages that have too few replicas without that store."""
 
-        def kept(one: Machine) -> Any:
-            role = getattr(one.proc, "role", None)  # real processes do not show what they keep
+        def store_of(one: Machine) -> Any:
+            role = getattr(one.proc, "role", None)  # the stores of real processes are not accessible
             return role.store if role is not None else None
 
-        if (own := kept(machine)) is None:
+        if (own := store_of(machine)) is None:
             return 0
-        others = [k for m in self.world.of("depot") if m is not machine and (k := kept(m)) is not None]
+        others = [k for m in self.world.of("depot") if m is not machine and (k := store_of(m)) is not None]
         return sum(
             sum(mid in k.entries for k in others) < COPIES and not any(mid in k.ends for k in others)
             for mid in own.entries
         )
 
-    def put_up(self, name: str, machines: list[Machine], places: Any, well: Any) -> None:
+    def return_rack(self, name: str, machines: list[Machine], places: Any, fault_over: Any) -> None:
+        """Brings a rack back, unless the scenario says that it never returns."""
         if name in self.window.never and not any(
             order.what == f"back {name}" for order in self.window.orders
         ):
             return
-        well()
+        fault_over()
         for machine in machines:
             machine.back()
         for service, zone, place in places:
@@ -259,16 +271,18 @@
                 self.world.add(service, zone, place)
         del self.down[name]
 
-    # ---- the bystander
+    # ---- the observer
 
-    def look(self) -> None:
+    def observe(self) -> None:
+        """Measures the capacity at regular intervals while the window lasts."""
         world = self.world
         if self.seen and not self.ended_at:
-            self.note(LOOK)
+            self.note(OBSERVATION_INTERVAL)
         if world.agenda.now < world.ends_at:
-            world.agenda.after(LOOK, self.look)
+            world.agenda.after(OBSERVATION_INTERVAL, self.observe)
 
-    def resting(self) -> set[tuple[str, int]]:
+    def out_of_service(self) -> set[tuple[str, int]]:
+        """Returns the addresses of workers in racks that are draining, away or lost."""
         return {
             place
             for name, course in self.seen["racks"].items()
@@ -276,8 +290,8 @@
             for _, _, place in self.racks[name][1]
         }
 
-    def others_down(self) -> bool:
-        """Whether something is away that the window has not taken."""
+    def other_faults_active(self) -> bool:
+        """Whether anything is unavailable for other reasons than the window."""
         own = {m.node for name in self.down for m in self.racks[name][0]}
         if any(m.node not in own and (m.proc is None or m.still) for m in self.world.machines.values()):
             return True
@@ -288,8 +302,8 @@
         return any(place not in places and place not in self.world.at_address for place in every)
 
     def note(self, passed: float) -> None:
-        """What is there against what is needed, now."""
-        world, rests, short = self.world, self.resting(), []
+        """Adds the present shortfall against the needs for the `passed` seconds."""
+        world, rests, short = self.world, self.out_of_service(), []
         for service in self.day.services:
             if service.static:
                 continue
@@ -312,12 +326,13 @@
             short.append("counters")
         if short:
             self.below += passed
-            self.below_alone += 0.0 if self.others_down() else passed
+            self.below_alone += 0.0 if self.other_faults_active() else passed
             for one in short:
                 self.lacks[one] = self.lacks.get(one, 0.0) + passed
         self.most_away = max(self.most_away, len(self.down))
 
     def figures(self) -> dict[str, Any]:
+        """Returns the measurements, under the keys of the JSON report."""
         weights = {s: slots * self.window.weights.get(s, 1.0) for s, slots in self.slots.items()}
         lost, fair = sum(self.lost.values()), sum(weights.values())
         over = (
@@ -343,11 +358,11 @@
         }
 
 
-# ---- a further partner
+# ---- an extra partner
 
 
 class Crowd:
-    """Brings messages for the first service on a route of its own, however many are refused."""
+    """Sends messages for the first service on a route of its own, however many are rejected."""
 
     def __init__(self, world: World) -> None:
         self.world, self.draw = world, world.draws.of("crowd")
@@ -370,8 +385,9 @@
 
 
 def served(rows: list[Any], day: PostDay, kind: str = "") -> dict[str, float]:
-    """Of the messages of that kind: the part that was accepted within its aim and begun in time; `in_time`:
-    that was accepted within the client's deadline and begun in time."""
+    """Returns, for messages of that kind, the share that was accepted within 80 ms and whose run began in
+    time (`in_aim`), and the share that was accepted within the client's deadline and whose run began in time
+    (`in_time`)."""
     aim, starts = 0.08, {s.name: float(s.start) for s in day.services}
     first: dict[int, tuple[float, float]] = {}
     message: dict[str, int] = {}
@@ -404,9 +420,10 @@
 
 
 def without(day: PostDay) -> PostDay:
-    """The same day, without its window."""
+    """Returns the scenario without its maintenance window."""
     return msgspec.structs.replace(day, window=None)
 
 
 def at_most(day: PostDay, length: float) -> PostDay:
+    """Returns the scenario with `length` seconds of traffic."""
     return msgspec.structs.replace(day, length=Seconds(length))
--- a/opalwick/lab/post/world.py
+++ b/opalwick/lab/post/world.py
@@ -18,11 +18,13 @@
 from opalwick.lab.post.strangers import Strangers
 from opalwick.lab.post.workers import Run, Table, Worker, request
 
-FIRST = 0.6  # s from the start to the operator's first configuration
-LEAD = 1.5  # s from the acknowledgement of the first configuration to the start of the traffic
-GIVE_UP = 15.0  # s after which a scenario whose configuration was never acknowledged ends
-INSPECT = 0.5  # s between inspections of the disks; a lost replica does not reappear, so none is missed
-ASKING = 4.5  # s at the end during which clients look up the outcomes of their messages
+FIRST_CONFIGURATION = 0.6  # s from the start to the operator's first configuration
+TRAFFIC_DELAY = 1.5  # s from the acknowledgement of the first configuration to the start of the traffic
+CONFIGURATION_TIMEOUT = 15.0  # s after which a scenario whose configuration was never acknowledged ends
+INSPECTION_INTERVAL = (
+    0.5  # s between inspections of the disks; a lost replica does not reappear, so none is missed
+)
+LOOKUP_TIME = 4.5  # s at the end during which clients look up the outcomes of their messages
 
 
 class World:
@@ -34,7 +36,7 @@
     platform_of: Any = Platform
     exchange: Any = Exchange
     kept_of: Any = KeptConnections
-    patience = GIVE_UP
+    patience = CONFIGURATION_TIMEOUT
 
     def __init__(self, day: PostDay, seed: int, words: bool = False) -> None:
         self.day, self.seed = day, seed
@@ -95,14 +97,14 @@
         for service in self.day.services:
             for i in range(1 if service.static else service.workers):
                 self.add(service, self.day.zones[i % len(self.day.zones)])
-        self.agenda.at(FIRST, self.operator.first)
+        self.agenda.at(FIRST_CONFIGURATION, self.operator.first)
 
     def traffic(self) -> None:
         """Schedules the traffic; called when the first configuration is acknowledged."""
         day = self.day
-        self.begins_at = self.agenda.now + LEAD
+        self.begins_at = self.agenda.now + TRAFFIC_DELAY
         until = self.begins_at + day.length
-        self.ends_at = until + day.after + ASKING
+        self.ends_at = until + day.after + LOOKUP_TIME
         self.note("traffic", self.begins_at, until)
         self.agenda.at(self.begins_at, self.clients.begin, until)
         self.agenda.at(self.begins_at, self.strangers.begin)
@@ -116,7 +118,7 @@
         for rid, (letters, ends) in self.copies().items():
             if not letters and not ends:
                 self.note("bare", rid)
-        self.agenda.after(INSPECT, self.inspect)
+        self.agenda.after(INSPECTION_INTERVAL, self.inspect)
 
     def copies(self) -> dict[str, tuple[int, int]]:
         """Returns, for each accepted message that no worker has completed, the number of store disks that
