--- a/opalwick/lab/post/home_faults.py
+++ b/opalwick/lab/post/home_faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong about homes; `kinds.py` tells of each."""
+"""The fault kinds of data residency; `kinds.py` describes each."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from opalwick.lab.post.home_world import HomeWorld, abroad
 from opalwick.lab.post.kinds import ALL
 
-REST = 0.5  # s until another worker stands for one whose address is lost
+REPLACEMENT_DELAY = 0.5  # s until another worker replaces one whose address was taken over
 
 
 def _world(scene: Scene) -> HomeWorld:
@@ -21,7 +21,7 @@
 
 @fault
 def rehomed(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
-    """`of`: services that move; none: all."""
+    """Moves the services in `of` (all if empty) to another country."""
     world = _world(scene)
     countries = list(dict.fromkeys(scene.day.regions))
     moved = dict(world.policies[-1])
@@ -34,6 +34,7 @@
 
 @fault
 def added(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
+    """Gives the services marked `later` their homes."""
     world = _world(scene)
     world.govern(world.policies[-1] | {h.service: h.country for h in scene.day.homes if h.later})
     yield
@@ -41,6 +42,7 @@
 
 @fault
 def claims(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
+    """Workers report a zone in another country."""
     hit = [w for w in scene.workers(fault, draw) if not w.service.static]
     for worker in hit:
         worker.says = abroad(_world(scene), worker)
@@ -51,6 +53,7 @@
 
 @fault
 def usurped(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
+    """A worker crashes, and its address is later reused by a worker in another country."""
     world = _world(scene)
     for worker in scene.workers(fault, draw):
         if not worker.service.static:
@@ -58,15 +61,15 @@
             worker.end(True)
             wait = max(float(scene.day.bounds.reuse), fault.size or ALL[fault.kind].size)
             scene.agenda.after(wait, world.add, worker.service, far, worker.place)
-            scene.agenda.after(REST, world.add, worker.service, worker.zone)
+            scene.agenda.after(REPLACEMENT_DELAY, world.add, worker.service, worker.zone)
     yield
 
 
 @fault
 def resettled(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
-    """SIGHUP: by its new settings a machine's zone is in another country; and back again."""
+    """SIGHUP with settings that put a machine's zone in another country; SIGHUP with the old ones after."""
     hit = scene.machines(fault, draw)
-    well = scene.spell(fault.kind, hit)
+    fault_over = scene.spell(fault.kind, hit)
     for machine in hit:
         region = next(r for r in scene.day.regions if r != scene.day.region(machine.zone))
         settings = machine.settings()
@@ -78,11 +81,12 @@
     yield
     for machine in hit:
         machine.hup()
-    well()
+    fault_over()
 
 
 @fault
 def retire(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
+    """Orders machines to be retired over 10 s."""
     world = _world(scene)
     for machine in scene.machines(fault, draw):
         world.order(
--- a/opalwick/lab/post/home_judge.py
+++ b/opalwick/lab/post/home_judge.py
@@ -1,8 +1,8 @@
-"""Judges where partners' messages were: by what workers, disks and links saw, and the policies as they were
-sent and acknowledged. Imports nothing of what it judges.
+"""Judges data residency: where partners' messages were according to workers, disks and links, against the
+policies as sent and acknowledged. Imports nothing of the code that it judges.
 
-A message's homes are those that any policy gives it that may have been in force between its sending and its
-answer; whatever was done with it must have been in one of them, the same for all.
+The possible homes of a message are those of every policy that may have been in force between its sending and
+its answer. Everything done with the message must have been in one of them, the same one for all.
 """
 
 from __future__ import annotations
@@ -14,13 +14,15 @@
 from opalwick.lab.post.judge import Judge
 from opalwick.lab.post.rules_messages import PROMISES
 
-TAKEN = 0.08  # s within which a 202 is wanted
-AIM = 0.6  # s within which a run begins after it is due, as the report's `late` has it
-STEP = 2.0  # s of the windows by which a return is measured: some tens of messages
-GOOD = 0.95  # share in aim at which a day is itself again
+ACCEPT_AIM = 0.08  # s within which a 202 is expected
+START_AIM = 0.6  # s after a message is due within which its run begins, as for `late` in the report
+RECOVERY_WINDOW = 2.0  # s over which recovery is measured, which is some tens of messages
+RECOVERED_SHARE = 0.95  # share of messages in aim at which the cluster counts as recovered
 
 
 class HomeJudge(Judge):
+    """The judge for scenarios with data residency."""
+
     def __init__(self, history: dict[str, Any]) -> None:
         self.regions: dict[str, str] = history["regions"]
         self.zones = {node: found[1] for node, found in history["machines"].items()}
@@ -45,17 +47,18 @@
                 self.home_acked[f[0]] = us / 1e6
         self.abroad = {"runs": 0, "copies": 0, "bytes": 0}
 
-    # ---- whose it is
+    # ---- the homes of a message
 
     def policies(self, at: float, until: float) -> list[dict[str, str]]:
-        """That may be in force at some time between; an empty one before the first is for sure."""
+        """Returns the policies that may be in force at some time between; with an empty one while the first
+        is not certainly in force."""
         acked = [n for n, t in self.home_acked.items() if t + self.bounds["apply"] < at]
         least = max(acked, default=0)
         found = [self.history["homes"][n - 1] for n, t in self.home_sent.items() if t <= until and n >= least]
         return found if least else [*found, {}]
 
     def homes(self, one: Try) -> set[str] | None:
-        """Countries that it may have for a home; None where it may have none."""
+        """Returns the countries that may be the message's home; None if it may have none."""
         until = min(one.ended, one.at + 2.0)
         found = set()
         for policy in self.policies(one.at, until):
@@ -65,61 +68,62 @@
                     found.add(policy.get(route[2], ""))
         return None if "" in found or not found else found
 
-    # ---- where it was
+    # ---- where messages were
 
     def places(self) -> dict[str, list[tuple[float, str, str, int, str]]]:
-        """Of each message: when, what, the country, octets, who."""
+        """Returns the sightings of each message by id: time, kind, country, bytes, node or worker."""
         found: dict[str, list[tuple[float, str, str, int, str]]] = defaultdict(list)
         for run in self.runs.values():
             country = self.regions[self.stands[run.worker]]
             found[run.id].append((run.at, "arrived", country, 0, run.worker))
             if run.began < INF:
                 found[run.id].append((run.began, "runs", country, 0, run.worker))
-        for at, node, id, octets in self.stored:
-            found[id].append((at, "copies", self.regions[self.zones[node]], octets, node))
-        for at, node, _, kind, id, octets in self.carried:
-            found[id].append((at, kind, self.regions[self.zones[node]], octets, node))
+        for at, node, id, size in self.stored:
+            found[id].append((at, "copies", self.regions[self.zones[node]], size, node))
+        for at, node, _, kind, id, size in self.carried:
+            found[id].append((at, kind, self.regions[self.zones[node]], size, node))
         return found
 
     def waits(self) -> None:
-        """Workers that have said two places are nowhere until they start anew: what is left there waits."""
+        """Skips the rule with `claims` faults: a worker that has reported two locations is in no country
+        until it restarts, so that messages for it rightly wait."""
         if not any(f[0] == "claims" for f in self.history["faults"]):
             super().waits()
 
     def stays(self) -> None:
-        """ABROAD."""
+        """ABROAD: every sighting of a message is in one of its possible homes."""
         sizes: dict[str, int] = {}
-        for _, _, _, _, id, octets in self.carried:
-            sizes[id] = max(octets, sizes.get(id, 0))
+        for _, _, _, _, id, size in self.carried:
+            sizes[id] = max(size, sizes.get(id, 0))
         for id, seen in self.places().items():
             one = self.tries.get(id)
             homes = self.homes(one) if one is not None else None
             if one is None or homes is None:
                 continue
             away = min(([p for p in seen if p[2] != home] for home in sorted(homes)), key=len)
-            for _at, what, _country, octets, _who in away:
+            for _at, what, _country, size, _who in away:
                 if what in ("runs", "copies"):
                     self.abroad[what] += 1
                 if what != "runs":
-                    self.abroad["bytes"] += octets or sizes.get(id, 0)
+                    self.abroad["bytes"] += size or sizes.get(id, 0)
             if away:
                 at, what, country, _, who = away[0]
                 self.breach("ABROAD", at, id, f"{what} at {who} in {country}; its home: {sorted(homes)}")
 
     def audited(self) -> None:
-        """AUDIT: the depots' own list against what their disks and the workers saw."""
+        """AUDIT: the stores' own audit list agrees with their disks."""
         listed = {(home, what, country): count for home, what, country, count in self.history["audit"]}
         for home, what, country in listed:
             if home != country:
                 self.breach("AUDIT", self.history["ended"], "", f"listed: {what} of {home} in {country}")
         if self.history["disks"] or len(self.history["homes"]) != 1:
-            return  # a list went with its disk, or whose message it was has changed
+            return  # a list was lost with its disk, or homes of messages have changed
         owned = {id for id, one in self.tries.items() if self.homes(one) is not None}
         copies = sum(id in owned for _, _, id, _ in self.stored)
         if listed and copies != sum(n for (_, what, _), n in listed.items() if what == "copies"):
             self.breach("AUDIT", self.history["ended"], "", f"{copies} copies on disks, listed: {listed}")
 
-    # ---- how it went
+    # ---- the report
 
     def again(self) -> None:
         super().again()
@@ -138,7 +142,7 @@
             began = min((run.began for run in self.of[one.id]), default=INF)
             if one.message in good and one.status == 202:
                 at = first[one.message].at
-                timely = one.ended <= at + TAKEN and began <= at + one.delay + AIM
+                timely = one.ended <= at + ACCEPT_AIM and began <= at + one.delay + START_AIM
                 good[one.message] = good[one.message] or timely
         marks = sorted((first[message].at - self.from_, done) for message, done in good.items())
         near = [done for message, done in good.items() if self.near(first[message])]
@@ -152,23 +156,23 @@
         }
 
     def near(self, one: Try) -> bool:
-        """Whether its client was where it may be taken."""
+        """Whether its client was in a country that may accept it."""
         homes = self.homes(one)
         return homes is None or self.regions[one.zone] in homes
 
     def recovered(self, marks: list[tuple[float, bool]]) -> float | None:
-        """s from the last trouble's end to the first window whose share in aim is good; None where there was
-        no trouble, or too little comes after it."""
+        """Returns the time in s from the end of the last fault to the first window with the recovered share
+        of messages in aim; None if there was no fault, or too few messages come after it."""
         ends = [f[2] for f in self.history["faults"]] + [s.end for s in self.spells]
         since = max((end - self.from_ for end in ends), default=INF)
-        if since < INF:  # others stand for workers that were lost
+        if since < INF:  # workers that replace lost ones may come later
             since = max(since, *(at - self.from_ for at in self.stood))
         for shift in range(100):
             at = since + 0.5 * shift
-            seen = [done for when, done in marks if at <= when < at + STEP]
+            seen = [done for when, done in marks if at <= when < at + RECOVERY_WINDOW]
             if len(seen) < 10:
                 return None
-            if sum(seen) >= GOOD * len(seen):
+            if sum(seen) >= RECOVERED_SHARE * len(seen):
                 return 0.5 * shift
         return None
 
--- a/opalwick/lab/post/home_world.py
+++ b/opalwick/lab/post/home_world.py
@@ -1,12 +1,12 @@
-"""A system of several countries, each a region: partners with homes, clients near them and some abroad, and
-rows of where octets went.
+"""The simulated cluster for scenarios with data residency: several countries, each a region; partners with a
+home country; clients at home and some abroad; history rows for where the bytes of messages went.
 
 Beyond the rows of `judge.py`:
-  stands (worker, zone)                       where a worker is, whatever it says
-  stored (node, id, octets)                   a copy on a depot's disk
-  carried (node, far, kind, id, octets)       a process has read a word with a message's body
-  home_sent (number), home_acked (number)     policies, as `head()["homes"]` has them
-  ordered (what, node, status)                how an order ended
+  stands (worker, zone)                       the true zone of a worker, whatever it reports
+  stored (node, id, bytes)                    a replica on a store's disk
+  carried (node, far, kind, id, bytes)        a process has read a peer message with a message's body
+  home_sent (number), home_acked (number)     policies, numbered as in `head()["homes"]`
+  ordered (what, node, status)                the outcome of an order
 """
 
 from __future__ import annotations
@@ -31,22 +31,24 @@
 if TYPE_CHECKING:
     from opalwick.lab.post.workers import Worker
 
-BODIES = ("keep", "hand", "assign", "told")  # words that bring a message's octets
-AGAIN = 0.1  # s until an order that got no clear answer is sent again
+BODIES = ("keep", "hand", "assign", "told")  # kinds of peer messages that contain a message's body
+ORDER_RETRY_DELAY = 0.1  # s until an order that got no clear answer is sent again
 
 
 class HomeClients(Clients):
+    """Clients that prefer the partners of their own country."""
+
     world: HomeWorld
 
     def service(self, zone: str) -> Service:
-        """A partner's clients are at its home, but for those who roam."""
+        """Draws a service: a partner whose home is elsewhere only with the weight `roam` of the scenario."""
         day, at = self.world.day, self.world.day.region(zone)
         homes = self.world.policies[-1] if self.world.policies else {}
         shares = [s.share * (1.0 if homes.get(s.name, at) == at else day.roam) for s in day.services]
         return self.draw.choices(day.services, shares)[0]
 
     def asked(self, rid: str) -> Machine:
-        """Who asks for a partner's message asks at its home."""
+        """Draws the gateway for a lookup: one in the country of the partner's message, if there is any."""
         homes = self.world.policies[-1] if self.world.policies else {}
         home = self.world.kept_at.get(rid) or homes.get(self.world.wants[rid].svc)
         among = self.world.platform.ready() or self.world.of("counter")
@@ -55,8 +57,10 @@
 
 
 class HomePlatform(Platform):
+    """A load balancer that stays within a country if it can."""
+
     def pick(self, zone: str) -> Machine:
-        """Where none of a zone is in, those of the nearest zones: the country's own, before all others."""
+        """Draws a gateway: of the zone, else of the same country, else any."""
         day = self.world.day
         if any(m.zone == zone and self.misses[m.node] < 2 for m in self.world.of("counter")):
             return super().pick(zone)
@@ -65,19 +69,21 @@
 
 
 class HomeWorld(World):
+    """The simulated cluster of a scenario with data residency."""
+
     def __init__(self, day: PostDay, seed: int, words: bool = False, lawless: bool = False) -> None:
-        """`lawless`: the baseline, whose offices are never told of the policy."""
+        """`lawless`: the baseline, in which the controllers never receive the policy."""
         self.lawless = lawless
-        self.policies: list[dict[str, str]] = []  # of each number, in turn: service, country
-        self.kept_at: dict[str, str] = {}  # by id: where its first copy is
-        self.names: dict[str, str] = {}  # a message's name inside, and its id
+        self.policies: list[dict[str, str]] = []  # country by service, for each policy number from 1 on
+        self.kept_at: dict[str, str] = {}  # by request id: the country of the first replica
+        self.names: dict[str, str] = {}  # request id by internal message id
         self.asked: dict[tuple[str, int], str] = {}
         super().__init__(day, seed, words)
         self.clients, self.platform = HomeClients(self), HomePlatform(self)
         self.orders = self.draws.of("orders")
         self.governed = False
 
-    # ---- what is seen
+    # ---- observation
 
     def add(self, service: Service, zone: str, place: tuple[str, int] | None = None) -> None:
         super().add(service, zone, place)
@@ -111,7 +117,7 @@
     # ---- policies
 
     def policy(self, homes: dict[str, str]) -> bytes:
-        """The next one, as it is sent."""
+        """Adds the next policy and returns the body of its request."""
         day = self.day
         self.policies.append(dict(homes))
         of = {home.service: home for home in day.homes}
@@ -129,12 +135,13 @@
                     }
                     for svc, country in homes.items()
                 ],
-                # an endpoint stands in the first zone
+                # static endpoints are in the first zone
                 "endpoints": [{"address": self.static(s), "region": day.regions[0]} for s in static],
             }
         ).encode()
 
     def govern(self, homes: dict[str, str], done: Callable[[], None] = lambda: None) -> None:
+        """Sends a policy, country by service; `done` is called once it is acknowledged."""
         body, number = self.policy(homes), len(self.policies)
         self.note("home_sent", number)
         if self.lawless:
@@ -151,56 +158,56 @@
             self.note("home_refused", number, status)
 
     def order(self, method: bytes, target: str, body: bytes, over: Callable[[int], None]) -> None:
-        """To any office, again until the answer is clear."""
+        """Sends an order to any controller, again until the answer is clear; `over` gets its status."""
         machine = self.orders.choice(self.of("office"))
 
         def done(status: int, _: bytes, __: tuple[str, ...]) -> None:
             if status in READ:
                 over(status)
             elif self.agenda.now < self.ends_at:
-                self.agenda.after(AGAIN, self.order, method, target, body, over)
+                self.agenda.after(ORDER_RETRY_DELAY, self.order, method, target, body, over)
 
         Exchange(self, "operator", machine, request(method, target, body=body), done, 1.0)
 
     def traffic(self) -> None:
-        """The policy first, and the traffic once it is acknowledged."""
+        """Sends the policy first; the traffic begins once it is acknowledged."""
         if not self.day.homes:
             super().traffic()
         elif not self.governed:
             self.governed = True
             homes = {home.service: home.country for home in self.day.homes if not home.later}
-            self.govern(homes, self.known)
+            self.govern(homes, self.policy_acknowledged)
 
-    def known(self) -> None:
-        """The policy is acknowledged, and soon known to all."""
+    def policy_acknowledged(self) -> None:
+        """The traffic begins after the time within which all processes have the policy."""
         self.agenda.after(float(self.day.bounds.apply), self.begin_traffic)
 
     def begin_traffic(self) -> None:
         super().traffic()
 
     def head(self) -> dict[str, Any]:
-        day, sums = self.day, dict[tuple[str, str, str], int]()
+        day, totals = self.day, dict[tuple[str, str, str], int]()
         for machine in self.of("depot"):
             for _, home, what, country, count in audited(machine.disk.db):
-                sums[home, what, country] = sums.get((home, what, country), 0) + count
+                totals[home, what, country] = totals.get((home, what, country), 0) + count
         return super().head() | {
             "regions": {zone: day.region(zone) for zone in day.zones},
             "homes": self.policies,
-            "audit": [[*key, count] for key, count in sorted(sums.items())],
+            "audit": [[*key, count] for key, count in sorted(totals.items())],
             "disks": sum(machine.disks for machine in self.of("depot")) - len(self.of("depot")),
         }
 
 
 def part(day: PostDay, country: str) -> PostDay:
-    """That country alone: its zones and machines, its partners, its share of all else, what befalls it. It
-    has no policy, as there is no abroad."""
+    """Returns the scenario of one country alone: its zones, machines, partners and faults, and its share of
+    all else. It has no residency policy, as there is no other country."""
     zones = [zone for zone in day.zones if day.region(zone) == country]
     share = len(zones) / len(day.zones)
     away = {home.service for home in day.homes if home.country != country}
     inside = {*zones, country, *ROLES, *(s.name for s in day.services if s.name not in away)}
     machines = {"counter": day.counters, "depot": day.depots, "office": day.offices}
 
-    def there(fault: Fault) -> bool:
+    def applies(fault: Fault) -> bool:
         if fault.kind in AT_HOME or any(zone not in inside for zone in fault.to):
             return False
         return not fault.of or bool(inside & set(fault.of))
@@ -216,11 +223,11 @@
             replace(s, workers=max(1, round(s.workers * share))) for s in day.services if s.name not in away
         ],
         homes=[],
-        faults=[replace(f, of=[name for name in f.of if name in inside]) for f in day.faults if there(f)],
+        faults=[replace(f, of=[name for name in f.of if name in inside]) for f in day.faults if applies(f)],
     )
 
 
-# what befalls a drawn evening: workers, machines, ways; and what makes a place doubtful
+# the faults of random evenings: of workers, machines and links, and those that put a location in doubt
 DRAWN = (
     *("crash", "crash", "hang", "slow", "errors", "dark", "release", "lost_answers", "broken_off", "usurped"),
     *("claims", "kill", "kill", "power", "wipe", "term", "freeze", "stutter", "alone", "cut", "reset"),
@@ -229,7 +236,8 @@
 
 
 def evening(day: PostDay, seed: int) -> PostDay:
-    """The day with two to four troubles, mostly of one country: the same for the same seed."""
+    """Returns the scenario with two to four random faults, most of them in one country. Deterministic for a
+    seed."""
     draw = random.Random(f"home/{seed}")
     countries, faults = list(dict.fromkeys(day.regions)), []
     for _ in range(draw.choice((2, 2, 3, 4))):
@@ -254,6 +262,6 @@
 
 
 def abroad(world: HomeWorld, worker: Worker) -> str:
-    """A zone in another country."""
+    """Draws a zone in another country than the worker's, if there is any."""
     zones = [z for z in world.day.zones if world.day.region(z) != world.day.region(worker.zone)]
     return world.orders.choice(zones or world.day.zones)
--- a/opalwick/lab/post/window.py
+++ b/opalwick/lab/post/window.py
@@ -1,4 +1,4 @@
-"""A maintenance window in a scenario: the operator who starts it, the act that takes racks down and brings
+"""A maintenance window in a scenario: the operator who starts it, the crew that takes racks down and brings
 them back, and an independent observer that measures capacity.
 
 The observer measures the simulated machines and workers directly and does not use what the system reports.
@@ -22,7 +22,7 @@
 from opalwick.post.maintenance.planner import Planner
 from opalwick.post.maintenance.racks import check
 
-POLL_INTERVAL = 0.3  # s between the act's requests for the state of the window
+POLL_INTERVAL = 0.3  # s between the crew's requests for the state of the window
 OBSERVATION_INTERVAL = 0.05  # s between observations of the capacity
 EXIT_POLL_INTERVAL = 0.05  # s between checks whether a process has exited after SIGTERM
 COPIES = 2  # disks that hold each message
@@ -31,16 +31,16 @@
 
 
 class Crew:
-    """The operator, the maintenance act and the observer of one scenario."""
+    """The operator, the maintenance crew and the observer of one scenario."""
 
     def __init__(self, world: World, scene: Scene) -> None:
         self.world, self.scene, self.day = world, scene, world.day
         window = world.day.window
         assert window is not None
         self.window = window
-        self.draw = world.draws.of("act")
+        self.draw = world.draws.of("crew")
         self.racks: dict[str, tuple[list[Machine], list[tuple[Service, str, tuple[str, int]]]]] = {}
-        self.down: dict[str, bool] = {}  # racks that the act has taken down: whether each is recalled
+        self.down: dict[str, bool] = {}  # racks that the crew has taken down: whether each is recalled
         self.handed: dict[str, int] = {}  # how often each rack was handed over
         self.seen: dict[str, Any] = {}  # the last state of the window that was received
         self.first: dict[str, Any] = {}
@@ -146,7 +146,7 @@
         self.call(b"POST", f"/maintenance/{what}", json.dumps({"rack": rack}).encode(), done)
 
     def poll(self) -> None:
-        """Polls the state of the window until it has ended, and has the act act on it."""
+        """Polls the state of the window until it has ended, and has the crew act on it."""
 
         def done(status: int, answer: bytes) -> None:
             if status == 200:
@@ -155,7 +155,7 @@
                 if self.seen["phase"] in ("done", "aborted"):
                     self.ended_at = self.ended_at or self.world.agenda.now
                 else:
-                    self.act()
+                    self.act_on_state()
             if not self.ended_at:
                 self.world.agenda.after(POLL_INTERVAL, self.poll)
 
@@ -201,9 +201,9 @@
         else:
             self.seen["phase"], self.ended_at = "done", self.world.agenda.now
 
-    # ---- the act
+    # ---- the crew
 
-    def act(self) -> None:
+    def act_on_state(self) -> None:
         """Takes down the racks that are handed over, and marks those that are recalled."""
         for name, course in self.seen["racks"].items():
             if course["state"] == "away" and name not in self.down and not self.handed.get(name):
--- a/tests/test_lab_post_sockets.py
+++ b/tests/test_lab_post_sockets.py
@@ -36,8 +36,8 @@
 
 
 def test_a_short_day_on_processes(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
-    monkeypatch.setattr(worlds, "LEAD", 0.4)
-    monkeypatch.setattr(worlds, "ASKING", 1.0)
+    monkeypatch.setattr(worlds, "TRAFFIC_DELAY", 0.4)
+    monkeypatch.setattr(worlds, "LOOKUP_TIME", 1.0)
     report = run(parse(SHORT, "short"), 1, "sockets", tmp_path)
     folders = [entry for entry in Path("/proc").iterdir() if entry.name.isdigit()]
     assert not any(str(tmp_path) in _settings(folder) for folder in folders)  # it ended all that it started
