--- a/opalwick/lab/post/sockets/__init__.py
+++ b/opalwick/lab/post/sockets/__init__.py
@@ -1,3 +1,3 @@
-"""The same day, clients, workers, operators and judge around real processes: `python -m opalwick.post ...` on
-loopback addresses, one a machine.
+"""The same scenarios, clients, workers, operators and judge with real processes (`python -m opalwick.post
+...`), each on a loopback address of its own.
 """
--- a/opalwick/lab/post/sockets/callers.py
+++ b/opalwick/lab/post/sockets/callers.py
@@ -1,4 +1,5 @@
-"""Requests of clients, workers and operators to real processes, each on a connection of its own."""
+"""HTTP requests of clients, workers and operators to real processes, each on its own connection unless the
+client keeps one open."""
 
 from __future__ import annotations
 
@@ -20,12 +21,13 @@
     from opalwick.lab.post.sockets.machine import SocketMachine
     from opalwick.lab.post.sockets.world import SocketWorld
 
-LOOKS = 0.9  # s that the platform waits for an answer, each second
-_PLACES = {"counter": FRONT, "office": CTL}
-_OURS = (b"host", b"content-length")
+PROBE_TIMEOUT = 0.9  # s that the platform waits for the answer to its readiness probe, sent each second
+_PORTS = {"counter": FRONT, "office": CTL}
+_OURS = (b"host", b"content-length")  # header fields that `request_bytes` writes itself
 
 
-def octets(message: Message) -> bytes:
+def request_bytes(message: Message) -> bytes:
+    """Returns the request as sent over HTTP/1.1."""
     lines = [
         message.method + b" " + message.target + b" HTTP/1.1",
         b"Host: " + message.headers.get(b"host", b"ctl"),
@@ -39,14 +41,15 @@
 
 
 def readable(sock: Any) -> bool:
-    """Whether something has come, or the other side's end; `select` takes no descriptors beyond 1,023."""
+    """Whether there is data to read, or the other side has closed. Uses `poll`, as `select` does not support
+    descriptors beyond 1,023."""
     looked = select.poll()
     looked.register(sock, select.POLLIN)
     return bool(looked.poll(0))
 
 
 class SocketKept(KeptConnection):
-    """A real one: `sock` once it is made."""
+    """A persistent connection; `sock` is set once it is connected."""
 
     def __init__(self, machine: Any) -> None:
         super().__init__(machine)
@@ -54,7 +57,7 @@
 
     @property
     def open(self) -> bool:
-        """Whether a request may be sent on it: not closed by the other side, and nothing unasked has come."""
+        """Whether a request may be sent on it: the other side has neither closed it nor sent anything."""
         return self.sock is not None and not readable(self.sock)
 
     def close(self) -> None:
@@ -64,11 +67,14 @@
 
 
 class SocketKeptConnections(KeptConnections):
+    """The persistent connections of all clients."""
+
     connection_of = SocketKept
 
 
 class SocketExchange:
-    """As `clients.Exchange`. `read`: as far as that shows outside; a close with unread octets resets."""
+    """The counterpart of `clients.Exchange`. `read`: whether the process has read the request, as far as that
+    is visible from outside: closing a connection with unread bytes resets it."""
 
     def __init__(
         self,
@@ -82,8 +88,8 @@
         port: int = 0,
     ) -> None:
         self.done, self.read, self.over, self.kept = done, False, False, kept
-        self.place = machine.ip, port or _PLACES[machine.role]
-        self.data, self.patience = octets(message), patience
+        self.place = machine.ip, port or _PORTS[machine.role]
+        self.data, self.patience = request_bytes(message), patience
         world.spawn(self.run)
 
     def run(self) -> None:
@@ -94,7 +100,7 @@
         status = 0
         try:
             with gevent.Timeout(max(0.01, self.patience), False):  # type: ignore[arg-type]
-                status = -1  # unless it is known better by then
+                status = -1  # time-out, unless set below
                 if made:
                     sock.connect(self.place)
                 sock.sendall(self.data)
@@ -107,7 +113,7 @@
         except (OSError, Malformed):
             status = 0
         finally:
-            self.let_go(sock, answers)
+            self.release(sock, answers)
         if answers:
             fields = tuple(
                 f"{name.decode('latin-1')}: {value.decode('latin-1')}"
@@ -117,8 +123,8 @@
         else:
             self.done(status, b"", ())
 
-    def let_go(self, sock: Any, answers: list[Message]) -> None:
-        """It is closed, but for one that is kept and has had a whole answer."""
+    def release(self, sock: Any, answers: list[Message]) -> None:
+        """Closes the connection, unless it is persistent and got a complete answer."""
         if self.kept is None:
             sock.close()
             return
@@ -127,6 +133,8 @@
 
 
 class SocketPlatform(Platform):
+    """The load balancer, with readiness probes over HTTP."""
+
     def look(self, machine: Any) -> None:
         message = Message(0.0)
         message.method, message.target = b"GET", b"/readyz"
@@ -134,5 +142,5 @@
         def done(status: int, body: bytes, fields: tuple[str, ...]) -> None:
             self.misses[machine.node] = 0 if status == 200 else self.misses[machine.node] + 1
 
-        SocketExchange(self.world, "platform", machine, message, done, LOOKS, port=READY)  # type: ignore[arg-type]
+        SocketExchange(self.world, "platform", machine, message, done, PROBE_TIMEOUT, port=READY)  # type: ignore[arg-type]
         self.world.agenda.after(1.0, self.look, machine)
--- a/opalwick/lab/post/sockets/doors.py
+++ b/opalwick/lab/post/sockets/doors.py
@@ -1,4 +1,5 @@
-"""Where workers listen: requests in, answers out; and which machine's process a connection is of."""
+"""The listeners of workers: receive requests, send answers, and find the machine whose process has opened a
+connection."""
 
 from __future__ import annotations
 
@@ -15,8 +16,8 @@
     from opalwick.lab.post.sockets.world import SocketWorld
 
 IDLE = 10.0  # s that workers keep an idle connection
-HEARD = 0.3  # s after an answer by which a process that runs has read it: above a busy machine's stalls
-_TEXT = {
+READ_WITHIN = 0.3  # s after an answer within which a running process has read it, also on a busy machine
+_REASONS = {
     200: b"OK",
     409: b"Conflict",
     421: b"Misdirected Request",
@@ -28,7 +29,8 @@
 
 
 def whose(port: int, pids: dict[int, str]) -> str:
-    """The machine whose process has the connection from that port, by the kernel's tables. Empty: none."""
+    """Returns the node whose process has a connection from that local port, according to /proc; empty if none
+    has."""
     end = f":{port:04X}"
     with open("/proc/net/tcp") as table:
         inode = next((row[9] for row in map(str.split, table) if row[1].endswith(end)), "0")
@@ -37,29 +39,30 @@
             for name in os.listdir(f"/proc/{pid}/fd"):
                 if os.readlink(f"/proc/{pid}/fd/{name}") == f"socket:[{inode}]":
                     return node
-        except OSError:  # it ends just now
+        except OSError:  # the process has just ended
             continue
     return ""
 
 
 class SocketDoor:
-    """One worker's listener. Its connections end with it."""
+    """One worker's listener; its connections are closed with it."""
 
     def __init__(self, world: SocketWorld, worker: Worker) -> None:
         self.world, self.worker = world, worker
         self.nodes: dict[Served, str] = {}
-        self.server = Server(worker.place[1], self.asked, self.ended, IDLE, worker.place[0])
+        self.server = Server(worker.place[1], self.request_received, self.ended, IDLE, worker.place[0])
 
-    def asked(self, served: Served, message: Message) -> None:
+    def request_received(self, served: Served, message: Message) -> None:
+        """Passes a request to the worker as a run; answers a probe (GET) directly."""
         world, worker = self.world, self.worker
         if message.method == b"GET":
-            self.well(served)
+            self.answer_probe(served)
             return
         fields = message.headers
         if served not in self.nodes:
             self.nodes[served] = whose(served.sock.getpeername()[1], world.pids())
         if not world.net.open(self.nodes[served], worker.id):
-            return  # it is lost on its way, and nobody is told
+            return  # lost in the network, without an error for the sender
         letter = Letter(
             method=message.method,
             target=message.target,
@@ -81,13 +84,13 @@
         served.carries = run
         worker.arrive(run)
 
-    def well(self, served: Served) -> None:
+    def answer_probe(self, served: Served) -> None:
         if not (self.worker.dark or self.worker.hangs):
             head = b"HTTP/1.1 200 OK\r\nX-Worker: %s\r\nContent-Length: 0\r\n\r\n"
             served.say(head % self.worker.id.encode())
 
     def ended(self, served: Served) -> None:
-        """The counter has closed its connection, or it was reset here."""
+        """Called when the gateway has closed its connection, or it was reset here."""
         self.nodes.pop(served, None)
         run, served.carries = served.carries, None
         if run is not None and not run.over:
@@ -95,8 +98,9 @@
 
 
 def answer(run: Run, status: int, not_run: bool, seal: str, load: bytes) -> bytes:
+    """Returns a worker's answer as sent over HTTP/1.1; `seal` is the completion token."""
     lines = [
-        b"HTTP/1.1 %d %s" % (status, _TEXT.get(status, b"Other")),
+        b"HTTP/1.1 %d %s" % (status, _REASONS.get(status, b"Other")),
         b"X-Request-Id: " + run.rid.encode("latin-1"),
         b"Keep-Alive: timeout=%d" % IDLE,
         b"X-Load: " + load,
--- a/opalwick/lab/post/sockets/kinds.py
+++ b/opalwick/lab/post/sockets/kinds.py
@@ -1,5 +1,5 @@
-"""Which faults a day on processes may have: signals, an emptied disk, what relays do to links, what workers
-and callers do."""
+"""The fault kinds that scenarios on real processes support: signals, deleted data, relayed links, and the
+behaviour of workers and clients."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 MACHINES = ("kill", "wipe", "term", "hup", "freeze", "stutter", "kill_all", "alone", "cut_workers")
 LINKS = tuple(name for name, kind in KINDS.items() if kind.on == "links")
-BORNE = (
+SUPPORTED = (
     MACHINES
     + LINKS
     + tuple(name for name, kind in KINDS.items() if kind.on == "workers")
     + ("burst", "poison", "changes", "races", "reads", "stale", "invalid", "orders_again", "lost_acks")
 )
-# what a hunt on processes draws from
+# the kinds of random scenarios on real processes
 DRAWN = (
     "kill",
     "term",
@@ -31,5 +31,5 @@
 
 
 def strange(day: PostDay) -> list[str]:
-    """Kinds of its faults that need the virtual clock's machines, ways and disks."""
-    return sorted({fault.kind for fault in day.faults} - set(BORNE))
+    """Returns the fault kinds of a scenario that need the simulated machines, network and disks."""
+    return sorted({fault.kind for fault in day.faults} - set(SUPPORTED))
--- a/opalwick/lab/post/sockets/links.py
+++ b/opalwick/lab/post/sockets/links.py
@@ -1,8 +1,9 @@
-"""The ways between real processes: a relay in front of each machine that cuts, delays and resets connections.
+"""Links between real processes: a relay in front of each machine partitions, delays and resets connections.
 
-A process listens for links at a port of its own (`binds.links`); the port that others dial is the relay's.
-Who dials is known by the first word on a connection, its hello. What a way does is the virtual network's
-(`lab/post/net.py`): a cut holds what is on its way, as kernels do, and lets it go once the way is whole.
+A process listens for links on a separate port (`binds.links`), and the relay listens on the port that others
+dial. The first peer message on a connection, its hello, identifies the dialling node. The network state is
+that of the virtual network (`lab/post/net.py`): a partition holds data in flight, as kernels do, and it is
+delivered once the partition is over.
 """
 
 from __future__ import annotations
@@ -22,19 +23,20 @@
 if TYPE_CHECKING:
     from opalwick.lab.post.sockets.world import SocketWorld
 
-HELD = 0.02  # s between looks whether a way is whole again
-PIECE = 65536  # octets read at once
-CONNECT = 0.5  # s that a process has to take a connection
-_HEAD = struct.Struct("!I")
+HEAL_POLL_INTERVAL = 0.02  # s between checks whether a partition is over
+CHUNK_SIZE = 65536  # bytes read at once
+CONNECT_TIMEOUT = 0.5  # s within which a process must accept a connection
+_LENGTH_PREFIX = struct.Struct("!I")
 
 
 class Relayed:
-    """One connection between two machines, `near` having dialled `far`."""
+    """One connection between two machines; `near` has dialled `far`."""
 
     def __init__(self, near: str, far: str, dialled: Any, taken: Any) -> None:
         self.near, self.far, self.sockets = near, far, (dialled, taken)
 
     def joins(self, pairs: set[tuple[str, str]]) -> bool:
+        """Whether it is between one of these pairs of (dialling, dialled) machines."""
         return (self.near, self.far) in pairs
 
     def reset(self) -> None:
@@ -47,8 +49,10 @@
 
 
 class LinkRelay:
+    """Relays the connections to one machine."""
+
     def __init__(self, world: SocketWorld, node: str, place: Address, target: Address) -> None:
-        """`place`: where others dial; `target`: where the process of that machine listens."""
+        """`place`: the address that others dial; `target`: the one on which the machine's process listens."""
         self.world, self.node, self.target = world, node, target
         self.open: set[Relayed] = set()
         self.listener = listening(place, 256)
@@ -60,21 +64,21 @@
             gevent.spawn(self.relay, sock)
 
     def relay(self, dialled: Any) -> None:
-        """Until one side ends."""
-        first = self.first_word(dialled)
+        """Relays one connection until either side closes it."""
+        first = self.read_hello(dialled)
         if not first:
             dialled.close()
             return
-        near = Envelope.FromString(first[_HEAD.size :]).hello.node
+        near = Envelope.FromString(first[_LENGTH_PREFIX.size :]).hello.node
         taken = socket.socket(plain.AF_INET, plain.SOCK_STREAM)
         connection = Relayed(near, self.node, dialled, taken)
         try:
             self.wait(near, self.node)
-            taken.settimeout(CONNECT)
+            taken.settimeout(CONNECT_TIMEOUT)
             taken.connect(self.target)
             taken.settimeout(None)
             taken.sendall(first)
-        except OSError:  # no process is there
+        except OSError:  # no process is listening
             connection.close()
             return
         self.open.add(connection)
@@ -87,14 +91,23 @@
         gevent.joinall(ways)
         self.open.discard(connection)
 
-    def first_word(self, sock: Any) -> bytes:
-        """The hello with its head; empty where none comes."""
+    def read_hello(self, sock: Any) -> bytes:
+        """Returns the hello with its length prefix; empty if none arrives."""
         data = b""
         try:
-            while len(data) < _HEAD.size or len(data) < _HEAD.size + _HEAD.unpack(data[: _HEAD.size])[0]:
-                # no octet behind the hello is read here
-                wanted = _HEAD.unpack(data[: _HEAD.size])[0] if len(data) >= _HEAD.size else 0
-                if wanted > MAX_MESSAGE_SIZE or not (more := sock.recv(_HEAD.size + wanted - len(data))):
+            while (
+                len(data) < _LENGTH_PREFIX.size
+                or len(data) < _LENGTH_PREFIX.size + _LENGTH_PREFIX.unpack(data[: _LENGTH_PREFIX.size])[0]
+            ):
+                # bytes after the hello must not be read here
+                wanted = (
+                    _LENGTH_PREFIX.unpack(data[: _LENGTH_PREFIX.size])[0]
+                    if len(data) >= _LENGTH_PREFIX.size
+                    else 0
+                )
+                if wanted > MAX_MESSAGE_SIZE or not (
+                    more := sock.recv(_LENGTH_PREFIX.size + wanted - len(data))
+                ):
                     return b""
                 data += more
         except OSError:
@@ -102,15 +115,15 @@
         return data
 
     def wait(self, a: str, b: str) -> None:
-        """Until what was sent by one is at the other: its delay, and the end of a cut."""
+        """Waits for the delay from `a` to `b` and until no partition separates them."""
         gevent.sleep(self.world.net.delay(a, b))
         while not self.world.net.open(a, b):
-            gevent.sleep(HELD)
+            gevent.sleep(HEAL_POLL_INTERVAL)
 
     def pump(self, source: Any, target: Any, a: str, b: str) -> None:
-        """One direction, in order; what is read before a cut ends goes on after it."""
+        """Relays one direction in order; data read during a partition is sent on after it."""
         try:
-            while data := source.recv(PIECE):
+            while data := source.recv(CHUNK_SIZE):
                 self.wait(a, b)
                 target.sendall(data)
             self.wait(a, b)
--- a/opalwick/lab/post/sockets/world.py
+++ b/opalwick/lab/post/sockets/world.py
@@ -1,6 +1,7 @@
-"""A day around real processes: the agenda runs on the machine's clock, all else is `post/world.py`'s.
+"""The cluster of a scenario with real processes: the event queue runs on the machine's clock, and all else is
+as in `post/world.py`.
 
-Everything ends by itself: requests have patience, the day an end, and `run` kills what it started.
+Everything terminates: requests have time-outs, the scenario has an end, and `run` kills all that it started.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 from opalwick.lab.post.day import PostDay, Service
 from opalwick.lab.post.sockets.callers import SocketExchange, SocketKeptConnections, SocketPlatform
-from opalwick.lab.post.sockets.doors import HEARD, SocketDoor, answer
+from opalwick.lab.post.sockets.doors import READ_WITHIN, SocketDoor, answer
 from opalwick.lab.post.sockets.links import LinkRelay
 from opalwick.lab.post.sockets.machine import FRONT, LINKS, PORTS, SocketMachine
 from opalwick.lab.post.workers import Run, Worker
@@ -28,14 +29,15 @@
 from opalwick.lab.sockets.clock import RealAgenda
 from opalwick.post import events
 
-WORKERS = 100  # a machine's last octet stays below, workers' begin there
-STEP = 0.5  # s between looks whether the day is over
-WAITED = 0.25  # s of a second that a process may wait for a processor: as long as a pulse
-START = 4.0  # s that the first configuration may take; an idle machine needs one
+WORKERS = 100  # first of the workers' last address bytes; those of machines are below
+STEP = 0.5  # s between checks whether the scenario is over
+MAX_CPU_WAIT = 0.25  # s of a second that a process may wait for a processor: one heartbeat interval
+MAX_START = 4.0  # s that the first configuration may take; on an idle machine it takes about 1 s
 
 
 def free_net() -> str:
-    """Three octets of loopback that nobody listens at; two rigs at once get two."""
+    """Returns the first three bytes of an unused loopback /24 network. Test rigs that run at the same time
+    get different ones. Raises OSError if none is found."""
     draw = random.Random(os.urandom(8))
     for _ in range(200):
         found = f"127.{draw.randrange(20, 250)}.{draw.randrange(256)}"
@@ -49,16 +51,18 @@
 
 
 class SocketWorld(World):
+    """The cluster of a scenario with real processes on loopback sockets."""
+
     agenda_of = RealAgenda
     machine_of = SocketMachine
     platform_of = SocketPlatform
     exchange = SocketExchange
     kept_of = SocketKeptConnections
-    patience = 40.0  # s: nine processes begin at once
+    patience = 40.0  # s; longer than on the virtual clock, as nine processes start at the same time
 
     def __init__(self, day: PostDay, seed: int, out: Path | None = None) -> None:
         self.folder = Path(tempfile.mkdtemp(prefix="opalwick-post-"))
-        self.out = out or self.folder  # settings and logs; disks are never kept
+        self.out = out or self.folder  # settings and logs; disks are always deleted
         self.out.mkdir(parents=True, exist_ok=True)
         self.net_of, self.over_ = free_net(), False
         self.doors: dict[Worker, SocketDoor] = {}
@@ -76,7 +80,8 @@
                 connection.reset()
 
     def spawn(self, work: Callable[[], None]) -> None:
-        """Runs it beside the agenda; whatever it raises is the rig's own fault, and told."""
+        """Runs a function in a greenlet of its own; an exception is a fault of the test rig, and `run` raises
+        it."""
 
         def run() -> None:
             try:
@@ -105,6 +110,7 @@
         self.doors.pop(worker).server.die()
 
     def pids(self) -> dict[int, str]:
+        """Returns the nodes of the gateways by process id."""
         found: list[Any] = self.of("counter")
         return {m.proc.pid: m.node for m in found if m.proc is not None}
 
@@ -116,13 +122,13 @@
         served.say(answer(run, status, not_run, seal, load))
         machine = self.machines.get(run.sending.proc.node)
         if machine is not None:
-            starts, stood = machine.starts, machine.still
+            starts, frozen = machine.starts, machine.still
 
-            def heard() -> None:
-                if machine.proc is not None and (machine.starts, machine.still, stood) == (starts, 0, 0):
+            def has_read() -> None:
+                if machine.proc is not None and (machine.starts, machine.still, frozen) == (starts, 0, 0):
                     self.note("read", run.number)
 
-            self.agenda.after(HEARD, heard)
+            self.agenda.after(READ_WITHIN, has_read)
 
     def reset(self, run: Run, id: str) -> None:
         run.over = True
@@ -130,23 +136,24 @@
         served.carries = None
         served.close(with_reset=True)
 
-    # ---- the day
+    # ---- the scenario
 
     def copies(self) -> dict[str, tuple[int, int]]:
-        """Nobody looks into a running process' database."""
+        """Returns nothing: the database of a running process is not read."""
         return {}
 
     def traffic(self) -> None:
         super().traffic()
-        agenda: Any = self.agenda  # what nine starts at once cost it before is nobody's fault
+        # delays of the event queue before the traffic don't count: they come from nine simultaneous starts
+        agenda: Any = self.agenda
         agenda.fired = agenda.late = 0
         agenda.worst = 0.0
-        if agenda.now > START:
+        if agenda.now > MAX_START:
             self.busy = f"the programs took {agenda.now:.1f} s to start"
         self.measure({})
 
     def measure(self, before: dict[int, float]) -> None:
-        """Each second: whether a process waited for a processor longer than what is judged bears."""
+        """Checks each second whether a process waited for a processor too long for the rules' time bounds."""
         waited: dict[int, float] = {}
         for machine in self.machines.values():
             proc: Any = machine.proc
@@ -156,12 +163,12 @@
                 continue
             if text:
                 waited[proc.pid] = float(text.split()[1]) / 1e9
-                if (more := waited[proc.pid] - before.get(proc.pid, waited[proc.pid])) > WAITED:
+                if (more := waited[proc.pid] - before.get(proc.pid, waited[proc.pid])) > MAX_CPU_WAIT:
                     self.busy = f"{machine.node} waited {more:.2f} s of a second for a processor"
         self.agenda.after(1.0, self.measure, waited)
 
     def void(self) -> str:
-        """Why the day does not count; nothing where it does."""
+        """Returns the reason why the run is invalid; empty if it is valid."""
         return self.agenda.void() or self.busy  # type: ignore[attr-defined]
 
     def run(self) -> None:
@@ -184,10 +191,11 @@
             self.read_logs()
             shutil.rmtree(self.folder, ignore_errors=True)
         if self.failures:
-            raise RuntimeError("the rig itself failed:\n" + "\n".join(self.failures[:3]))
+            raise RuntimeError("the test rig failed:\n" + "\n".join(self.failures[:3]))
 
     def read_logs(self) -> None:
-        """What a role failed on costs it that word, and is an event of its own."""
+        """Records problems found in the logs: exceptions of handlers (event post:901), violated invariants
+        and tracebacks."""
         for machine in self.machines.values():
             for line in machine.log.read_text(errors="replace").splitlines() if machine.log.exists() else ():
                 if '"post:901"' in line:
@@ -195,4 +203,4 @@
                 elif any(f'"post:{number}"' in line for number in events.VIOLATIONS):
                     machine.problem(f"an invariant does not hold: {line}")
                 elif line.startswith("Traceback"):
-                    machine.problem("a traceback in its log")
+                    machine.problem("traceback in the process log")
