--- a/bench/maintenance.py
+++ b/bench/maintenance.py
@@ -21,7 +21,7 @@
 from opalwick.lab.post.judge import judge
 from opalwick.lab.post.kinds import CLOSING, KINDS
 from opalwick.lab.post.run import history, play
-from opalwick.lab.post.window import served
+from opalwick.lab.post.window import on_time_shares
 from opalwick.post.maintenance.fleet import Fleet, LiveWorker, Machine
 from opalwick.post.maintenance.needs import unmet_needs
 from opalwick.post.maintenance.planner import EXACT_LIMIT, MAX_UNFAIRNESS, NoPlan, Planner
@@ -239,7 +239,7 @@
                 "took",
             )
         },
-        **served(world.ledger.rows, day),
+        **on_time_shares(world.ledger.rows, day),
     }
 
 
--- a/opalwick/lab/post/clients.py
+++ b/opalwick/lab/post/clients.py
@@ -333,10 +333,10 @@
     def ask_all(self) -> None:
         """At the end: states and bytes of all that may not have ended, states of some others."""
         for rid in self.names:
-            if rid not in self.world.over or self.draw.random() < 0.15:
+            if rid not in self.world.completed or self.draw.random() < 0.15:
                 when = 0.5 * self.draw.random()
                 self.world.agenda.after(when, self.ask, rid, False, SURE)
-                if rid not in self.world.over:
+                if rid not in self.world.completed:
                     self.world.agenda.after(when, self.ask, rid, True, SURE)
 
 
--- a/opalwick/lab/post/command.py
+++ b/opalwick/lab/post/command.py
@@ -19,15 +19,15 @@
 COUNTS = ("messages", "accepted", "ended", "waiting", "lost", "doubled", "late")
 
 
-def found(which: str, seed: int, clock: str = "virtual", on: str = DRAWN_ON) -> PostDay:
+def load_scenario(which: str, seed: int, clock: str = "virtual", on: str = DRAWN_ON) -> PostDay:
     """Returns the named scenario, or a random one for "drawn". Raises BadDay for one that this clock cannot
     run."""
     if clock == "virtual":
         return drawn(read(on), seed) if which == "drawn" else read(which)
-    from opalwick.lab.post.sockets.kinds import DRAWN, strange
+    from opalwick.lab.post.sockets.kinds import DRAWN, unsupported_faults
 
     day = drawn(read(on), seed, DRAWN) if which == "drawn" else read(which)
-    if kinds := strange(day):
+    if kinds := unsupported_faults(day):
         raise BadDay(f"{which}: --clock sockets cannot bring about {', '.join(kinds)}")
     return day
 
@@ -38,7 +38,7 @@
     return f"{report['day']} (seed {report['seed']}): {counts}, in aim {report['in_aim']:.4f}"
 
 
-def tell(report: dict[str, Any], most: int = 10) -> None:
+def print_report(report: dict[str, Any], most: int = 10) -> None:
     """Prints a report with at most `most` violations."""
     typer.echo(line(report))
     if report.get("void"):
@@ -54,7 +54,7 @@
         typer.echo(f"  broken: {breach['rule']} at {breach['at']:.3f} s: {breach['why']}{message}")
 
 
-def of_windows(reports: list[dict[str, Any]]) -> dict[str, Any]:
+def window_totals(reports: list[dict[str, Any]]) -> dict[str, Any]:
     """Returns totals of the scenarios with a maintenance window; empty if there are none."""
     if not reports:
         return {}
@@ -68,7 +68,7 @@
     }
 
 
-def summed(reports: list[dict[str, Any]]) -> dict[str, Any]:
+def totals(reports: list[dict[str, Any]]) -> dict[str, Any]:
     """Returns one report with the totals of all scenarios."""
     messages = sum(r["messages"] for r in reports)
     return {
@@ -76,15 +76,15 @@
         "seed": reports[0]["seed"],
         **{key: sum(r[key] for r in reports) for key in COUNTS},
         "in_aim": round(sum(r["in_aim"] * r["messages"] for r in reports) / messages, 4) if messages else 0.0,
-        **of_windows([r for r in reports if "needs_below" in r]),
+        **window_totals([r for r in reports if "needs_below" in r]),
         "broken": [{"day": r["day"], "seed": r["seed"], **b} for r in reports for b in r["broken"]],
-        **away(reports),
+        **residency_totals(reports),
         "seconds": round(sum(r["seconds"] for r in reports), 3),
         **({"void": voids} if (voids := sum(bool(r.get("void")) for r in reports)) else {}),
     }
 
 
-def away(reports: list[dict[str, Any]]) -> dict[str, Any]:
+def residency_totals(reports: list[dict[str, Any]]) -> dict[str, Any]:
     """Returns totals of the scenarios with data residency; empty if there are none."""
     found = [r for r in reports if "abroad" in r]
     if not found:
@@ -109,15 +109,15 @@
     """Runs and prints scenarios; returns the exit code."""
     reports = []
     for which, day in [
-        (which, found(which, seed, clock)) for which in days
+        (which, load_scenario(which, seed, clock)) for which in days
     ]:  # all are read before the first one runs
         place = out / f"{Path(which).stem}-{seed}" if out is not None and clock == "sockets" else None
         reports.append({**run(day, seed, clock, place), "day": which})
         if place is not None:
             (place / "seen.md").write_text(reports[-1]["page"])
             typer.echo(reports[-1]["page"])
-        tell(reports[-1])
-    total = summed(reports)
+        print_report(reports[-1])
+    total = totals(reports)
     if as_json:
         typer.echo(json.dumps(total))
     return code_of(len(total["broken"]), total.get("void", 0))
@@ -127,9 +127,9 @@
     """Runs random scenarios on real processes, one after the other, and returns the exit code."""
     reports = []
     for number in range(seed, seed + histories):
-        reports.append({**run(found("drawn", number, "sockets"), number, "sockets"), "day": "drawn"})
-        tell(reports[-1], 3)
-    total = {**summed(reports), "day": "hunt", "histories": histories}
+        reports.append({**run(load_scenario("drawn", number, "sockets"), number, "sockets"), "day": "drawn"})
+        print_report(reports[-1], 3)
+    total = {**totals(reports), "day": "hunt", "histories": histories}
     typer.echo(
         f"{histories} histories on processes in {total['seconds']:.0f} s, "
         f"{sum(bool(r['broken']) for r in reports)} broken, {total.get('void', 0)} void"
@@ -158,7 +158,7 @@
             if out is not None:
                 out.mkdir(parents=True, exist_ok=True)
                 (out / f"post-{report['seed']}.toml").write_text(
-                    f"# seed {report['seed']}\n" + write(found("drawn", report["seed"], on=on))
+                    f"# seed {report['seed']}\n" + write(load_scenario("drawn", report["seed"], on=on))
                 )
     spent = time.perf_counter() - began
     by_rules = dict[frozenset[str], dict[str, Any]]()
@@ -166,11 +166,11 @@
         by_rules.setdefault(frozenset(b["rule"] for b in report["broken"]), report)
     for rules, report in list(by_rules.items())[:SHRUNK]:
         number = report["seed"]
-        small = shrink(found("drawn", number, on=on), number, rules=set(rules))
+        small = shrink(load_scenario("drawn", number, on=on), number, rules=set(rules))
         again = run(small, number)
         typer.echo(f"\n# seed {number}: python -m opalwick lab post FILE --seed {number}")
         typer.echo(write(small))
-        tell(again, 3)
+        print_report(again, 3)
         if out is not None:
             (out / f"post-{number}-small.toml").write_text(f"# seed {number}\n" + write(small))
     typer.echo(
--- a/opalwick/lab/post/faults.py
+++ b/opalwick/lab/post/faults.py
@@ -41,15 +41,15 @@
         for i, one in enumerate(self.day.faults):
             if one.kind in CLOSING:
                 at = max(0.0, float(one.at))
-                world.closing = at, self.closing(one, world.draws.of(f"fault/{i}/{one.kind}"))
+                world.after_ack = at, self.closing(one, world.draws.of(f"fault/{i}/{one.kind}"))
         world.on_traffic = self.begin
 
     def begin(self) -> None:
         """The times of faults count from the traffic's begin."""
         start = self.world.begins_at
-        if self.world.closing is not None:
-            at, call = self.world.closing
-            self.world.closing = start + at, call
+        if self.world.after_ack is not None:
+            at, call = self.world.after_ack
+            self.world.after_ack = start + at, call
             # something is acknowledged then
             self.agenda.at(start + at, self.world.operator.change)
         for i, one in enumerate(self.day.faults):
@@ -124,12 +124,12 @@
         """It begins; what is returned ends it."""
         for machine in machines:
             self.lose(machine, True)
-        number = self.world.trouble(kind, planned, [m.node for m in machines], pairs or [])
+        number = self.world.fault_started(kind, planned, [m.node for m in machines], pairs or [])
 
         def end() -> None:
             for machine in machines:
                 self.lose(machine, False)
-            self.world.well(number)
+            self.world.fault_ended(number)
 
         return end
 
@@ -231,8 +231,8 @@
         def taken(machine: Machine = machine) -> None:
             if machine in scene.world.of("depot"):
                 # in order, and no loss: whoever is linked to it finds out
-                scene.world.trouble(fault.kind, True, [machine.node], [])
-                scene.world.well(scene.world.spells)
+                scene.world.fault_started(fault.kind, True, [machine.node], [])
+                scene.world.fault_ended(scene.world.fault_count)
                 scene.world.removed(machine)
 
         scene.world.operator.retire(machine.node, taken)
@@ -272,10 +272,10 @@
     hit = scene.machines(fault, draw)
     if not hit:  # those that it names have been taken away
         return
-    number = scene.world.trouble(fault.kind, True, [machine.node for machine in hit], [])
+    number = scene.world.fault_started(fault.kind, True, [machine.node for machine in hit], [])
     turns = itertools.cycle(hit)
     yield from _each(scene, fault, lambda: next(turns).hup(), least=0.01)
-    scene.world.well(number)
+    scene.world.fault_ended(number)
 
 
 @fault
@@ -319,7 +319,7 @@
 def step(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
     hit = scene.machines(fault, draw)
     for machine in hit:
-        machine.step += _size(fault)
+        machine.wall_clock_error += _size(fault)
     scene.spell(fault.kind, hit)()
     yield
 
@@ -404,11 +404,11 @@
 def cut_workers(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
     hit = [m for m in scene.machines(fault, draw) if m.role == "counter"]
     pairs = [(m.node, w.id) for m in hit for w in scene.world.workers if draw.random() < 0.6]
-    number = scene.world.trouble(fault.kind, False, [], pairs)
+    number = scene.world.fault_started(fault.kind, False, [], pairs)
     _cut(scene, pairs, True, True)
     yield
     _cut(scene, pairs, True, False)
-    scene.world.well(number)
+    scene.world.fault_ended(number)
 
 
 @fault
@@ -436,11 +436,11 @@
     pairs, on = set(scene.links(fault, draw)), [True]
     pairs |= {(b, a) for a, b in pairs}
     ends = _ends(scene, sorted(pairs))
-    number = scene.world.trouble(fault.kind, False, [m.node for m in ends], [])
+    number = scene.world.fault_started(fault.kind, False, [m.node for m in ends], [])
 
     def turn() -> None:
         if not on[0]:
-            scene.world.well(number)
+            scene.world.fault_ended(number)
             return
         scene.world.reset_links(pairs)
         scene.agenda.after(max(0.02, _size(fault)), turn)
--- a/opalwick/lab/post/home_faults.py
+++ b/opalwick/lab/post/home_faults.py
@@ -8,7 +8,7 @@
 from opalwick.lab.faults import Steps
 from opalwick.lab.post.day import Fault
 from opalwick.lab.post.faults import Scene, fault
-from opalwick.lab.post.home_world import HomeWorld, abroad
+from opalwick.lab.post.home_world import HomeWorld, zone_abroad
 from opalwick.lab.post.kinds import ALL
 
 REPLACEMENT_DELAY = 0.5  # s until another worker replaces one whose address was taken over
@@ -28,7 +28,7 @@
     for svc, home in moved.items():
         if not fault.of or svc in fault.of:
             moved[svc] = next(c for c in countries if c != home)
-    world.govern(moved)
+    world.set_policy(moved)
     yield
 
 
@@ -36,7 +36,7 @@
 def added(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
     """Gives the services marked `later` their homes."""
     world = _world(scene)
-    world.govern(world.policies[-1] | {h.service: h.country for h in scene.day.homes if h.later})
+    world.set_policy(world.policies[-1] | {h.service: h.country for h in scene.day.homes if h.later})
     yield
 
 
@@ -45,7 +45,7 @@
     """Workers report a zone in another country."""
     hit = [w for w in scene.workers(fault, draw) if not w.service.static]
     for worker in hit:
-        worker.says = abroad(_world(scene), worker)
+        worker.says = zone_abroad(_world(scene), worker)
     yield
     for worker in hit:
         worker.says = ""
@@ -57,7 +57,7 @@
     world = _world(scene)
     for worker in scene.workers(fault, draw):
         if not worker.service.static:
-            far = abroad(world, worker)
+            far = zone_abroad(world, worker)
             worker.end(True)
             wait = max(float(scene.day.bounds.reuse), fault.size or ALL[fault.kind].size)
             scene.agenda.after(wait, world.add, worker.service, far, worker.place)
--- a/opalwick/lab/post/home_world.py
+++ b/opalwick/lab/post/home_world.py
@@ -100,7 +100,7 @@
                 self.kept_at.setdefault(letter.rid, self.day.region(machine.zone))
                 self.note("stored", machine.node, letter.rid, len(letter.body))
 
-    def heard(self, end: Any, kind: str, word: Any) -> None:
+    def peer_message_received(self, end: Any, kind: str, word: Any) -> None:
         if kind == "ask":
             self.asked[end.far, word.call] = word.mid
         if kind not in BODIES:
@@ -140,7 +140,7 @@
             }
         ).encode()
 
-    def govern(self, homes: dict[str, str], done: Callable[[], None] = lambda: None) -> None:
+    def set_policy(self, homes: dict[str, str], done: Callable[[], None] = lambda: None) -> None:
         """Sends a policy, country by service; `done` is called once it is acknowledged."""
         body, number = self.policy(homes), len(self.policies)
         self.note("home_sent", number)
@@ -176,7 +176,7 @@
         elif not self.governed:
             self.governed = True
             homes = {home.service: home.country for home in self.day.homes if not home.later}
-            self.govern(homes, self.policy_acknowledged)
+            self.set_policy(homes, self.policy_acknowledged)
 
     def policy_acknowledged(self) -> None:
         """The traffic begins after the time within which all processes have the policy."""
@@ -198,7 +198,7 @@
         }
 
 
-def part(day: PostDay, country: str) -> PostDay:
+def single_country(day: PostDay, country: str) -> PostDay:
     """Returns the scenario of one country alone: its zones, machines, partners and faults, and its share of
     all else. It has no residency policy, as there is no other country."""
     zones = [zone for zone in day.zones if day.region(zone) == country]
@@ -261,7 +261,7 @@
     return replace(day, title=f"evening {seed}", faults=sorted(faults, key=lambda f: f.at))
 
 
-def abroad(world: HomeWorld, worker: Worker) -> str:
+def zone_abroad(world: HomeWorld, worker: Worker) -> str:
     """Draws a zone in another country than the worker's, if there is any."""
     zones = [z for z in world.day.zones if world.day.region(z) != world.day.region(worker.zone)]
     return world.orders.choice(zones or world.day.zones)
--- a/opalwick/lab/post/net.py
+++ b/opalwick/lab/post/net.py
@@ -240,7 +240,7 @@
             if not known.node:
                 self.proc.guarded(self.role.add_link, self)
         elif self.peer.node:
-            self.proc.world.heard(self, kind, word)
+            self.proc.world.peer_message_received(self, kind, word)
             self.proc.guarded(self.role.receive, self, kind, word)
 
     # ---- its end
--- a/opalwick/lab/post/process.py
+++ b/opalwick/lab/post/process.py
@@ -70,7 +70,7 @@
         self.ip = f"10.{1 + world.day.zones.index(zone)}.0.{10 + number}"
         self.draw = world.draws.of(f"machine/{node}")
         self.clock_offset = 1000.0 + 5000.0 * self.draw.random()  # s, offset of its monotonic clock
-        self.step = 0.04 * self.draw.random() - 0.02  # s, error of its wall clock
+        self.wall_clock_error = 0.04 * self.draw.random() - 0.02  # s, error of its wall clock
         self.power = True
         self.losses = 0  # number of power losses
         self.starts = 0
@@ -90,7 +90,7 @@
         return self.clock_offset + self.world.agenda.now
 
     def wall_clock(self) -> float:
-        return START_TIME + self.world.agenda.now + self.step
+        return START_TIME + self.world.agenda.now + self.wall_clock_error
 
     def new_disk(self) -> None:
         self.disks += 1
--- a/opalwick/lab/post/roles.py
+++ b/opalwick/lab/post/roles.py
@@ -76,7 +76,7 @@
         raise NotImplementedError
 
 
-class Sending:
+class Attempt:
     """A delivery attempt: the counterpart of `protocol/errand.py`, as far as a role depends on it."""
 
     __slots__ = ("given_up", "kept", "order", "over", "proc", "run", "sent", "timer", "until", "worker")
@@ -199,7 +199,7 @@
         if self.run is not None:
             self.proc.world.hang_up(self)
         proc = self.proc
-        proc.sendings.pop((self.order.key, self.order.number), None)
+        proc.attempts.pop((self.order.key, self.order.number), None)
         if outcome.ran is None and outcome is not DeliveryOutcome.CANCELLED:
             proc.idle.pop(self.order.place[:2], None)
         proc.guarded(proc.role.delivery_ended, self.order, outcome, seal, load, kept)
@@ -212,7 +212,7 @@
     role: Gateway
 
     def __init__(self, world: Any, machine: Machine) -> None:
-        self.sendings: dict[tuple[Any, int], Sending] = {}
+        self.attempts: dict[tuple[Any, int], Attempt] = {}
         self.idle: dict[Any, list[tuple[Worker, float]]] = {}  # idle connections to workers, since when
         super().__init__(world, machine)
 
@@ -228,9 +228,9 @@
         orders, self.role.commands = self.role.commands, []
         for order in orders:
             if isinstance(order, Start):
-                sending = self.sendings[order.key, order.number] = Sending(self, order)
-                self.after(0.0, sending.begin)
-            elif (found := self.sendings.get((order.key, order.number))) is not None:
+                attempt = self.attempts[order.key, order.number] = Attempt(self, order)
+                self.after(0.0, attempt.begin)
+            elif (found := self.attempts.get((order.key, order.number))) is not None:
                 found.give_up()
 
     def whole(self, call: Call) -> None:
@@ -249,12 +249,12 @@
 
     def die(self, notify: bool) -> None:
         super().die(notify)
-        for sending in list(self.sendings.values()):
-            sending.over = True
-            if sending.timer is not None:
-                sending.timer.cancel()
-            if sending.run is not None and notify:
-                self.world.hang_up(sending)
+        for attempt in list(self.attempts.values()):
+            attempt.over = True
+            if attempt.timer is not None:
+                attempt.timer.cancel()
+            if attempt.run is not None and notify:
+                self.world.hang_up(attempt)
 
     def term(self) -> None:
         self.role.leave()
--- a/opalwick/lab/post/run.py
+++ b/opalwick/lab/post/run.py
@@ -20,7 +20,7 @@
 from opalwick.lab.post.home_judge import judge as judge_home
 from opalwick.lab.post.home_world import HomeWorld
 from opalwick.lab.post.judge import judge
-from opalwick.lab.post.window import Crew, Crowd, served, without
+from opalwick.lab.post.window import Crew, Crowd, on_time_shares, without_window
 from opalwick.lab.post.world import World
 
 CHUNK = 8  # histories per task of a hunt's process pool
@@ -72,22 +72,22 @@
             }
         )
     if world.crew is not None:
-        report |= of_window(world, day, seed)
+        report |= window_figures(world, day, seed)
     if day.homes:
         report |= alone(day, seed)
     report["seconds"] = round(time.perf_counter() - began, 3)
     if clock == "sockets":
-        from opalwick.lab.post.sockets.page import seen
+        from opalwick.lab.post.sockets.page import summary
 
         report["void"] = world.void()  # type: ignore[attr-defined]
-        report["page"] = seen(world, report)
+        report["page"] = summary(world, report)
     return report
 
 
-def of_window(world: World, day: PostDay, seed: int) -> dict[str, Any]:
+def window_figures(world: World, day: PostDay, seed: int) -> dict[str, Any]:
     """Returns what a maintenance window adds to a report, compared with a run without the window."""
-    plain = play(without(day), seed)
-    now, then = served(world.ledger.rows, day), served(plain.ledger.rows, day)
+    plain = play(without_window(day), seed)
+    now, then = on_time_shares(world.ledger.rows, day), on_time_shares(plain.ledger.rows, day)
     return {
         **world.crew.figures(),
         **{key: round(value, 4) for key, value in now.items()},
@@ -100,7 +100,7 @@
     clients and faults."""
     good = messages = 0.0
     for country in dict.fromkeys(day.regions):
-        found = judge_home(history(play(home_world.part(day, country), seed)))
+        found = judge_home(history(play(home_world.single_country(day, country), seed)))
         good, messages = good + found["in_aim"] * found["messages"], messages + found["messages"]
     return {"alone": round(good / messages, 4) if messages else 0.0, "alone_messages": int(messages)}
 
--- a/opalwick/lab/post/soak.py
+++ b/opalwick/lab/post/soak.py
@@ -24,7 +24,7 @@
 from opalwick.lab.post.run import run
 from opalwick.post.runs import Cause, Event, read_events, repeats
 
-TROUBLES = (
+FAULT_KINDS = (
     "kill",
     "wipe",
     "freeze",
@@ -41,7 +41,7 @@
     "crash",
 )
 # planned work that is repeated throughout the faults, and again throughout the restarts
-SERIES = ("hup", "changes", "races", "reads", "stale", "invalid", "orders_again", "release")
+PLANNED_WORK = ("hup", "changes", "races", "reads", "stale", "invalid", "orders_again", "release")
 FIRST_FAULT = (0.5, 2.0)  # s from the start of the traffic to the first fault
 FAULT_DURATION = (1.0, 3.5)  # s, duration of a fault
 QUIET_PERIOD = 1.0  # s beyond the bound `contact` between the last fault and the first restart
@@ -57,7 +57,7 @@
 
 
 @dataclass
-class Soaked:
+class SoakResult:
     """The result of a soak test. Counts of messages include only valid histories."""
 
     seed: int
@@ -92,7 +92,7 @@
     found: list[Fault] = []
     begin = draw.uniform(*FIRST_FAULT)
     for _ in range(draw.choice((2, 3))):
-        kind = KINDS[name := draw.choice(TROUBLES)]
+        kind = KINDS[name := draw.choice(FAULT_KINDS)]
         lasts = draw.uniform(*FAULT_DURATION)
         of = [draw.choice(ROLES)] if kind.on in ("machines", "links") else []
         to = [draw.choice(ROLES)] if kind.on == "links" and draw.random() < 0.5 else []
@@ -124,7 +124,7 @@
             [],
             [],
         )
-        for name in draw.sample(SERIES, 2)
+        for name in draw.sample(PLANNED_WORK, 2)
     ]
 
 
@@ -133,7 +133,7 @@
     return float(fault.at) + max(float(fault.lasts), fault.size if fault.kind in ("kill", "wipe") else 0.0)
 
 
-def sized(day: PostDay, processes: int) -> PostDay:
+def with_processes(day: PostDay, processes: int) -> PostDay:
     """Returns the scenario with about that many processes; unchanged if 0."""
     if not processes:
         return day
@@ -161,7 +161,7 @@
     """
     draw = random.Random(f"soak/{seed}")
     faults = random_faults(draw)
-    day = sized(read("calm"), processes)
+    day = with_processes(read("calm"), processes)
     end = max(map(ends, faults)) + 1.0
     faults += random_planned_work(draw, float(faults[0].at), end)
     if restarts:
@@ -197,10 +197,10 @@
     restarts: bool = True,
     processes: int = 0,
     told: Callable[[int, dict[str, Any]], None] = lambda seed, report: None,
-) -> Soaked:
+) -> SoakResult:
     """Runs up to `seeds` histories, from that seed on, until `minutes` have passed. `out`: the folder for
     logs. `told`: called with the seed and the report of each history."""
-    began, result = time.monotonic(), Soaked(seed)
+    began, result = time.monotonic(), SoakResult(seed)
     for number in range(seed, seed + seeds):
         if time.monotonic() - began >= 60.0 * minutes:
             break
--- a/opalwick/lab/post/sockets/doors.py
+++ b/opalwick/lab/post/sockets/doors.py
@@ -28,7 +28,7 @@
 }
 
 
-def whose(port: int, pids: dict[int, str]) -> str:
+def node_of_connection(port: int, pids: dict[int, str]) -> str:
     """Returns the node whose process has a connection from that local port, according to /proc; empty if none
     has."""
     end = f":{port:04X}"
@@ -44,7 +44,7 @@
     return ""
 
 
-class SocketDoor:
+class WorkerListener:
     """One worker's listener; its connections are closed with it."""
 
     def __init__(self, world: SocketWorld, worker: Worker) -> None:
@@ -60,7 +60,7 @@
             return
         fields = message.headers
         if served not in self.nodes:
-            self.nodes[served] = whose(served.sock.getpeername()[1], world.pids())
+            self.nodes[served] = node_of_connection(served.sock.getpeername()[1], world.pids())
         if not world.net.open(self.nodes[served], worker.id):
             return  # lost in the network, without an error for the sender
         letter = Letter(
--- a/opalwick/lab/post/sockets/kinds.py
+++ b/opalwick/lab/post/sockets/kinds.py
@@ -30,6 +30,6 @@
 )
 
 
-def strange(day: PostDay) -> list[str]:
+def unsupported_faults(day: PostDay) -> list[str]:
     """Returns the fault kinds of a scenario that need the simulated machines, network and disks."""
     return sorted({fault.kind for fault in day.faults} - set(SUPPORTED))
--- a/opalwick/lab/post/sockets/machine.py
+++ b/opalwick/lab/post/sockets/machine.py
@@ -36,7 +36,7 @@
 
     def __init__(self, world: SocketWorld, node: str, role: str, zone: str, number: int) -> None:
         self.world, self.node, self.role, self.zone, self.number = world, node, role, zone, number
-        self.ip = f"{world.net_of}.{10 + number}"
+        self.ip = f"{world.loopback_net}.{10 + number}"
         self.draw = world.draws.of(f"machine/{node}")
         self.power = True
         self.losses = self.starts = self.downs = self.still = self.reloads = 0
@@ -90,7 +90,7 @@
 
     def start(self) -> None:
         """Starts the process unless it runs, a fault keeps the machine down, or the scenario is over."""
-        if self.proc is not None or self.downs or self.world.over_:
+        if self.proc is not None or self.downs or self.world.stopped:
             return
         self.dying = [proc for proc in self.dying if proc.poll() is None]
         if self.dying:  # the addresses are not free yet
--- a/opalwick/lab/post/sockets/page.py
+++ b/opalwick/lab/post/sockets/page.py
@@ -11,7 +11,7 @@
     return sorted(values)[min(len(values) - 1, int(share * len(values)))] if values else 0.0
 
 
-def seen(world: Any, report: dict[str, Any]) -> str:
+def summary(world: Any, report: dict[str, Any]) -> str:
     """Returns the summary: what clients and workers observed in each second, and which processes and workers
     failed."""
     begin, day = world.begins_at, world.day
--- a/opalwick/lab/post/sockets/world.py
+++ b/opalwick/lab/post/sockets/world.py
@@ -21,7 +21,7 @@
 
 from opalwick.lab.post.day import PostDay, Service
 from opalwick.lab.post.sockets.callers import SocketExchange, SocketKeptConnections, SocketPlatform
-from opalwick.lab.post.sockets.doors import READ_WITHIN, SocketDoor, answer
+from opalwick.lab.post.sockets.doors import READ_WITHIN, WorkerListener, answer
 from opalwick.lab.post.sockets.links import LinkRelay
 from opalwick.lab.post.sockets.machine import FRONT, LINKS, PORTS, SocketMachine
 from opalwick.lab.post.workers import Run, Worker
@@ -64,8 +64,8 @@
         self.folder = Path(tempfile.mkdtemp(prefix="opalwick-post-"))
         self.out = out or self.folder  # settings and logs; disks are always deleted
         self.out.mkdir(parents=True, exist_ok=True)
-        self.net_of, self.over_ = free_net(), False
-        self.doors: dict[Worker, SocketDoor] = {}
+        self.loopback_net, self.stopped = free_net(), False
+        self.listeners: dict[Worker, WorkerListener] = {}
         self.failures: list[str] = []
         self.busy = ""
         super().__init__(day, seed)
@@ -95,19 +95,19 @@
 
     def static(self, service: Service) -> str | None:
         number = self.day.services.index(service)
-        return f"{self.net_of}.{WORKERS - 1 - number}:8043" if service.static else None
+        return f"{self.loopback_net}.{WORKERS - 1 - number}:8043" if service.static else None
 
     def place(self) -> tuple[str, int]:
-        return f"{self.net_of}.{WORKERS + self.born % 150}", 8080 + self.born // 150
+        return f"{self.loopback_net}.{WORKERS + self.born % 150}", 8080 + self.born // 150
 
     def add(self, service: Service, zone: str, place: tuple[str, int] | None = None) -> None:
         super().add(service, zone, place)
         worker = self.workers[-1]
-        self.doors[worker] = SocketDoor(self, worker)
+        self.listeners[worker] = WorkerListener(self, worker)
 
-    def vacated(self, worker: Worker) -> None:
-        super().vacated(worker)
-        self.doors.pop(worker).server.die()
+    def worker_removed(self, worker: Worker) -> None:
+        super().worker_removed(worker)
+        self.listeners.pop(worker).server.die()
 
     def pids(self) -> dict[int, str]:
         """Returns the nodes of the gateways by process id."""
@@ -177,14 +177,14 @@
             while self.agenda.now < self.ends_at:
                 self.agenda.drive(min(self.ends_at, self.agenda.now + STEP))  # type: ignore[attr-defined]
         finally:
-            self.over_ = True
+            self.stopped = True
             machines: list[Any] = list(self.machines.values())
             for machine in machines:
                 machine.kill()
             for machine in machines:
                 for proc in machine.dying:
                     proc.wait()
-            for door in self.doors.values():
+            for door in self.listeners.values():
                 door.server.die()
             for relay in self.relays.values():
                 relay.end()
--- a/opalwick/lab/post/window.py
+++ b/opalwick/lab/post/window.py
@@ -384,7 +384,7 @@
             world.agenda.after(self.draw.expovariate(world.day.crowd), self.come)
 
 
-def served(rows: list[Any], day: PostDay, kind: str = "") -> dict[str, float]:
+def on_time_shares(rows: list[Any], day: PostDay, kind: str = "") -> dict[str, float]:
     """Returns, for messages of that kind, the share that was accepted within 80 ms and whose run began in
     time (`in_aim`), and the share that was accepted within the client's deadline and whose run began in time
     (`in_time`)."""
@@ -419,7 +419,7 @@
     }
 
 
-def without(day: PostDay) -> PostDay:
+def without_window(day: PostDay) -> PostDay:
     """Returns the scenario without its maintenance window."""
     return msgspec.structs.replace(day, window=None)
 
--- a/opalwick/lab/post/workers.py
+++ b/opalwick/lab/post/workers.py
@@ -13,7 +13,7 @@
 from opalwick.lab.agenda import Entry
 from opalwick.lab.draws import spread
 from opalwick.lab.post.day import Service
-from opalwick.lab.post.roles import Sending
+from opalwick.lab.post.roles import Attempt
 from opalwick.protocol.http import Message
 
 if TYPE_CHECKING:
@@ -42,7 +42,7 @@
         "within",
     )
 
-    def __init__(self, number: int, sending: Sending) -> None:
+    def __init__(self, number: int, sending: Attempt) -> None:
         self.number, self.sending = number, sending
         letter = sending.order.item.message
         self.rid, self.want, self.within = letter.rid, sending.order.place[2], sending.order.within
@@ -302,7 +302,7 @@
             run.over = True
             self.world.reset(run, self.id)
         self.running, self.queue = {}, deque()
-        self.world.vacated(self)
+        self.world.worker_removed(self)
 
 
 def request(method: bytes, target: str, host: str = "ctl", body: bytes = b"", **fields: str) -> Message:
--- a/opalwick/lab/post/world.py
+++ b/opalwick/lab/post/world.py
@@ -14,7 +14,7 @@
 from opalwick.lab.post.kept import KeptConnections
 from opalwick.lab.post.net import Net
 from opalwick.lab.post.process import Machine
-from opalwick.lab.post.roles import Sending
+from opalwick.lab.post.roles import Attempt
 from opalwick.lab.post.strangers import Strangers
 from opalwick.lab.post.workers import Run, Table, Worker, request
 
@@ -57,9 +57,9 @@
         }
         self.confs: list[dict[str, Any]] = []
         self.wants: dict[str, Want] = {}
-        self.over: set[str] = set()  # request ids of messages that a worker has completed
+        self.completed: set[str] = set()  # request ids of messages that a worker has completed
         self.rids: dict[int, str] = {}  # request id by run number
-        self.runs = self.spells = self.born = 0
+        self.runs = self.fault_count = self.born = 0
         self.slow: dict[str, float] = {}
         self.more_errors: dict[str, float] = {}
         self.tables = {s.name: Table(self, s) for s in day.services}
@@ -70,20 +70,22 @@
         self.begins_at = 0.0
         self.ends_at = self.patience
         self.shaded: list[tuple[str, float, float]] = []
-        self.closing: Any = None  # (time, callback): called once, right after the first 202 from that time on
+        self.after_ack: Any = (
+            None  # (time, callback): called once, right after the first 202 from that time on
+        )
         self.on_traffic: Any = lambda: None
         self.crew: Any = None  # the maintenance crew, in a scenario with a maintenance window
 
     def note(self, what: str, *fields: Any) -> None:
         """Appends a row to the history."""
         if what == "said" and fields[1] in (200, 422):
-            self.over.add(self.rids[fields[0]])
+            self.completed.add(self.rids[fields[0]])
         self.ledger.note(self.agenda.now, what, *fields)
 
     def disk_made(self, machine: Machine) -> None:
         """Called when a machine gets a new, empty disk."""
 
-    def heard(self, end: Any, kind: str, word: Any) -> None:
+    def peer_message_received(self, end: Any, kind: str, word: Any) -> None:
         """Called when a process receives a peer message on a link."""
 
     def of(self, role: str) -> list[Machine]:
@@ -108,7 +110,7 @@
         self.note("traffic", self.begins_at, until)
         self.agenda.at(self.begins_at, self.clients.begin, until)
         self.agenda.at(self.begins_at, self.strangers.begin)
-        self.agenda.at(until + day.after, self.asks)
+        self.agenda.at(until + day.after, self.begin_lookups)
         self.on_traffic()
         self.inspect()
 
@@ -129,11 +131,11 @@
             ends.update(row[0] for row in machine.disk.db.execute("select mid from ends"))
         found = {}
         for rid, name in self.clients.names.items():
-            if rid not in self.over:
+            if rid not in self.completed:
                 found[rid] = letters[name], ends[name]
         return found
 
-    def asks(self) -> None:
+    def begin_lookups(self) -> None:
         """Records the replica counts and has clients look up the outcomes, at the end of the scenario."""
         for rid, (letters, ends) in self.copies().items():
             if not ends:
@@ -152,8 +154,8 @@
 
     def acknowledged(self) -> None:
         """Called after each acknowledgement to a client."""
-        if self.closing is not None and self.agenda.now >= self.closing[0]:
-            (_, call), self.closing = self.closing, None
+        if self.after_ack is not None and self.agenda.now >= self.after_ack[0]:
+            (_, call), self.after_ack = self.after_ack, None
             call()
 
     def reset_links(self, pairs: set[tuple[str, str]]) -> None:
@@ -210,7 +212,7 @@
         """Returns the address for the worker created last."""
         return f"10.128.{self.born >> 8}.{self.born & 255}", 8080
 
-    def vacated(self, worker: Worker) -> None:
+    def worker_removed(self, worker: Worker) -> None:
         """Called when a worker has ended: faults no longer select it."""
         self.workers.remove(worker)
 
@@ -233,12 +235,12 @@
 
     # ---- deliveries in flight
 
-    def deliver(self, sending: Sending, worker: Worker) -> None:
+    def deliver(self, attempt: Attempt, worker: Worker) -> None:
         """Sends an attempt to a worker over the simulated network."""
         self.runs += 1
-        run = sending.run = Run(self.runs, sending)
+        run = attempt.run = Run(self.runs, attempt)
         self.rids[run.number] = run.rid
-        machine = sending.proc.machine
+        machine = attempt.proc.machine
         losses = machine.losses
 
         def arrives(held: bool) -> None:
@@ -258,28 +260,28 @@
 
     def back(self, run: Run, id: str, status: int, not_run: bool, seal: str, load: bytes) -> None:
         """Returns a worker's answer to the sender; `seal` is the completion token."""
-        sending = run.sending
-        node = sending.proc.node
+        attempt = run.sending
+        node = attempt.proc.node
 
         def arrives() -> None:
-            sending.proc.event(sending.answered, run, status, not_run, seal, load)
+            attempt.proc.event(attempt.answered, run, status, not_run, seal, load)
 
         self.agenda.after(self.net.delay(id, node), self.net.when_open, id, node, arrives)
 
     def reset(self, run: Run, id: str) -> None:
         """Resets the connection of a run from the worker's side."""
         run.over = True
-        sending = run.sending
-        node = sending.proc.node
+        attempt = run.sending
+        node = attempt.proc.node
         self.agenda.after(
-            self.net.delay(id, node), self.net.when_open, id, node, lambda: sending.proc.event(sending.broken)
+            self.net.delay(id, node), self.net.when_open, id, node, lambda: attempt.proc.event(attempt.broken)
         )
 
-    def hang_up(self, sending: Sending) -> None:
+    def hang_up(self, attempt: Attempt) -> None:
         """The sender closes the connection before the answer has arrived."""
-        run, sending.run = sending.run, None
+        run, attempt.run = attempt.run, None
         assert run is not None
-        node, worker = sending.proc.node, sending.worker
+        node, worker = attempt.proc.node, attempt.worker
         assert worker is not None
 
         def arrives() -> None:
@@ -313,13 +315,13 @@
 
     # ---- periods of faults, as recorded by the fault injection
 
-    def trouble(self, kind: str, planned: bool, nodes: list[str], pairs: list[tuple[str, str]]) -> int:
+    def fault_started(self, kind: str, planned: bool, nodes: list[str], pairs: list[tuple[str, str]]) -> int:
         """Records that a fault begins; returns its number for `well`."""
-        self.spells += 1
-        self.note("trouble", self.spells, kind, planned, nodes, [list(pair) for pair in pairs])
-        return self.spells
+        self.fault_count += 1
+        self.note("trouble", self.fault_count, kind, planned, nodes, [list(pair) for pair in pairs])
+        return self.fault_count
 
-    def well(self, number: int) -> None:
+    def fault_ended(self, number: int) -> None:
         """Records that a fault has ended."""
         self.note("well", number)
 
--- a/tests/test_lab_post_home.py
+++ b/tests/test_lab_post_home.py
@@ -177,7 +177,7 @@
     def traffic() -> None:
         begin = world.begins_at
         old = world.policy({"gate": "jo", "pump": "cl"}).replace(b'"gen": 2', b'"gen": 1')
-        world.agenda.at(begin + 0.5, world.govern, {"gate": "jo", "pump": "jo"})
+        world.agenda.at(begin + 0.5, world.set_policy, {"gate": "jo", "pump": "jo"})
         world.agenda.at(begin + 6.0, world.order, b"PUT", "/home", old, lambda status: None)
         world.agenda.at(begin + 7.0, ask)
         Scene.begin(scene)
@@ -281,5 +281,5 @@
     """The baseline; and a country alone has nowhere to go."""
     _, report = played(day(""), lawless=True)
     assert report["abroad"]["copies"] > 10 and {b["rule"] for b in report["broken"]} == {"ABROAD"}
-    alone = home_world.part(read("home-cut"), "jo")
+    alone = home_world.single_country(read("home-cut"), "jo")
     assert set(alone.zones) == {"jo-1", "jo-2", "jo-3"} and alone.faults == [] and alone.homes == []
--- a/tests/test_lab_post_soak.py
+++ b/tests/test_lab_post_soak.py
@@ -12,8 +12,8 @@
 
 from opalwick.commands import app
 from opalwick.lab.post import soak as soaks
-from opalwick.lab.post.soak import SERIES, TROUBLES, Soaked, ends, sized, soak, soak_day
-from opalwick.lab.post.sockets.kinds import strange
+from opalwick.lab.post.soak import FAULT_KINDS, PLANNED_WORK, SoakResult, ends, soak, soak_day, with_processes
+from opalwick.lab.post.sockets.kinds import unsupported_faults
 
 REPORT = {"messages": 9, "accepted": 8, "lost": 0, "doubled": 1, "void": "", "broken": []}
 BREACH = {"rule": "TWICE", "at": 1.0, "message": "m", "why": "again"}
@@ -23,10 +23,10 @@
 @pytest.mark.parametrize("seed", range(1, 41))
 def test_troubles_overlap_and_restarts_come_in_calm(seed: int) -> None:
     day = soak_day(seed)
-    assert strange(day) == []
-    troubles = [fault for fault in day.faults if fault.kind in TROUBLES]
+    assert unsupported_faults(day) == []
+    troubles = [fault for fault in day.faults if fault.kind in FAULT_KINDS]
     restarts = [fault for fault in day.faults if fault.kind == "term"]
-    series = [fault for fault in day.faults if fault.kind in SERIES]
+    series = [fault for fault in day.faults if fault.kind in PLANNED_WORK]
     assert len(troubles) + len(restarts) + len(series) == len(day.faults)
     assert len(troubles) in (2, 3) and [fault.of for fault in restarts] == [["depot"], ["counter"]]
     for one, other in itertools.pairwise(troubles):
@@ -45,14 +45,14 @@
     day = soak_day(3, processes=processes)
     assert day.counters + day.depots + day.offices == processes and day.offices == 5
     assert day.depots >= 3 and day.counters >= 3 and day.faults[:2] == soak_day(3).faults[:2]
-    assert sized(day, 0) is day
+    assert with_processes(day, 0) is day
     for few in ("11", "201", "-1"):
         asked = ["lab", "soak", "--processes", few]
         assert CliRunner().invoke(app, asked).exit_code == 2
 
 
 def test_a_void_history_counts_for_faults_alone() -> None:
-    result = Soaked(1)
+    result = SoakResult(1)
     result.add(1, {**REPORT, "broken": [BREACH, FAULT]}, Counter(overlap=2))
     result.add(2, {**REPORT, "void": "busy", "broken": [BREACH, FAULT]}, Counter(overlap=1))
     assert [(one["seed"], one["rule"]) for one in result.broken] == [(1, "TWICE"), (1, "FAULT"), (2, "FAULT")]
--- a/tests/test_lab_post_sockets.py
+++ b/tests/test_lab_post_sockets.py
@@ -10,10 +10,10 @@
 
 from opalwick.lab.day import BadDay
 from opalwick.lab.post import world as worlds
-from opalwick.lab.post.command import code_of, found
+from opalwick.lab.post.command import code_of, load_scenario
 from opalwick.lab.post.day import parse
 from opalwick.lab.post.run import run
-from opalwick.lab.post.sockets.doors import whose
+from opalwick.lab.post.sockets.doors import node_of_connection
 
 SHORT = """title = "short"
 length = "1500 ms"
@@ -58,8 +58,8 @@
 
 def test_a_day_with_faults_of_the_virtual_clock_is_refused() -> None:
     with pytest.raises(BadDay, match="stores: --clock sockets cannot bring about power, slow_disk"):
-        found("stores", 1, "sockets")
-    assert {fault.kind for seed in range(40) for fault in found("drawn", seed, "sockets").faults} >= {
+        load_scenario("stores", 1, "sockets")
+    assert {fault.kind for seed in range(40) for fault in load_scenario("drawn", seed, "sockets").faults} >= {
         "kill",
         "freeze",
     }
@@ -72,4 +72,7 @@
         door.listen()
         with socket.create_connection(door.getsockname()) as calling:
             port = calling.getsockname()[1]
-            assert whose(port, {os.getpid(): "counter-7"}) == "counter-7" and whose(port, {}) == ""
+            assert (
+                node_of_connection(port, {os.getpid(): "counter-7"}) == "counter-7"
+                and node_of_connection(port, {}) == ""
+            )
--- a/tests/test_lab_post_window.py
+++ b/tests/test_lab_post_window.py
@@ -9,7 +9,7 @@
 from opalwick.lab.post.day import PostDay, parse
 from opalwick.lab.post.judge import judge
 from opalwick.lab.post.run import history, play
-from opalwick.lab.post.window import served
+from opalwick.lab.post.window import on_time_shares
 from opalwick.lab.post.world import World
 from opalwick.post.counter.rounds import Rounds
 from opalwick.post.depot.moving import Rebalancing
@@ -62,7 +62,7 @@
     sound(report, figures)
     assert figures["needs_below"] == 0.0 and figures["share_max"] < 1.1
     assert figures["handed_over"] == {"a-1": 1, "b-1": 1, "c-1": 1}
-    assert served(world.ledger.rows, world.day)["in_aim"] > 0.97
+    assert on_time_shares(world.ledger.rows, world.day)["in_aim"] > 0.97
     # the system's own depots too: each was emptied, and back
     assert all(m.starts == 2 for m in world.machines.values())
 
@@ -145,7 +145,10 @@
     window = "shares = true\nshare = 0.2\npartners = {r-plain = 5.0, r-crowd = 1.0}"
     world, report, _figures = played(day(window, length=9, top="crowd = 90.0", slots=1))
     assert not report["broken"] and not report["lost"]
-    own, crowd = served(world.ledger.rows, world.day), served(world.ledger.rows, world.day, "crowd")
+    own, crowd = (
+        on_time_shares(world.ledger.rows, world.day),
+        on_time_shares(world.ledger.rows, world.day, "crowd"),
+    )
     assert own["in_time"] > 0.95 > 0.9 > crowd["in_time"]
     refused = sum(row[1] == "answer" and row[3] == 429 for row in world.ledger.rows)
     assert refused > 50
