--- a/opalwick/lab/post/clients.py
+++ b/opalwick/lab/post/clients.py
@@ -338,10 +338,10 @@
     def ask_all(self) -> None:
         """Final queries: states and bodies of all messages that may not have ended, states of some others."""
         for rid in self.names:
-            if rid not in self.world.over or self.draw.random() < 0.15:
+            if rid not in self.world.completed or self.draw.random() < 0.15:
                 when = 0.5 * self.draw.random()
                 self.world.agenda.after(when, self.ask, rid, False, FINAL_TRIES)
-                if rid not in self.world.over:
+                if rid not in self.world.completed:
                     self.world.agenda.after(when, self.ask, rid, True, FINAL_TRIES)
 
 
--- a/opalwick/lab/post/faults.py
+++ b/opalwick/lab/post/faults.py
@@ -43,15 +43,15 @@
         for i, one in enumerate(self.day.faults):
             if one.kind in CLOSING:
                 at = max(0.0, float(one.at))
-                world.closing = at, self.closing(one, world.draws.of(f"fault/{i}/{one.kind}"))
+                world.after_ack = at, self.closing(one, world.draws.of(f"fault/{i}/{one.kind}"))
         world.on_traffic = self.begin
 
     def begin(self) -> None:
         """Schedules the faults; their times are relative to the begin of the traffic."""
         start = self.world.begins_at
-        if self.world.closing is not None:
-            at, call = self.world.closing
-            self.world.closing = start + at, call
+        if self.world.after_ack is not None:
+            at, call = self.world.after_ack
+            self.world.after_ack = start + at, call
             # so that a configuration is acknowledged then
             self.agenda.at(start + at, self.world.operator.change)
         for i, one in enumerate(self.day.faults):
@@ -128,12 +128,12 @@
         """Records the begin of a fault; the returned function records its end."""
         for machine in machines:
             self.lose(machine, True)
-        number = self.world.trouble(kind, planned, [m.node for m in machines], pairs or [])
+        number = self.world.fault_started(kind, planned, [m.node for m in machines], pairs or [])
 
         def end() -> None:
             for machine in machines:
                 self.lose(machine, False)
-            self.world.well(number)
+            self.world.fault_ended(number)
 
         return end
 
@@ -235,8 +235,8 @@
         def remove(machine: Machine = machine) -> None:
             if machine in scene.world.of("depot"):
                 # planned and without loss, but its links end
-                scene.world.trouble(fault.kind, True, [machine.node], [])
-                scene.world.well(scene.world.spells)
+                scene.world.fault_started(fault.kind, True, [machine.node], [])
+                scene.world.fault_ended(scene.world.fault_count)
                 scene.world.removed(machine)
 
         scene.world.operator.retire(machine.node, remove)
@@ -276,10 +276,10 @@
     targets = scene.machines(fault, draw)
     if not targets:  # the machines that it names have been removed
         return
-    number = scene.world.trouble(fault.kind, True, [machine.node for machine in targets], [])
+    number = scene.world.fault_started(fault.kind, True, [machine.node for machine in targets], [])
     turns = itertools.cycle(targets)
     yield from _each(scene, fault, lambda: next(turns).hup(), least=0.01)
-    scene.world.well(number)
+    scene.world.fault_ended(number)
 
 
 @fault
@@ -323,7 +323,7 @@
 def step(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
     targets = scene.machines(fault, draw)
     for machine in targets:
-        machine.step += _size(fault)
+        machine.wall_clock_error += _size(fault)
     scene.record_fault(fault.kind, targets)()
     yield
 
@@ -408,11 +408,11 @@
 def cut_workers(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
     targets = [m for m in scene.machines(fault, draw) if m.role == "counter"]
     pairs = [(m.node, w.id) for m in targets for w in scene.world.workers if draw.random() < 0.6]
-    number = scene.world.trouble(fault.kind, False, [], pairs)
+    number = scene.world.fault_started(fault.kind, False, [], pairs)
     _cut(scene, pairs, True, True)
     yield
     _cut(scene, pairs, True, False)
-    scene.world.well(number)
+    scene.world.fault_ended(number)
 
 
 @fault
@@ -445,11 +445,11 @@
     pairs, on = set(scene.links(fault, draw)), [True]
     pairs |= {(b, a) for a, b in pairs}
     ends = _ends(scene, sorted(pairs))
-    number = scene.world.trouble(fault.kind, False, [m.node for m in ends], [])
+    number = scene.world.fault_started(fault.kind, False, [m.node for m in ends], [])
 
     def turn() -> None:
         if not on[0]:
-            scene.world.well(number)
+            scene.world.fault_ended(number)
             return
         scene.world.reset_links(pairs)
         scene.agenda.after(max(0.02, _size(fault)), turn)
--- a/opalwick/lab/post/net.py
+++ b/opalwick/lab/post/net.py
@@ -245,7 +245,7 @@
             if not known.node:
                 self.proc.guarded(self.role.add_link, self)
         elif self.peer.node:
-            self.proc.world.heard(self, kind, message)
+            self.proc.world.peer_message_received(self, kind, message)
             self.proc.guarded(self.role.receive, self, kind, message)
 
     # ---- closing
