--- a/opalwick/lab/fleet/report.py
+++ b/opalwick/lab/fleet/report.py
@@ -7,7 +7,7 @@
 from collections import defaultdict
 from typing import Any
 
-from opalwick.lab.fleet.judge import FOREVER, Truth
+from opalwick.lab.fleet.judge import FOREVER, GroundTruth
 from opalwick.lab.report import STYLE, svg
 
 _STATE = {"up": "#cfe3d2", "still": "#e8c15a", "down": "#b03030"}
@@ -26,7 +26,7 @@
     """Who ran, stood still or was gone; whom others held gone as dots; who owned what as bars."""
     from matplotlib.figure import Figure
 
-    fleet, truth, end = history["fleet"], Truth(history["fleet"]), history["length"]
+    fleet, truth, end = history["fleet"], GroundTruth(history["fleet"]), history["length"]
     n = fleet["members"]
     figure = Figure(figsize=(11.0, min(30.0, 1.2 + 0.2 * n)))
     axis = figure.subplots()
@@ -36,8 +36,8 @@
 
     for i in range(n):
         axis.broken_barh([(0.0, end)], (i - 0.4, 0.8), facecolors=_STATE["down"])
-        axis.broken_barh(spans(truth.lives[i]), (i - 0.4, 0.8), facecolors=_STATE["up"])
-        axis.broken_barh(spans(truth.still[i]), (i - 0.4, 0.8), facecolors=_STATE["still"])
+        axis.broken_barh(spans(truth.incarnations[i]), (i - 0.4, 0.8), facecolors=_STATE["up"])
+        axis.broken_barh(spans(truth.pauses[i]), (i - 0.4, 0.8), facecolors=_STATE["still"])
     gone = [(row[0] / 1e6, row[4]) for row in fleet["rows"] if row[1] == "believes" and row[5] == "gone"]
     axis.plot([at for at, _ in gone], [whom for _, whom in gone], "k.", ms=3, label="held gone by somebody")
     claims: dict[str, list[tuple[float, float, int]]] = defaultdict(list)
--- a/opalwick/lab/fleet/today.py
+++ b/opalwick/lab/fleet/today.py
@@ -6,7 +6,7 @@
 from collections import defaultdict
 from typing import Any
 
-from opalwick.lab.fleet.judge import Truth, quantile
+from opalwick.lab.fleet.judge import GroundTruth, quantile
 
 FRESH = 1.0  # seconds: the decision module uses no older sums
 LOOK = 250_000  # us between two looks at what a member holds
@@ -111,13 +111,13 @@
 
 def recovered(history: dict[str, Any]) -> dict[str, float] | None:
     """Seconds after each start in the day until a member has fresh sums of some zone."""
-    truth, times = Truth(history["fleet"]), []
+    truth, times = GroundTruth(history["fleet"]), []
     held: dict[int, list[int]] = defaultdict(list)
     for row in history["fleet"]["rows"]:
         if row[1] == "holds" and row[3] == "sums" and row[6] < FRESH:
             held[row[2]].append(row[0])
-    for member, lives in enumerate(truth.lives):
-        for begin, end, _ in lives[1:]:
+    for member, incarnations in enumerate(truth.incarnations):
+        for begin, end, _ in incarnations[1:]:
             after = next((at for at in held[member] if begin < at < end), None)
             if after is not None:
                 times.append((after - begin) / 1e6)
