--- a/opalwick/lab/fleet/faults.py
+++ b/opalwick/lab/fleet/faults.py
@@ -1,6 +1,6 @@
-"""What goes wrong among members: each fault is a generator, as in `lab/faults.py`; `kinds.py` tells of each.
+"""Fault injection among members: each fault is a generator, as in `lab/faults.py`; `kinds.py` describes them.
 
-What was done is noted in the fleet's own history, so that the judge knows what was true.
+Each injected fault is recorded in the fleet's history, from which the judge derives the ground truth.
 """
 
 from __future__ import annotations
@@ -23,50 +23,50 @@
     LargeLost,
     Late,
     Loss,
-    Spell,
+    LinkFault,
 )
 from opalwick.lab.world.world import Processes, World
 
-STARVED = 0.02  # seconds by which a starved member is late at most, for each that shares its core
+STARVED = 0.02  # seconds of delay at most of a starved member, for each process that shares its core
 
 Block = tuple[Iterable[int], Iterable[int]]
 
 
 class FleetProcesses(Processes, Protocol):
-    """What a fault may do to a fleet's processes, beyond what any day's may."""
+    """Control of a fleet's processes, beyond what each scenario has."""
 
     def start_old(self, member: int) -> None:
-        """With the list of the day's start."""
+        """Starts it with the list of workers as of the start of the scenario."""
 
-    def twin(self, member: int, there: bool) -> None: ...
+    def twin(self, member: int, there: bool) -> None: ...  # a second process under its name
 
     def starve(self, member: int, size: float) -> None:
-        """It gets a part of a core in `size` and one more; 0: all of it again."""
+        """Leaves it one part in `size` + 1 of a core; 0: the whole core again."""
 
-    def memory(self, member: int, megabytes: float) -> None: ...
+    def memory(self, member: int, megabytes: float) -> None: ...  # from the next start on
 
-    def by_hand(self, member: int, worker: str, out: bool) -> None: ...
+    def by_hand(self, member: int, worker: str, out: bool) -> None: ...  # as an operator does
 
 
 class Scene:
-    """A fleet's day as faults see it."""
+    """A fleet's scenario as faults see it."""
 
     def __init__(self, day: FleetDay, world: World, processes: FleetProcesses, rows: Ledger) -> None:
         self.day, self.world, self.processes, self.rows = day, world, processes, rows
-        self.spells = 0
-        self.skipped: list[str] = []  # faults that this clock does not have
-        self.pauses = [0] * day.members  # how many faults hold each still
-        self.downs = [0] * day.members
+        self.link_fault_count = 0
+        self.skipped: list[str] = []  # kinds of faults that this clock does not support
+        self.pause_counts = [0] * day.members  # by member: how many faults pause it
+        self.down_counts = [0] * day.members
 
     def note(self, what: str, *fields: Any) -> None:
         self.rows.note(self.world.agenda.now, what, *fields)
 
-    def begin(self, clock: str, told: Callable[[float], None] = lambda _: None) -> None:
-        """`told`: called now and then with the seconds of the day that are over."""
+    def begin(self, clock: str, on_progress: Callable[[float], None] = lambda _: None) -> None:
+        """Schedules the faults. `on_progress`: called every 5 s with the elapsed seconds of the scenario."""
         agenda = self.world.agenda
 
         def progress() -> None:
-            told(agenda.now)
+            on_progress(agenda.now)
             agenda.after(5.0, progress)
 
         agenda.after(5.0, progress)
@@ -78,7 +78,7 @@
             draw = self.world.draws.of(f"fleet fault/{i}/{fault.kind}")
             set_up(self.world, fault, STEPS[fault.kind](self, fault, draw))
 
-    # ---- whom it meets
+    # ---- targets of a fault
 
     def hit(self, fault: Fault, draw: random.Random) -> list[int]:
         found = self.day.named(fault.of) or part(draw, list(range(self.day.members)), fault.part)
@@ -91,65 +91,69 @@
         return found
 
     def blocks(self, fault: Fault, draw: random.Random, both: bool) -> list[Block]:
-        """The ways that it meets, as (from, to)."""
+        """The links that it affects, as (from, to)."""
         every = list(range(self.day.members))
         if fault.of or fault.to:
-            ones, others = self.day.named(fault.of) or every, self.day.named(fault.to) or every
-            return [(ones, others), (others, ones)] if both else [(ones, others)]
+            senders, receivers = self.day.named(fault.of) or every, self.day.named(fault.to) or every
+            return [(senders, receivers), (receivers, senders)] if both else [(senders, receivers)]
         if fault.part >= 1.0:
             return [(every, every)]
         found: dict[int, set[int]] = {}
         for i in every:
             for j in every:
-                # one draw a pair where both ways are met, else one a way
+                # one draw per pair where both directions are affected, else one per direction
                 if (i < j if both else i != j) and draw.random() < fault.part:
                     found.setdefault(i, set()).add(j)
                     if both:
                         found.setdefault(j, set()).add(i)
-        return [([i], others) for i, others in found.items()]
-
-    # ---- what it does
-
-    def lay(self, spell: Spell, cuts: bool) -> int:
-        """`cuts`: nothing comes through, which the judge has to know."""
-        self.spells += 1
-        self.world.ways.spells.append(spell)
-        if late := getattr(spell, "by", 0.0) or isinstance(spell, Doubled):
-            self.note("late", self.spells, float(late))  # seconds at most
-        if cuts:
-            self.note("cut", self.spells, [[sorted(ones), sorted(others)] for ones, others in spell.blocks])
-        return self.spells
-
-    def lift(self, number: int, spell: Spell, cuts: bool) -> None:
-        self.world.ways.spells.remove(spell)
-        if cuts or isinstance(spell, (Late, Doubled)):
+        return [([i], receivers) for i, receivers in found.items()]
+
+    # ---- effects of a fault
+
+    def begin_link_fault(self, link_fault: LinkFault, partitions: bool) -> int:
+        """Returns its number. `partitions`: no message passes, which the history must show to the judge."""
+        self.link_fault_count += 1
+        self.world.link_faults.active.append(link_fault)
+        if delay := getattr(link_fault, "by", 0.0) or isinstance(link_fault, Doubled):
+            self.note("late", self.link_fault_count, float(delay))  # seconds at most
+        if partitions:
+            self.note(
+                "cut",
+                self.link_fault_count,
+                [[sorted(senders), sorted(receivers)] for senders, receivers in link_fault.blocks],
+            )
+        return self.link_fault_count
+
+    def end_link_fault(self, number: int, link_fault: LinkFault, partitions: bool) -> None:
+        self.world.link_faults.active.remove(link_fault)
+        if partitions or isinstance(link_fault, (Late, Doubled)):
             self.note("healed", number)
 
     def pause(self, member: int, still: bool) -> None:
-        """Two faults may hold the same one."""
-        self.pauses[member] += 1 if still else -1
-        if self.pauses[member] == (1 if still else 0):
+        """Pauses are counted, as two faults may pause the same member."""
+        self.pause_counts[member] += 1 if still else -1
+        if self.pause_counts[member] == (1 if still else 0):
             self.processes.pause(member, still)
             self.note("paused" if still else "resumed", member)
 
     def starve(self, member: int, size: float) -> None:
-        """The judge of the four rules allows it so much."""
+        """The judge of the four rules allows for the delay that is recorded here."""
         self.processes.starve(member, size)
         world = self.world
         world.ledger.note(world.agenda.now, "starved", world.names[member], STARVED * size)
 
     def kill(self, member: int) -> None:
-        self.downs[member] += 1
-        if self.downs[member] == 1:
-            if self.pauses[member]:
+        self.down_counts[member] += 1
+        if self.down_counts[member] == 1:
+            if self.pause_counts[member]:
                 self.note("resumed", member)
             self.processes.kill(member)
 
-    def back(self, member: int, old: bool = False) -> None:
-        self.downs[member] -= 1
-        if not self.downs[member]:
-            self.processes.start_old(member) if old else self.processes.start(member)
-            if self.pauses[member]:
+    def start_again(self, member: int, initial_list: bool = False) -> None:
+        self.down_counts[member] -= 1
+        if not self.down_counts[member]:
+            self.processes.start_old(member) if initial_list else self.processes.start(member)
+            if self.pause_counts[member]:
                 self.processes.pause(member, True)
                 self.note("paused", member)
 
@@ -167,61 +171,66 @@
     return fault.size or KINDS[fault.kind].size
 
 
-# ---- words on their ways
+# ---- messages between members
 
 
-def _while(scene: Scene, spell: Spell, cuts: bool = False) -> Steps:
-    number = scene.lay(spell, cuts)
+def _during(scene: Scene, link_fault: LinkFault, partitions: bool = False) -> Steps:
+    number = scene.begin_link_fault(link_fault, partitions)
     yield
-    scene.lift(number, spell, cuts)
+    scene.end_link_fault(number, link_fault, partitions)
 
 
-def _ways(
-    kind: str, spell: type[Spell], figure: str = "", both: bool = False, cuts: bool = False, **more: Any
+def _link_fault(
+    kind: str,
+    link_fault: type[LinkFault],
+    size_attribute: str = "",
+    both: bool = False,
+    partitions: bool = False,
+    **more: Any,
 ) -> None:
     def steps(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
-        made = spell(scene.blocks(fault, draw, both))
-        for name, value in {**more, **({figure: _size(fault)} if figure else {})}.items():
+        made = link_fault(scene.blocks(fault, draw, both))
+        for name, value in {**more, **({size_attribute: _size(fault)} if size_attribute else {})}.items():
             setattr(made, name, value)
-        return _while(scene, made, cuts)
+        return _during(scene, made, partitions)
 
     STEPS[kind] = steps
 
 
-_ways("loss", Loss, "share")
-_ways("bursts", Bursts, "share")
-_ways("one_way", Cut, cuts=True)
-_ways("cut", Cut, both=True, cuts=True)
-_ways("late", Late, "by", both=True)
-_ways("uneven", Late, "by")
-_ways("reorder", Late, "by", spread=True)
-_ways("doubled", Doubled, "share")
-_ways("changed", Changed, "share")
-_ways("large_lost", LargeLost, "most")
-_ways("kind_lost", KindLost)
+_link_fault("loss", Loss, "share")
+_link_fault("bursts", Bursts, "share")
+_link_fault("one_way", Cut, partitions=True)
+_link_fault("cut", Cut, both=True, partitions=True)
+_link_fault("late", Late, "by", both=True)
+_link_fault("uneven", Late, "by")
+_link_fault("reorder", Late, "by", spread=True)
+_link_fault("doubled", Doubled, "share")
+_link_fault("changed", Changed, "share")
+_link_fault("large_lost", LargeLost, "most")
+_link_fault("kind_lost", KindLost)
 
 
 @fault
 def mute(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
-    yield from _while(scene, Cut([(scene.hit(fault, draw), range(scene.day.members))]), True)
+    yield from _during(scene, Cut([(scene.hit(fault, draw), range(scene.day.members))]), True)
 
 
 @fault
 def deaf(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
-    yield from _while(scene, Cut([(range(scene.day.members), scene.hit(fault, draw))]), True)
+    yield from _during(scene, Cut([(range(scene.day.members), scene.hit(fault, draw))]), True)
 
 
 @fault
 def alone(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
     hit, every = scene.hit(fault, draw), range(scene.day.members)
-    yield from _while(scene, Cut([(hit, every), (every, hit)]), True)
+    yield from _during(scene, Cut([(hit, every), (every, hit)]), True)
 
 
 @fault
 def ring(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
     n = scene.day.members
     ahead = [([i], [(i - k) % n for k in range(1, (n + 1) // 2)]) for i in range(n)]
-    yield from _while(scene, Cut(ahead), True)
+    yield from _during(scene, Cut(ahead), True)
 
 
 def _sides(scene: Scene, count: int, draw: random.Random) -> Cut:
@@ -237,28 +246,28 @@
 
 @fault
 def sides(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
-    yield from _while(scene, _sides(scene, max(2, round(_size(fault))), draw), True)
+    yield from _during(scene, _sides(scene, max(2, round(_size(fault))), draw), True)
 
 
 @fault
 def flap(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
-    cut, size, laid = _sides(scene, 2, draw), _size(fault), [0]
+    cut, size, active_number = _sides(scene, 2, draw), _size(fault), [0]
     until = scene.world.agenda.now + fault.lasts
 
     def turn() -> None:
-        if laid[0]:
-            scene.lift(laid[0], cut, True)
-            laid[0] = 0
+        if active_number[0]:
+            scene.end_link_fault(active_number[0], cut, True)
+            active_number[0] = 0
         elif scene.world.agenda.now < until:
-            laid[0] = scene.lay(cut, True)
+            active_number[0] = scene.begin_link_fault(cut, True)
         if scene.world.agenda.now < until:
             scene.world.agenda.after(size, turn)
 
     turn()
     yield
-    if laid[0]:
-        scene.lift(laid[0], cut, True)
-        laid[0] = 0
+    if active_number[0]:
+        scene.end_link_fault(active_number[0], cut, True)
+        active_number[0] = 0
 
 
 # ---- processes
@@ -279,25 +288,25 @@
     hit, size, agenda = scene.hit(fault, draw), _size(fault), scene.world.agenda
     until = agenda.now + fault.lasts
 
-    def still(i: int) -> None:
+    def pause_one(i: int) -> None:
         if agenda.now < until:
             scene.pause(i, True)
-            agenda.after(size, moves, i)
+            agenda.after(size, resume_one, i)
 
-    def moves(i: int) -> None:
+    def resume_one(i: int) -> None:
         scene.pause(i, False)
-        agenda.after(draw.expovariate(1.0 / size), still, i)
+        agenda.after(draw.expovariate(1.0 / size), pause_one, i)
 
     for i in hit:
-        agenda.after(draw.random() * 2.0 * size, still, i)
+        agenda.after(draw.random() * 2.0 * size, pause_one, i)
     yield
 
 
-def _killed(scene: Scene, fault: Fault, draw: random.Random, old: bool) -> Steps:
+def _killed(scene: Scene, fault: Fault, draw: random.Random, initial_list: bool) -> Steps:
     for i in scene.hit(fault, draw):
         when = draw.random() * max(0.0, fault.lasts - _size(fault))
         scene.world.agenda.after(when, scene.kill, i)
-        scene.world.agenda.after(when + _size(fault), scene.back, i, old)
+        scene.world.agenda.after(when + _size(fault), scene.start_again, i, initial_list)
     yield
 
 
@@ -318,7 +327,7 @@
         scene.kill(i)
     yield
     for i in hit:
-        scene.back(i)
+        scene.start_again(i)
 
 
 @fault
@@ -331,7 +340,7 @@
     hit = scene.hit(fault, draw)
     for i in hit:
         scene.kill(i)
-        scene.world.agenda.after(0.05 + draw.random() * _size(fault), scene.back, i)
+        scene.world.agenda.after(0.05 + draw.random() * _size(fault), scene.start_again, i)
     yield
 
 
@@ -339,7 +348,7 @@
 def rolling(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
     hit = scene.hit(fault, draw)
     for place, i in enumerate(hit):
-        # ten steps, or one by one where they are fewer
+        # in ten steps, or one by one where there are fewer members
         step = place * min(10, len(hit)) // len(hit) / min(10, len(hit))
         scene.world.agenda.after(step * fault.lasts, scene.processes.end, i)
     yield
@@ -361,7 +370,7 @@
     for i in hit:
         scene.starve(i, _size(fault))
     yield
-    # what it has not got done yet goes on being late for a while
+    # work that is still queued stays late for a while
     for i in hit:
         scene.starve(i, 0.0)
 
@@ -372,21 +381,21 @@
     for i in hit:
         scene.processes.memory(i, _size(fault))
         scene.kill(i)
-        scene.back(i)
+        scene.start_again(i)
     yield
 
 
 @fault
 def clock(scene: Scene, fault: Fault, draw: random.Random) -> Steps:
-    """From the day's start: a clock that changes its rate is several faults."""
+    """Set at the start of the scenario; a clock that changes its rate takes several faults."""
     for i in scene.hit(fault, draw):
         scene.world.clock_rate[i] = _size(fault)
         scene.kill(i)
-        scene.back(i)
+        scene.start_again(i)
     yield
 
 
-# ---- ways to workers and to the list
+# ---- links to workers and to the list service
 
 
 @fault
--- a/opalwick/lab/fleet/judge.py
+++ b/opalwick/lab/fleet/judge.py
@@ -312,7 +312,7 @@
                     views = [view for view in mine if view[0] <= then]
                     state, of = views[-1][1:] if views else ("unknown", -1)
                     if state in ("gone", "unknown") or of != incarnation:
-                        why = f"s{one} holds s{other} {state} in incarnation {of}, but {incarnation} runs"
+                        why = f"s{one} holds s{other} {state} in incarnation {of}, now in {incarnation}"
                         self.breach("agree", at, why, bound / 1e6, self.bounds["agree"], "s")
 
     # ---- leases: one owner at a time, and no effect of acts under an older number
@@ -473,8 +473,8 @@
                 continue
             age = (at - made[outcome, stamp]) / 1e6
             ages.append(age)
-            # 0.2 s and a tenth of the age allow for delivery times and clock rates. How long a delayed link held
-            # a message is unknown; two hops are allowed for
+            # 0.2 s and a tenth of the age allow for delivery times and clock rates. How long a delayed link
+            # held a message is unknown; two hops are allowed for
             begun = made[outcome, stamp]
             late = sum(by for a, b, by in self.truth.delays.values() if a <= at and begun <= b)
             if assumed_age < 0.9 * age - 0.2 - 2.0 * late:
--- a/opalwick/lab/fleet/sockets.py
+++ b/opalwick/lab/fleet/sockets.py
@@ -1,4 +1,4 @@
-"""A fleet's day on sockets: a process a member, real signals, all words through relays of the lab's own."""
+"""A fleet's scenario on sockets: a process per member, real signals, messages through the lab's relays."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 from opalwick.lab.virtual import HELD
 from opalwick.lab.world.worker import Worker
 
-LATE = 0.02  # seconds: words that the relays themselves held longer, at p99, say nothing of the members
-HOLDS = ("believes", "claims", "granted", "limit")
-BURN = "while True: pass"
+RELAY_LATE = 0.02  # seconds: above this p99 delay of the relays themselves the history is void
+BELIEFS = ("believes", "claims", "granted", "limit")
+BUSY_LOOP = "while True: pass"
 
 
-def bears(day: FleetDay) -> None:
-    """BadDay where this machine's descriptors do not suffice."""
+def check_descriptors(day: FleetDay) -> None:
+    """BadDay where the process's limit of file descriptors does not suffice for the scenario."""
     workers = sum(m.count for m in day.day().models)
     cut = any(f.kind == "workers_cut" for f in day.faults)
     need = 256 + workers + day.members * (DESCRIPTORS + (workers if cut else 0))
@@ -45,21 +45,22 @@
 
 
 class FleetStage(Stage):
-    told: Callable[[float], None] = staticmethod(lambda _: None)  # of the seconds that are over
+    # called with the elapsed seconds of the scenario
+    told: Callable[[float], None] = staticmethod(lambda _: None)
 
     def __init__(self, day: FleetDay, seed: int, logs: Path, program: list[str] | None = None) -> None:
-        """`program`: a stand-in's command in the place of `serve`; it gets its configuration's path."""
+        """`program`: a stand-in's command instead of `serve`; its argument is its configuration's path."""
         self.fleet_day, self.rows, self.program = day, Ledger(), program
         n = day.members
-        self.operators: list[int] = []
-        self.old = [False] * n  # starts with the list of the day's start
+        self.operator_ports: list[int] = []
+        self.use_initial_list = [False] * n  # by member: whether its next start uses the initial list
         self.megabytes = [0.0] * n
         self.twins: dict[int, subprocess.Popen] = {}
-        self.burners: dict[int, list[subprocess.Popen]] = {}
+        self.busy_processes: dict[int, list[subprocess.Popen]] = {}
         self.store = Store(self.note)
         relayed = any(f.kind == "workers_cut" for f in day.faults)
         super().__init__(day.day(), seed, logs, relayed=relayed)
-        self.operators = [free_port(self.ports) for _ in range(n)]
+        self.operator_ports = [free_port(self.ports) for _ in range(n)]
         self.scene = Scene(day, self.world, self, self.rows)
         self.world.on_push = self.pushed
         if program is not None:
@@ -73,23 +74,23 @@
     def pushed(self, worker: Worker, share: float) -> None:
         self.note("pushed", worker.name, round(share, 3))
 
-    # ---- words
+    # ---- messages
 
-    def word(self, one: int, other: int, octets: bytes) -> list[tuple[float, bytes]]:
-        copies = super().word(one, other, octets)
-        self.note("word", one, other, len(octets), octets[0] if octets else -1, len(copies))
+    def word(self, sender: int, receiver: int, data: bytes) -> list[tuple[float, bytes]]:
+        copies = super().word(sender, receiver, data)
+        self.note("word", sender, receiver, len(data), data[0] if data else -1, len(copies))
         return copies
 
     def receive(self) -> None:
-        """The store's own socket, to which no fault stands in the way."""
+        """Serves the store's own socket, whose links no fault affects."""
         places = {(HOST, port): i for i, port in enumerate(self.peer_ports)}
         while True:
             try:
-                octets, sender = self.receiver.recvfrom(2048)
-            except OSError:  # the day is over
+                data, sender = self.receiver.recvfrom(2048)
+            except OSError:  # closed at the end of the scenario
                 return
             if sender in places:
-                self.store.heard(places[sender], octets)
+                self.store.heard(places[sender], data)
 
     # ---- processes
 
@@ -97,17 +98,17 @@
         if self.program is not None:
             return self.write_agent(i)
         path = super().write(i)
-        found = json.loads(path.read_text())
-        found["records"] = str(self.logs / f"s{i}.records")
-        found["operator"] = f"{HOST}:{self.operators[i]}"
+        settings = json.loads(path.read_text())
+        settings["records"] = str(self.logs / f"s{i}.records")
+        settings["operator"] = f"{HOST}:{self.operator_ports[i]}"
         if "members" in self.fleet_day.parts:
-            found["fleet"] = {"members": True, "life": self.starts[i]}
+            settings["fleet"] = {"members": True, "life": self.starts[i]}
         if self.megabytes[i]:
-            found["limits"]["memory_mb"] = self.megabytes[i]
-        if self.old[i]:
-            for host in found["known"]["hosts"]:  # all ready since long ago, as the day began
+            settings["limits"]["memory_mb"] = self.megabytes[i]
+        if self.use_initial_list[i]:
+            for host in settings["known"]["hosts"]:  # all ready since long ago, as at the start
                 host["health"], host["born_ms"] = "ready", 0
-        path.write_text(json.dumps(found))
+        path.write_text(json.dumps(settings))
         return path
 
     def write_agent(self, i: int) -> Path:
@@ -136,9 +137,9 @@
         ready = self.program is None and super().await_ready(i, process)
         if self.program is not None:
             rows, until = self.logs / f"s{i}.records", time.monotonic() + READY
-            mark = f'"what": "ready", "fields": [{self.starts[i]}]'
+            ready_mark = f'"what": "ready", "fields": [{self.starts[i]}]'
             while not ready and process.poll() is None and time.monotonic() < until:
-                ready = rows.exists() and mark in rows.read_text()
+                ready = rows.exists() and ready_mark in rows.read_text()
                 gevent.sleep(0.02)
         if ready and self.running[i] is process:
             self.note("up", i, self.starts[i])
@@ -150,9 +151,9 @@
         super().down(i)
 
     def start_old(self, i: int) -> None:
-        self.old[i] = True
+        self.use_initial_list[i] = True
         self.start(i)
-        self.old[i] = False
+        self.use_initial_list[i] = False
 
     def twin(self, i: int, there: bool) -> None:
         if not there:
@@ -163,26 +164,26 @@
             return
         self.starts[i] += 1
         path = self.write(i)
-        found = json.loads(path.read_text())
+        settings = json.loads(path.read_text())
         port = free_port(self.ports, socket.SOCK_DGRAM)
         if self.program is not None:
-            found["listen"] = [HOST, port]
+            settings["listen"] = [HOST, port]
         else:
-            # it asks no list: what it is told would pass for told to the one whose name it bears
-            found |= {"listen": f"{HOST}:0", "peer_listen": f"{HOST}:{port}", "operator": f"{HOST}:0"}
-            found |= {"discovery": f"{HOST}:{free_port(self.ports)}", "records": ""}
+            # without list calls, as answers to it would be recorded as answers to the member of that name
+            settings |= {"listen": f"{HOST}:0", "peer_listen": f"{HOST}:{port}", "operator": f"{HOST}:0"}
+            settings |= {"discovery": f"{HOST}:{free_port(self.ports)}", "records": ""}
         path = path.with_name(f"s{i}-twin.json")
-        path.write_text(json.dumps(found))
+        path.write_text(json.dumps(settings))
         if self.words:
             self.words.listens(i, (HOST, port))
         self.twins[i] = self.launch(i, path)
         self.note("twin", i, self.starts[i])
 
     def starve(self, i: int, size: float) -> None:
-        """As many others on its core as make it a part in `size` and one more."""
-        for burner in self.burners.pop(i, []):
-            burner.kill()
-            burner.wait()
+        """Pins it to one core with as many busy processes (32 at most) as leave it one part in `size` + 1."""
+        for busy_process in self.busy_processes.pop(i, []):
+            busy_process.kill()
+            busy_process.wait()
         process, cores = self.running[i], os.sched_getaffinity(0)
         if process is None or process.poll() is not None:
             return
@@ -191,12 +192,12 @@
             return
         core = {sorted(cores)[i % len(cores)]}
         os.sched_setaffinity(process.pid, core)
-        self.burners[i] = [
-            subprocess.Popen([sys.executable, "-c", BURN], preexec_fn=dies_with_its_parent)
+        self.busy_processes[i] = [
+            subprocess.Popen([sys.executable, "-c", BUSY_LOOP], preexec_fn=dies_with_its_parent)
             for _ in range(min(32, round(size)))
         ]
-        for burner in self.burners[i]:
-            os.sched_setaffinity(burner.pid, core)
+        for busy_process in self.busy_processes[i]:
+            os.sched_setaffinity(busy_process.pid, core)
 
     def memory(self, i: int, megabytes: float) -> None:
         self.megabytes[i] = megabytes
@@ -205,38 +206,38 @@
         gevent.spawn(self.call, i, f"/workers/{'disable' if out else 'enable'}?who={worker}")
 
     def call(self, i: int, target: str) -> None:
-        """An operator's call; one that nobody takes is an operator's matter."""
+        """Sends an operator's request; a failed one is ignored."""
         try:
-            with socket.create_connection((HOST, self.operators[i]), timeout=2.0) as sock:
+            with socket.create_connection((HOST, self.operator_ports[i]), timeout=2.0) as sock:
                 sock.sendall(f"PUT {target} HTTP/1.1\r\nHost: lab\r\nContent-Length: 0\r\n\r\n".encode())
                 sock.recv(4096)
         except OSError:
             pass
 
-    # ---- the day
+    # ---- the scenario
 
     def begin(self) -> None:
         self.rows.rows.clear()
-        for i in range(self.day.schedulers):  # all are there as the day begins
+        for i in range(self.day.schedulers):  # all run at the start of the scenario
             self.note("up", i, self.starts[i])
         self.scene.begin("sockets", self.told)
 
     def shut(self) -> None:
         for i in list(self.twins):
             self.twin(i, False)
-        for i in list(self.burners):
-            for burner in self.burners.pop(i):
-                burner.kill()
-                burner.wait()
+        for i in list(self.busy_processes):
+            for busy_process in self.busy_processes.pop(i):
+                busy_process.kill()
+                busy_process.wait()
         if self.program is not None:
             self.receiver.close()
-        for running in self.running:  # one that stands still could not even be asked to end
+        for running in self.running:  # a suspended process cannot handle the signal to end
             if running is not None and running.poll() is None:
                 running.send_signal(signal.SIGCONT)
         super().shut()
 
-    def recorded(self) -> None:
-        """What the members recorded, among the lab's own rows."""
+    def add_member_rows(self) -> None:
+        """Adds the rows that the members recorded to the lab's own, in the order of time."""
         for i in range(self.day.schedulers):
             path = self.logs / f"s{i}.records"
             for line in path.read_text().splitlines() if path.exists() else []:
@@ -245,26 +246,27 @@
                     row = row["record"]["extra"]["fleet"] if "record" in row else row
                     at, what, fields = row["at"] - self.agenda.zero, row["what"], row["fields"]
                 except (ValueError, KeyError, TypeError):
-                    continue  # it was killed as it wrote
-                # what it had taken for true before the day began still holds; what it did is not of the day
-                if at >= 0 or what in HOLDS:
-                    self.rows.note(max(0.0, at), what, i, *map(self.plain, fields))
+                    continue  # incomplete line: it was killed as it wrote
+                # beliefs from before the start still hold; earlier actions are not part of the scenario
+                if at >= 0 or what in BELIEFS:
+                    self.rows.note(max(0.0, at), what, i, *map(self.lab_time, fields))
         self.rows.rows.sort(key=lambda row: row[0])
 
-    def plain(self, value: Any) -> Any:
-        """Times of the members' clock, which is the machine's, as the lab's in whole microseconds."""
+    def lab_time(self, value: Any) -> Any:
+        """Converts a time of the members' clock, which is the machine's, to microseconds of the scenario."""
         return round((value["at"] - self.agenda.zero) * 1e6) if isinstance(value, dict) else value
 
-    def behind(self) -> float:
-        """How late the relays were themselves, in seconds at p99."""
-        late = sorted(self.words.behind) if self.words else []
-        return late[int(0.99 * (len(late) - 1))] if late else 0.0
+    def relay_delay(self) -> float:
+        """Delay of the relays themselves, in seconds at p99."""
+        delays = sorted(self.words.behind) if self.words else []
+        return delays[int(0.99 * (len(delays) - 1))] if delays else 0.0
 
     def void(self) -> str:
-        if (why := self.agenda.void()) or self.behind() <= LATE:
+        """Why the scenario does not count; empty where it does."""
+        if (why := self.agenda.void()) or self.relay_delay() <= RELAY_LATE:
             return why
         return (
-            f"the relays were late: {self.behind() * 1e3:.0f} ms at p99, and more than {LATE * 1e3:g} ms; "
+            f"the relays were late: {self.relay_delay() * 1e3:.0f} ms at p99, over {RELAY_LATE * 1e3:g} ms; "
             "the machine is too busy for so many members"
         )
 
@@ -276,8 +278,15 @@
     program: list[str] | None = None,
     told: Callable[[float], None] = lambda _: None,
 ) -> dict[str, Any]:
-    """The history of one day; it takes as long as the day. NotReady where a member does not come up."""
-    bears(day)
+    """Plays a scenario in real time and returns its history.
+
+    `told`: called with the elapsed seconds of the scenario.
+
+    Raises:
+        BadDay: for too few file descriptors.
+        NotReady: where a member does not come up.
+    """
+    check_descriptors(day)
     with tempfile.TemporaryDirectory(prefix="opalwick-") as kept:
         stage = FleetStage(day, seed, logs or Path(kept), program)
         stage.told = told
@@ -285,7 +294,7 @@
         for old in stage.logs.glob("s*.records"):
             old.unlink()
         stage.play()
-        stage.recorded()
+        stage.add_member_rows()
     return {
         **history(
             day,
@@ -299,5 +308,5 @@
         "rude": stage.clients.rude,
         "rude_unanswered": stage.clients.owed,
         "late_ms": round(stage.agenda.worst * 1e3, 1),
-        "relays_late_ms": round(stage.behind() * 1e3, 2),
+        "relays_late_ms": round(stage.relay_delay() * 1e3, 2),
     }
--- a/opalwick/lab/fleet/virtual.py
+++ b/opalwick/lab/fleet/virtual.py
@@ -1,4 +1,4 @@
-"""A fleet's day on the virtual clock: all members in one process, one seed, one history."""
+"""A fleet's scenario on the virtual clock: all members in one process, one seed, one history."""
 
 from __future__ import annotations
 
@@ -21,42 +21,45 @@
 from opalwick.lab.world.worker import Worker
 from opalwick.transport.pulse import Pulse
 
-AGENT = bytes([KIND])  # how words of the agents begin
-POLL = 0.25  # seconds between two looks at what members hold to be so
+AGENT = bytes([KIND])  # first byte of the agents' messages
+SAMPLE_PERIOD = 0.25  # seconds between two samples of the members' aggregates
 
 
-class Hosting(Process):
-    """What feeds a member's agent, as `program/core.py` does; and a member may be starved of CPU: each thing
-    that reaches it waits for its turn."""
+class AgentHost(Process):
+    """A process that runs a member's agent, as `program/core.py` does.
 
-    starved, free_at, taking_in = 0.0, 0.0, False
+    While it is starved of CPU, each event and timer that reaches it is queued.
+    """
+
+    starved, free_at, draining = 0.0, 0.0, False
     agent: Agent | None = None
-    agent_at = float("inf")
+    agent_wake_at = float("inf")
 
     def __init__(self, *fields: Any) -> None:
-        self.behind: deque[tuple[Entry, Any, Any, tuple]] = deque()  # waits for its turn, in order
+        # calls that wait for the CPU, in order
+        self.queued_calls: deque[tuple[Entry, Any, Any, tuple]] = deque()
         super().__init__(*fields)
 
-    def join(self, serial: int) -> None:
-        """Starts its agent, where the day has the part on."""
+    def join(self, incarnation: int) -> None:
+        """Starts the agent, where the scenario enables membership."""
         day = self.stage.fleet_day  # type: ignore[attr-defined]
         if "members" in day.parts:
-            seed = zlib.crc32(f"{self.world.seed}/agent/{self.i}/{serial}".encode())
-            self.agent = Agent(self.i, day.members, serial, self.now(), MemberTerms(), seed)
+            seed = zlib.crc32(f"{self.world.seed}/agent/{self.i}/{incarnation}".encode())
+            self.agent = Agent(self.i, day.members, incarnation, self.now(), MemberTerms(), seed)
             self.after(0.0, self.step)
 
     def step(self) -> None:
-        """What the agent wants done by now."""
+        """Carries out the agent's decisions that are due."""
         assert self.agent is not None
         self.agent.clock(self.now())
         changed = False
         for decision in self.agent.decisions():
             match decision:
-                case Send(to, octets):
-                    self.stage.word(self, to, octets)
-                case Wake(at) if at < self.agent_at or self.agent_at <= self.now():
-                    self.agent_at = at
-                    self.timer(max(0.0, at - self.now()), self.agent_due, at)
+                case Send(to, data):
+                    self.stage.word(self, to, data)
+                case Wake(at) if at < self.agent_wake_at or self.agent_wake_at <= self.now():
+                    self.agent_wake_at = at
+                    self.timer(max(0.0, at - self.now()), self.agent_timer_due, at)
                 case Event():
                     changed = True
                     if row := self.agent.record(decision):
@@ -64,84 +67,84 @@
         if changed:
             self.absent(self.agent.absent())
 
-    def agent_due(self, at: float) -> None:
-        if at == self.agent_at:  # else one that comes sooner was asked for since
-            self.agent_at = float("inf")
+    def agent_timer_due(self, at: float) -> None:
+        if at == self.agent_wake_at:  # else an earlier wake has been requested since
+            self.agent_wake_at = float("inf")
             self.step()
 
-    def absent(self, numbers: frozenset[int]) -> None:
-        """Members that are known not to be there."""
+    def absent(self, members: frozenset[int]) -> None:
+        """Called with the members that the agent holds absent."""
 
-    def for_agent(self, peer: int, octets: bytes) -> bool:
-        """Whether a word is the agent's."""
-        if not octets.startswith(AGENT):
+    def for_agent(self, peer: int, data: bytes) -> bool:
+        """Passes an agent's message on to the agent; False for any other message."""
+        if not data.startswith(AGENT):
             return False
         if self.agent is not None:
             self.agent.clock(self.now())
-            self.agent.receive(peer, octets)
+            self.agent.receive(peer, data)
             self.step()
         return True
 
     def resume(self, gap: float, calls: list[tuple]) -> None:
-        # what lies there is taken in one go, and first what had waited for its turn before that
-        before = [(call, fields) for _, _, call, fields in self.behind]
-        for entry, *_ in self.behind:
+        # all that has arrived is processed at once, calls that were queued before the pause first
+        before = [(call, fields) for _, _, call, fields in self.queued_calls]
+        for entry, *_ in self.queued_calls:
             entry.cancel()
-        self.behind.clear()
+        self.queued_calls.clear()
         self.free_at = self.agenda.now
         calls = [*before, *calls]
         if self.agent is not None and gap > Pulse.LATE:
             self.agent.clock(self.now())
             self.agent.after_stall()
             calls = [*calls, (self.step, ())]
-        self.taking_in = True
+        self.draining = True
         super().resume(gap, calls)
-        self.taking_in = False
+        self.draining = False
 
-    def turn(self, call: Any, fields: tuple, then: Any) -> None:
-        # a share of the core for the work itself, and the others' slices of some milliseconds before it; but
-        # no later than the judge is told, as what lies there is taken in one go
+    def enqueue(self, call: Any, fields: tuple, deliver: Any) -> None:
+        # The work itself takes a share of the core, after the other processes' slices of some milliseconds.
+        # The delay is bounded by what is recorded for the judge, as all arrived calls are processed at once.
         now, draw = self.agenda.now, self.world.draws.of(f"starved/{self.i}").random()
         begin = max(self.free_at, now + 0.005 * self.starved * draw)
         self.free_at = max(self.free_at, min(begin + 0.0005 * self.starved, now + STARVED * self.starved))
-        self.behind.append((self.agenda.at(self.free_at, self.next), then, call, fields))
+        self.queued_calls.append((self.agenda.at(self.free_at, self.run_next), deliver, call, fields))
 
-    def next(self) -> None:
-        if not self.still:  # else it goes on waiting until this one runs
-            _, then, call, fields = self.behind.popleft()
-            then(call, *fields)
+    def run_next(self) -> None:
+        if not self.still:  # else the call stays queued until the process is resumed
+            _, deliver, call, fields = self.queued_calls.popleft()
+            deliver(call, *fields)
 
-    def queued(self) -> bool:
-        """Nothing overtakes what waits there, even once it has its core back."""
-        return (self.starved > 0.0 or len(self.behind) > 0) and not self.still and not self.taking_in
+    def must_queue(self) -> bool:
+        """Whether a call must be queued: also after starvation, while the queue is not empty."""
+        return (self.starved > 0.0 or len(self.queued_calls) > 0) and not self.still and not self.draining
 
     def event(self, call: Any, *fields: Any) -> None:
-        if self.queued():
-            self.turn(call, fields, super().event)
+        if self.must_queue():
+            self.enqueue(call, fields, super().event)
         else:
             super().event(call, *fields)
 
     def elapsed(self, call: Any, *fields: Any) -> None:
-        if self.queued():
-            self.turn(call, fields, super().elapsed)
+        if self.must_queue():
+            self.enqueue(call, fields, super().elapsed)
         else:
             super().elapsed(call, *fields)
 
 
-class Member(Hosting, Scheduler):
-    """A scheduler of the fleet."""
+class Member(AgentHost, Scheduler):
+    """A scheduler of the fleet, with its agent."""
 
-    def __init__(self, stage: Host, i: int, known: list[tuple], serial: int) -> None:
-        super().__init__(stage, i, known, serial)
-        self.join(serial)
+    def __init__(self, stage: Host, i: int, known: list[tuple], incarnation: int) -> None:
+        super().__init__(stage, i, known, incarnation)
+        self.join(incarnation)
 
-    def heard(self, peer: int, octets: bytes) -> None:
-        if (self.waking and self.old_words) or self.for_agent(peer, octets):
-            return  # it may have lain there for as long; or it is no word of the reducer's
-        super().heard(peer, octets)
+    def heard(self, peer: int, data: bytes) -> None:
+        if (self.waking and self.old_words) or self.for_agent(peer, data):
+            return  # it may have waited for the whole pause, or it is the agent's
+        super().heard(peer, data)
 
-    def absent(self, numbers: frozenset[int]) -> None:
-        self.put("absent", numbers)
+    def absent(self, members: frozenset[int]) -> None:
+        self.put("absent", members)
 
     def die(self, crashed: bool) -> None:
         if self.agent is not None and not crashed:
@@ -151,34 +154,34 @@
         super().die(crashed)
 
 
-class Lone(Hosting):
-    """A member that does no work: its agent alone, for long and large days of membership."""
+class Lone(AgentHost):
+    """A member that runs its agent alone and no scheduler, for long and large membership scenarios."""
 
-    def __init__(self, stage: Host, i: int, known: list[tuple], serial: int) -> None:
+    def __init__(self, stage: Host, i: int, known: list[tuple], incarnation: int) -> None:
         super().__init__(stage, i)
         self.known, self.gap = known, 0.0
-        self.join(serial)
+        self.join(incarnation)
 
     def resume(self, gap: float, calls: list[tuple]) -> None:
         self.gap = gap
         super().resume(gap, calls)
         self.gap = 0.0
 
-    def heard(self, peer: int, octets: bytes) -> None:
+    def heard(self, peer: int, data: bytes) -> None:
         if self.gap <= Pulse.LONG:
-            self.for_agent(peer, octets)
+            self.for_agent(peer, data)
 
 
 class FleetStage(Stage):
-    """The members, and what faults do to them."""
+    """The members of a fleet on the virtual clock, and fault injection into their processes."""
 
     def __init__(self, day: FleetDay, seed: int, make: Make, process: Start = Member) -> None:
         self.fleet_day, self.rows = day, Ledger()
         self.twins: dict[int, Process] = {}
-        self.spoke: dict[int, Process] = {}  # by member: which process under its name sent last
+        self.last_sender: dict[int, Process] = {}  # by member: the process under its name that sent last
         self.store = Store(self.note)
         super().__init__(day.day(), seed, make, process)
-        self.first = list(self.kept)
+        self.initial_lists = list(self.kept)
         self.world.on_push = self.pushed
 
     def note(self, what: str, *fields: Any) -> None:
@@ -187,26 +190,26 @@
     def pushed(self, worker: Worker, share: float) -> None:
         self.note("pushed", worker.name, round(share, 3))
 
-    # ---- words
+    # ---- messages
 
-    def word(self, sender: Any, to: int, octets: bytes) -> None:
-        self.spoke[sender.i] = sender
+    def word(self, sender: Any, to: int, data: bytes) -> None:
+        self.last_sender[sender.i] = sender
         draw = self.world.draws.of(f"words/{sender.i}")
-        copies = self.world.word(sender.i, to, octets, draw)
-        self.note("word", sender.i, to, len(octets), octets[0] if octets else -1, len(copies))
-        way = self.world.way(sender.zone, to % len(self.day.zones), draw)
-        for late, said in copies:
+        copies = self.world.word(sender.i, to, data, draw)
+        self.note("word", sender.i, to, len(data), data[0] if data else -1, len(copies))
+        latency = self.world.way(sender.zone, to % len(self.day.zones), draw)
+        for delay, content in copies:
             if to < self.fleet_day.members:
-                self.world.agenda.after(way + late, self._heard, to, sender.i, said)
+                self.world.agenda.after(latency + delay, self._heard, to, sender.i, content)
             else:
-                self.world.agenda.after(way + late, self.store.heard, sender.i, said)
+                self.world.agenda.after(latency + delay, self.store.heard, sender.i, content)
 
-    def _heard(self, to: int, peer: int, octets: bytes) -> None:
+    def _heard(self, to: int, peer: int, data: bytes) -> None:
         found = self.running[to]
-        if (twin := self.twins.get(to)) is not None and self.spoke.get(to) is twin:
+        if (twin := self.twins.get(to)) is not None and self.last_sender.get(to) is twin:
             found = twin
         if found is not None:
-            found.event(found.heard, peer, octets)
+            found.event(found.heard, peer, data)
 
     # ---- processes
 
@@ -221,14 +224,14 @@
         super()._over(i, crashed)
 
     def start_old(self, i: int) -> None:
-        self.kept[i] = self.first[i]
+        self.kept[i] = self.initial_lists[i]
         self.start(i)
 
     def twin(self, i: int, there: bool) -> None:
         if there:
             self.starts[i] += 1
-            made = self.twins[i] = self.process(self, i, self.first[i], self.starts[i])
-            # it asks no list: what it is told would pass for told to the one whose name it bears
+            made = self.twins[i] = self.process(self, i, self.initial_lists[i], self.starts[i])
+            # without list calls, as answers to it would be recorded as answers to the member of that name
             made.watch = lambda wait: None  # type: ignore[attr-defined]
             self.note("twin", i, self.starts[i])
         elif (found := self.twins.pop(i, None)) is not None:
@@ -236,24 +239,24 @@
             self.note("twin_gone", i)
 
     def starve(self, i: int, size: float) -> None:
-        if isinstance(found := self.running[i], Hosting):
+        if isinstance(found := self.running[i], AgentHost):
             found.starved = size
 
     def memory(self, i: int, megabytes: float) -> None:
-        """Not on this clock."""
+        """Not supported on the virtual clock."""
 
     def by_hand(self, i: int, worker: str, out: bool) -> None:
         if (found := self.running[i]) is not None:
             found.event(found.put, "disabled" if out else "enabled", worker)
 
-    # ---- what members hold to be so
+    # ---- samples of the members' aggregates
 
-    def look(self) -> None:
+    def sample_aggregates(self) -> None:
         for i, found in enumerate(self.running):
             if isinstance(found, Scheduler) and not found.still:
                 for what, *fields in found.reducer.aggregation_state(found.now()):
                     self.note("holds", i, what, *[round(x, 4) for x in fields])
-        self.world.agenda.after(POLL, self.look)
+        self.world.agenda.after(SAMPLE_PERIOD, self.sample_aggregates)
 
 
 def play(
@@ -263,12 +266,15 @@
     process: Start = Member,
     told: Callable[[float], None] = lambda _: None,
 ) -> dict[str, Any]:
-    """The history of one day: of work items as every day's, and under "fleet" that of the members."""
+    """Plays a scenario and returns the history of its work items, with that of the members under "fleet".
+
+    `told`: called with the elapsed seconds of the scenario.
+    """
     stage = FleetStage(day, seed, make or maker("opalwick"), process)
     world = stage.world
     scene = Scene(day, world, stage, stage.rows)
     scene.begin("virtual", told)
-    stage.look()
+    stage.sample_aggregates()
     world.agenda.run(day.length + max(k.expiry for k in day.categories) + 1.5)
     return history(
         day, scene, "virtual", SLACK + 3.0 * day.network.slowest() + 2.0 * day.network.client, HELD
@@ -276,6 +282,7 @@
 
 
 def history(day: FleetDay, scene: Scene, clock: str, slack: float, held: float) -> dict[str, Any]:
+    """The history of a played scenario; `slack` and `held` are the judge's tolerances in seconds."""
     bounds = {name: float(getattr(day.bounds, name)) for name in day.bounds.__struct_fields__}
     return {
         **scene.world.head("opalwick", clock, slack, held),
--- a/opalwick/lab/world/ways.py
+++ b/opalwick/lab/world/ways.py
@@ -1,4 +1,4 @@
-"""What becomes of a word between two members: every fault on its way does its part. No input or output."""
+"""Faults on links between members, applied in turn to each message. Free of I/O."""
 
 from __future__ import annotations
 
@@ -6,118 +6,132 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-Copies = list[tuple[float, bytes]]  # how late each copy is, in seconds, and what it says; none: lost
+Copies = list[tuple[float, bytes]]  # delay in seconds and content of each delivered copy; none: lost
 
 
-class Way(NamedTuple):
+class Transmission(NamedTuple):
+    """One message on a link; `now` in seconds of the scenario."""
+
     now: float
-    one: int
-    other: int
+    sender: int
+    receiver: int
     draw: random.Random
 
 
-class Spell:
-    """One fault's doing, on the ways from some members to some others."""
+class LinkFault:
+    """One fault, on the links from some members to some others."""
 
     def __init__(self, blocks: Iterable[tuple[Iterable[int], Iterable[int]]]) -> None:
-        """Blocks of (from, to): all ways from any of the first to any of the second."""
-        self.blocks = [(frozenset(ones), frozenset(others)) for ones, others in blocks]
+        """`blocks` of (from, to): all links from any of the first to any of the second."""
+        self.blocks = [(frozenset(senders), frozenset(receivers)) for senders, receivers in blocks]
 
-    def hits(self, one: int, other: int) -> bool:
-        return any(one in ones and other in others for ones, others in self.blocks)
+    def applies_to(self, sender: int, receiver: int) -> bool:
+        return any(sender in senders and receiver in receivers for senders, receivers in self.blocks)
 
-    def pass_on(self, copies: Copies, way: Way) -> Copies:
+    def apply(self, copies: Copies, transmission: Transmission) -> Copies:
+        """The copies that are left, each with its delay and content."""
         raise NotImplementedError
 
 
-class Cut(Spell):
-    def pass_on(self, copies: Copies, way: Way) -> Copies:
+class Cut(LinkFault):
+    def apply(self, copies: Copies, transmission: Transmission) -> Copies:
         return []
 
 
-class Loss(Spell):
+class Loss(LinkFault):
     share = 0.0
 
-    def pass_on(self, copies: Copies, way: Way) -> Copies:
-        return [copy for copy in copies if way.draw.random() >= self.share]
+    def apply(self, copies: Copies, transmission: Transmission) -> Copies:
+        return [copy for copy in copies if transmission.draw.random() >= self.share]
 
 
-class Bursts(Spell):
-    """Gilbert 1960 and Elliott 1963: a good and a bad state, each for an exponential time; in the bad one all
-    is lost."""
+class Bursts(LinkFault):
+    """Gilbert-Elliott loss (Gilbert 1960, Elliott 1963): a passing and a lossy state, each of exponentially
+    distributed duration; in the lossy state all messages are lost."""
 
-    share, bad = 0.0, 0.5  # of the time; seconds that a bad spell lasts in the mean
+    share, lossy_s = 0.0, 0.5  # share of the time in the lossy state; its mean duration in seconds
 
     def __init__(self, blocks: Iterable[tuple[Iterable[int], Iterable[int]]]) -> None:
         super().__init__(blocks)
-        self.state: dict[tuple[int, int], tuple[bool, float]] = {}  # whether it is good, and until when
+        self.state: dict[tuple[int, int], tuple[bool, float]] = {}  # whether messages pass, and until when
 
-    def pass_on(self, copies: Copies, way: Way) -> Copies:
-        key, draw = (way.one, way.other), way.draw
+    def apply(self, copies: Copies, transmission: Transmission) -> Copies:
+        key, draw = (transmission.sender, transmission.receiver), transmission.draw
         if key not in self.state:
-            good = draw.random() >= self.share
-            self.state[key] = good, way.now + self.spell(good, draw)
-        good, until = self.state[key]
-        while until <= way.now:
-            good, until = not good, until + self.spell(not good, draw)
-        self.state[key] = good, until
-        return copies if good else []
-
-    def spell(self, good: bool, draw: random.Random) -> float:
-        mean = self.bad * (1.0 - self.share) / self.share if good else self.bad
+            passing = draw.random() >= self.share
+            self.state[key] = passing, transmission.now + self.duration(passing, draw)
+        passing, until = self.state[key]
+        while until <= transmission.now:
+            passing, until = not passing, until + self.duration(not passing, draw)
+        self.state[key] = passing, until
+        return copies if passing else []
+
+    def duration(self, passing: bool, draw: random.Random) -> float:
+        mean = self.lossy_s * (1.0 - self.share) / self.share if passing else self.lossy_s
         return max(1e-3, draw.expovariate(1.0 / mean))
 
 
-class Late(Spell):
-    by, spread = 0.0, False  # seconds; whether each has its own up to that
+class Late(LinkFault):
+    by, spread = 0.0, False  # delay in seconds; whether each message draws its own up to that
 
-    def pass_on(self, copies: Copies, way: Way) -> Copies:
+    def apply(self, copies: Copies, transmission: Transmission) -> Copies:
         return [
-            (late + self.by * (way.draw.random() if self.spread else 1.0), octets) for late, octets in copies
+            (delay + self.by * (transmission.draw.random() if self.spread else 1.0), data)
+            for delay, data in copies
         ]
 
 
-class Doubled(Spell):
+class Doubled(LinkFault):
+    """Delivers a share of the messages twice, the second copy up to a second later."""
+
     share = 0.0
 
-    def pass_on(self, copies: Copies, way: Way) -> Copies:
-        draw = way.draw
-        again = [(late + draw.random(), octets) for late, octets in copies if draw.random() < self.share]
+    def apply(self, copies: Copies, transmission: Transmission) -> Copies:
+        draw = transmission.draw
+        again = [(delay + draw.random(), data) for delay, data in copies if draw.random() < self.share]
         return copies + again
 
 
-class Changed(Spell):
+class Changed(LinkFault):
+    """Changes one byte of a share of the messages."""
+
     share = 0.0
 
-    def pass_on(self, copies: Copies, way: Way) -> Copies:
-        return [(late, self.change(octets, way.draw)) for late, octets in copies]
+    def apply(self, copies: Copies, transmission: Transmission) -> Copies:
+        return [(delay, self.change(data, transmission.draw)) for delay, data in copies]
 
-    def change(self, octets: bytes, draw: random.Random) -> bytes:
-        if not octets or draw.random() >= self.share:
-            return octets
-        at = int(draw.random() * len(octets))
-        return octets[:at] + bytes([octets[at] ^ 1 + int(draw.random() * 255)]) + octets[at + 1 :]
+    def change(self, data: bytes, draw: random.Random) -> bytes:
+        if not data or draw.random() >= self.share:
+            return data
+        at = int(draw.random() * len(data))
+        return data[:at] + bytes([data[at] ^ 1 + int(draw.random() * 255)]) + data[at + 1 :]
 
 
-class LargeLost(Spell):
+class LargeLost(LinkFault):
+    """Loses messages longer than `most` bytes."""
+
     most = 0.0
 
-    def pass_on(self, copies: Copies, way: Way) -> Copies:
+    def apply(self, copies: Copies, transmission: Transmission) -> Copies:
         return [copy for copy in copies if len(copy[1]) <= self.most]
 
 
-class KindLost(Spell):
-    def pass_on(self, copies: Copies, way: Way) -> Copies:
+class KindLost(LinkFault):
+    """Loses messages whose first byte is odd: every second kind of message."""
+
+    def apply(self, copies: Copies, transmission: Transmission) -> Copies:
         return [copy for copy in copies if not (copy[1] and copy[1][0] % 2)]
 
 
-class Ways:
+class LinkFaults:
+    """The faults that are active, in the order in which they are applied."""
+
     def __init__(self) -> None:
-        self.spells: list[Spell] = []
+        self.active: list[LinkFault] = []
 
-    def pass_on(self, now: float, one: int, other: int, octets: bytes, draw: random.Random) -> Copies:
-        copies: Copies = [(0.0, octets)]
-        for spell in self.spells:
-            if copies and spell.hits(one, other):
-                copies = spell.pass_on(copies, Way(now, one, other, draw))
+    def apply(self, now: float, sender: int, receiver: int, data: bytes, draw: random.Random) -> Copies:
+        copies: Copies = [(0.0, data)]
+        for fault in self.active:
+            if copies and fault.applies_to(sender, receiver):
+                copies = fault.apply(copies, Transmission(now, sender, receiver, draw))
         return copies
--- a/opalwick/lab/world/world.py
+++ b/opalwick/lab/world/world.py
@@ -12,7 +12,7 @@
 from opalwick.lab.ledger import Ledger
 from opalwick.lab.world.clients import Clients
 from opalwick.lab.world.listing import Listing
-from opalwick.lab.world.ways import Copies, Ways
+from opalwick.lab.world.ways import Copies, LinkFaults
 from opalwick.lab.world.worker import Marks, Worker
 
 AGAIN = 0.2  # seconds after which a connection says again what was lost, doubled each time: Linux' least
@@ -65,7 +65,7 @@
         self.agenda = agenda or Agenda()
         self.ledger, self.draws, self.marks = Ledger(), Draws(seed), Marks()
         self.names = [f"s{i}" for i in range(day.schedulers)]
-        self.links, self.ways = Links(), Ways()
+        self.links, self.link_faults = Links(), LinkFaults()
         self.workers: dict[str, Worker] = {}
         self.count = 0
         for kind, model in enumerate(day.models):
@@ -175,13 +175,13 @@
         zones = len(self.day.zones)
         if self.lossy and one % zones != other % zones and draw.random() < self.lossy:
             return []
-        if not self.ways.spells:
+        if not self.link_faults.active:
             return [(late, octets) for late in fate]
         now = self.agenda.now
         return [
             (late + more, changed)
             for late in fate
-            for more, changed in self.ways.pass_on(now, one, other, octets, draw)
+            for more, changed in self.link_faults.apply(now, one, other, octets, draw)
         ]
 
     def number(self) -> int:
