--- a/opalwick/lab/fleet/agents.py
+++ b/opalwick/lab/fleet/agents.py
@@ -1,9 +1,9 @@
-"""Stand-in members: small programs of one's own in the place of schedulers, on both clocks.
+"""Stand-in members: small test programs instead of schedulers, on both clocks.
 
-An agent is free of I/O and clocks. It gets the time, words and its own wakes; what it does lies in `out`: a
-word to a member, a wake, or a row of what it holds to be so and does. `Standing` runs it on the virtual
-clock, `main` as a process of its own. A word to the number after the last member goes to the lab's store,
-which takes acts, each with its duty and number, and refuses one older than what it has heard.
+An agent is free of I/O and clocks. Its inputs are the time, messages and its own timers; its outputs lie in
+`out`: messages to members and rows of what it believes and does. `Standing` runs it on the virtual clock,
+`main` as a process of its own. A message to the number after the last member goes to the lab's store, which
+accepts acts, each with its lease and number, and rejects one that is older than the newest received.
 """
 
 from __future__ import annotations
@@ -20,53 +20,55 @@
 
 
 class Agent:
+    """Base of a stand-in; `life` is the number of its process incarnation, `now` its clock in seconds."""
+
     def __init__(self, me: int, members: int, life: int, now: float) -> None:
         self.me, self.members, self.life, self.now = me, members, life, now
         self.out: list[tuple] = []
         self.wake_at = now
 
-    # ---- what a stand-in fills in
+    # ---- inputs, for subclasses to implement
 
     def begins(self) -> None: ...
 
-    def hears(self, sender: int, told: dict[str, Any]) -> None: ...
+    def hears(self, sender: int, fields: dict[str, Any]) -> None: ...
 
     def wakes(self) -> None: ...
 
-    # ---- what it does
+    # ---- outputs
 
-    def send(self, to: int, **told: Any) -> None:
-        self.out.append(("send", to, json.dumps(told, separators=(",", ":")).encode()))
+    def send(self, to: int, **fields: Any) -> None:
+        self.out.append(("send", to, json.dumps(fields, separators=(",", ":")).encode()))
 
-    def tell_all(self, **told: Any) -> None:
+    def tell_all(self, **fields: Any) -> None:
         for to in range(self.members):
             if to != self.me:
-                self.send(to, **told)
+                self.send(to, **fields)
 
     def row(self, what: str, *fields: Any) -> None:
-        """Times among the fields are its own clock's, given as `self.when(seconds)`."""
+        """Records a row. Times among the fields are of its own clock, given as `self.when(seconds)`."""
         self.out.append(("row", what, fields))
 
     @staticmethod
     def when(at: float) -> dict[str, float]:
         return {"at": at}
 
-    # ---- what happens to it
+    # ---- calls by the host
 
     def begin(self, now: float) -> None:
         self.now = now
         self.begins()
 
-    def heard(self, now: float, sender: int, octets: bytes) -> None:
+    def heard(self, now: float, sender: int, data: bytes) -> None:
         self.now = now
         try:
-            told = json.loads(octets)
+            fields = json.loads(data)
         except ValueError:
             return
-        if isinstance(told, dict):
-            self.hears(sender, told)
+        if isinstance(fields, dict):
+            self.hears(sender, fields)
 
-    def woken(self, now: float) -> None:
+    def wake_due(self, now: float) -> None:
         self.now = now
         self.wakes()
 
@@ -75,88 +77,91 @@
 
 
 class Store:
-    """Takes acts for the fleet, each with its duty's number; refuses what is older than what it has heard."""
+    """Accepts acts, each with its lease's number; rejects one that is older than the newest received.
+
+    An act with `checked` false is accepted regardless.
+    """
 
     def __init__(self, note: Callable[..., None]) -> None:
         self.note = note
         self.numbers: dict[str, int] = {}
 
-    def heard(self, sender: int, octets: bytes) -> None:
+    def heard(self, sender: int, data: bytes) -> None:
         try:
-            told = json.loads(octets)
-            duty, number, life = str(told["act"]), int(told["n"]), int(told["life"])
+            fields = json.loads(data)
+            lease, number, life = str(fields["act"]), int(fields["n"]), int(fields["life"])
         except (ValueError, KeyError, TypeError):
             return
-        newest = self.numbers.get(duty, -1)
-        checks = bool(told.get("checked", True))
-        took = number >= newest or not checks
-        self.numbers[duty] = max(newest, number)
-        self.note("acted", duty, number, sender, life, took)
+        newest = self.numbers.get(lease, -1)
+        checked = bool(fields.get("checked", True))
+        effective = number >= newest or not checked
+        self.numbers[lease] = max(newest, number)
+        self.note("acted", lease, number, sender, life, effective)
 
 
 class Standing(Process):
-    """An agent on the virtual clock; a subclass names its maker."""
+    """Runs an agent on the virtual clock; a subclass sets the class of the agent."""
 
     agent: MakeAgent
 
     def __init__(self, stage: Host, i: int, known: list[tuple], serial: int) -> None:
         super().__init__(stage, i)
         self.known, self.life = known, serial
-        self.inside = type(self).agent(i, stage.day.schedulers, serial, self.now())
+        self.agent_program = type(self).agent(i, stage.day.schedulers, serial, self.now())
         self.wake_at = float("inf")
         self.after(0.0, self.begin)
 
     def begin(self) -> None:
-        self.inside.begin(self.now())
-        self.carry_out()
+        self.agent_program.begin(self.now())
+        self.flush()
 
-    def heard(self, peer: int, octets: bytes) -> None:
-        self.inside.heard(self.now(), peer, octets)
-        self.carry_out()
+    def heard(self, peer: int, data: bytes) -> None:
+        self.agent_program.heard(self.now(), peer, data)
+        self.flush()
 
-    def woken(self) -> None:
+    def wake_due(self) -> None:
         self.wake_at = float("inf")
-        self.inside.woken(self.now())
-        self.carry_out()
+        self.agent_program.wake_due(self.now())
+        self.flush()
 
-    def carry_out(self) -> None:
-        out, self.inside.out = self.inside.out, []
+    def flush(self) -> None:
+        out, self.agent_program.out = self.agent_program.out, []
         for what, *fields in out:
             if what == "send":
                 self.stage.word(self, *fields)  # type: ignore[arg-type]
             else:
                 name, values = fields
-                self.stage.note(name, self.i, self.life, *map(self.plain, values))  # type: ignore[attr-defined]
-        if self.inside.wake_at < self.wake_at:
-            self.wake_at = self.inside.wake_at
-            self.timer(max(0.0, self.wake_at - self.now()), self.woken)
+                self.stage.note(name, self.i, self.life, *map(self.lab_time, values))  # type: ignore[attr-defined]
+        if self.agent_program.wake_at < self.wake_at:
+            self.wake_at = self.agent_program.wake_at
+            self.timer(max(0.0, self.wake_at - self.now()), self.wake_due)
 
-    def plain(self, value: Any) -> Any:
-        """Times of its own clock as the lab's, in whole microseconds."""
+    def lab_time(self, value: Any) -> Any:
+        """Converts a time of its own clock to the lab's, in whole microseconds."""
         if isinstance(value, dict):
             return round((value["at"] - START) / self.rate * 1e6)
         return value
 
 
 def main(make: MakeAgent) -> None:
-    """A process of its own: `FILE CONFIGURATION`, as the lab's sockets start it."""
+    """Runs an agent as a process; the first argument is the path of its JSON configuration."""
     with open(sys.argv[1]) as file:
-        given = json.load(file)
-    peers = [tuple(place) for place in given["peers"]]
+        settings = json.load(file)
+    addresses = [tuple(address) for address in settings["peers"]]
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    sock.bind(tuple(given["listen"]))
+    sock.bind(tuple(settings["listen"]))
     sock.setblocking(False)
-    numbers = {place: i for i, place in enumerate(peers)}
-    agent = make(given["me"], given["members"], given["life"], time.monotonic())
-    with open(given["rows"], "a") as rows:
+    numbers = {address: i for i, address in enumerate(addresses)}
+    agent = make(settings["me"], settings["members"], settings["life"], time.monotonic())
+    with open(settings["rows"], "a") as rows:
 
-        def carry_out() -> None:
+        def flush() -> None:
             out, agent.out = agent.out, []
             for what, *fields in out:
                 if what == "send":
-                    to, octets = fields
+                    to, data = fields
                     try:
-                        sock.sendto(octets, peers[to])
+                        sock.sendto(data, addresses[to])
                     except OSError:
                         pass
                 else:
@@ -166,16 +171,16 @@
 
         agent.begin(time.monotonic())
         agent.row("ready")
-        carry_out()
+        flush()
         while True:
             ready, _, _ = select.select([sock], [], [], max(0.0, agent.wake_at - time.monotonic()))
             if ready:
                 try:
-                    octets, sender = sock.recvfrom(2048)
+                    data, sender = sock.recvfrom(2048)
                 except OSError:
                     continue
                 if sender in numbers:
-                    agent.heard(time.monotonic(), numbers[sender], octets)
+                    agent.heard(time.monotonic(), numbers[sender], data)
             if time.monotonic() >= agent.wake_at:
-                agent.woken(time.monotonic())
-            carry_out()
+                agent.wake_due(time.monotonic())
+            flush()
--- a/opalwick/lab/fleet/day.py
+++ b/opalwick/lab/fleet/day.py
@@ -1,4 +1,4 @@
-"""A fleet's day: who is there, what goes wrong between them, what is promised. Checked whole before use."""
+"""A fleet's scenario: members, faults and bounds. It is validated as a whole before use."""
 
 from __future__ import annotations
 
@@ -16,35 +16,37 @@
 from opalwick.lab.fleet.kinds import KINDS, PARTS
 
 BUILT_IN = Path(__file__).parent / "days"
-# descriptors of the lab's own process a member: its relay, its list service, clients' and kept connections
+# file descriptors of the lab's process per member: relay, list service, clients' and idle connections
 DESCRIPTORS = 12
 
 
 class Fault(Struct, forbid_unknown_fields=True):
+    """One injected fault; `at` and `lasts` in seconds."""
+
     kind: str
     at: Seconds
     lasts: Seconds = Seconds(5)
-    part: float = 0.25  # of the members (or workers, or pairs) that it may meet
-    size: float = 0.0  # what it means the catalogue tells; 0: its usual size
-    of: list[str] = []  # members (s3) or groups by name that it meets, instead of a part drawn
-    to: list[str] = []  # for ways: where they lead; none: to all
+    part: float = 0.25  # share of the members (or workers, or pairs) that it affects
+    size: float = 0.0  # its meaning depends on the kind; 0: the default size
+    of: list[str] = []  # affected members (s3) or groups by name, instead of a drawn share
+    to: list[str] = []  # for links: their receivers; empty: all
 
 
 class Bounds(Struct, forbid_unknown_fields=True):
-    """What is promised; the judge holds each part that is on to its own."""
-
-    detect: Seconds = Seconds(5)  # a crash is known to every live, connected member
-    pause: Seconds = Seconds(2)  # a shorter one is never a death
-    false: Seconds = Seconds(2)  # no live member that a chain of two reaches is held gone for longer
-    agree: Seconds = Seconds(5)  # after a heal all views agree
-    vacant: Seconds = Seconds(5)  # with a majority connected a duty has an owner again
-    stale: Seconds = Seconds(5)  # age of what is acted on, while the links are up
+    """Bounds that the judge checks, each for the parts that are enabled."""
+
+    detect: Seconds = Seconds(5)  # until a crash is detected by every live, connected member
+    pause: Seconds = Seconds(2)  # a shorter pause must not be held a crash
+    false: Seconds = Seconds(2)  # no live member reached over at most two hops is held gone for longer
+    agree: Seconds = Seconds(5)  # after a partition has healed all views agree
+    vacant: Seconds = Seconds(5)  # with a majority connected a lease has an owner again
+    stale: Seconds = Seconds(5)  # age of data that is acted on, while the links are up
     unused: float = 1.0  # share of a limit, while there was demand
-    longest: int = 256  # octets of a word
+    longest: int = 256  # bytes of a message
 
 
 def _categories() -> list[Kind]:
-    """Of each effect one, so that every rule can be broken."""
+    """One category of each effect, so that every rule can be violated."""
     ms = Seconds
     return [
         Kind("look", 0.5, ms(0.06), 1.5, due=ms(0.15), expiry=ms(5), credit=2.0),
@@ -64,12 +66,14 @@
 
 
 class FleetDay(Struct, forbid_unknown_fields=True):
+    """A scenario of a fleet, as its TOML file has it; `length` in seconds."""
+
     title: str
     length: Seconds
     members: int = 12
     groups: list[str] = field(default_factory=lambda: ["east", "west"])
     parts: list[str] = field(default_factory=lambda: ["sums"])
-    workers: int = 18  # where no models are given: so many of four slots
+    workers: int = 18  # number of workers of four slots, where no models are given
     models: list[Model] = []
     categories: list[Kind] = field(default_factory=_categories)
     load: Load = field(default_factory=lambda: Load(fill=0.4))
@@ -81,7 +85,7 @@
     faults: list[Fault] = []
 
     def day(self) -> Day:
-        """The same as a day of work items; the faults between members are `fleet/faults.py`'s."""
+        """The same as a scenario of work items, without the faults; `fleet/faults.py` injects those."""
         return Day(
             title=self.title,
             length=self.length,
@@ -97,7 +101,11 @@
         )
 
     def named(self, names: list[str]) -> list[int]:
-        """Members by their own names or their groups'. KeyError for one that is neither."""
+        """Members by their own names or their groups'.
+
+        Raises:
+            KeyError: for a name of neither.
+        """
         found: dict[int, None] = {}
         for name in names:
             if name in self.groups:
@@ -111,67 +119,74 @@
 
 
 def descriptors() -> int:
+    """The soft limit of open file descriptors."""
     return resource.getrlimit(resource.RLIMIT_NOFILE)[0]
 
 
 def _check(found: FleetDay, text: str, name: str) -> None:
-    def wrong(path: list[str | int], why: str) -> InvalidFile:
+    def invalid(path: list[str | int], why: str) -> InvalidFile:
         return fault_at(text, name, path, why, BadDay)
 
     if not 1 <= found.members <= 1000:
-        raise wrong(["members"], f"{found.members} is not from 1 to 1000")
+        raise invalid(["members"], f"{found.members} is not from 1 to 1000")
     if len(set(found.groups)) < len(found.groups):
-        raise wrong(["groups"], "a group stands twice")
+        raise invalid(["groups"], "a group is listed twice")
     if len(found.groups) > found.members:
-        raise wrong(["groups"], "more groups than members: each needs one")
+        raise invalid(["groups"], "more groups than members: each needs one")
     if not found.models and not 1 <= found.workers <= 5000:
-        raise wrong(["workers"], f"{found.workers} is not from 1 to 5000")
+        raise invalid(["workers"], f"{found.workers} is not from 1 to 5000")
     for i, part in enumerate(found.parts):
         if part not in PARTS:
-            raise wrong(["parts"], f"{part!r} is no part of the program: there is {', '.join(PARTS)}")
+            raise invalid(["parts"], f"{part!r} is no part of the program: there is {', '.join(PARTS)}")
         if part in found.parts[:i]:
-            raise wrong(["parts"], f"{part!r} stands twice")
+            raise invalid(["parts"], f"{part!r} is listed twice")
     for i, fault in enumerate(found.faults):
         at: list[str | int] = ["faults", i]
         if fault.kind not in KINDS:
-            raise wrong([*at, "kind"], f"{fault.kind!r} is none of {', '.join(sorted(KINDS))}")
+            raise invalid([*at, "kind"], f"{fault.kind!r} is none of {', '.join(sorted(KINDS))}")
         kind = KINDS[fault.kind]
         if fault.at >= found.length:
-            raise wrong([*at, "at"], "it begins after the day's end")
+            raise invalid([*at, "at"], "the fault begins after the end of the scenario")
         if not 0.0 <= fault.part <= 1.0:
-            raise wrong([*at, "part"], f"{fault.part:g} is not from 0 to 1")
+            raise invalid([*at, "part"], f"{fault.part:g} is not from 0 to 1")
         if not 0.0 <= fault.size <= 1e4:
-            raise wrong([*at, "size"], f"{fault.size:g} is not from 0 to 10000")
+            raise invalid([*at, "size"], f"{fault.size:g} is not from 0 to 10000")
         ends = []
         for key in ("of", "to"):
             try:
                 ends.append(found.named(getattr(fault, key)))
             except KeyError as who:
-                raise wrong(
+                raise invalid(
                     [*at, key], f"{who.args[0]!r} is no member (s0 to s{found.members - 1}) and no group"
                 ) from None
         if fault.to and not kind.pairs:
-            raise wrong([*at, "to"], f"{fault.kind} is about members, and not about ways to others")
+            raise invalid([*at, "to"], f"{fault.kind} is about members, and not about links to others")
         if kind.pairs and ends[0] and ends[1] and not {(i, j) for i in ends[0] for j in ends[1] if i != j}:
-            raise wrong([*at, "to"], "a way from a member to itself is none")
+            raise invalid([*at, "to"], "a link from a member to itself is not possible")
     check_day(found.day(), text, name)
 
 
 def parse(text: str, name: str) -> FleetDay:
-    """BadDay for what is none."""
+    """Reads a scenario from TOML; `name` appears in error messages.
+
+    Raises:
+        BadDay: where it is invalid.
+    """
     found = decode(text, name, FleetDay, BadDay)
     _check(found, text, name)
     return found
 
 
 def built_in() -> list[str]:
+    """Names of the built-in scenarios."""
     return others(BUILT_IN)
 
 
 def read(which: str) -> FleetDay:
-    """A built-in day by its name (`fleet:NAME` where days of work items have the same), else a file.
+    """A built-in scenario by its name (`fleet:NAME` where one of work items has the same), else a file.
 
-    BadDay for what is no fleet's day.
+    Raises:
+        BadDay: where it is not a valid fleet scenario.
     """
     which = which.removeprefix("fleet:")
     path, text = text_of(which, BUILT_IN, "fleet day")
@@ -179,7 +194,7 @@
 
 
 def is_fleet(which: str) -> bool:
-    """Whether a name or a file means a fleet's day rather than one of work items alone."""
+    """Whether a name or a file denotes a fleet's scenario rather than one of work items alone."""
     if which.startswith("fleet:"):
         return True
     if "/" not in which and (BUILT_IN / f"{which}.toml").is_file():
@@ -191,7 +206,11 @@
 
 
 def fits(day: FleetDay, members: int) -> FleetDay:
-    """The day with so many members, for `--members`; what is named must be among them."""
+    """The scenario with this number of members, for `--members`.
+
+    Raises:
+        BadDay: where a fault names a member that no longer exists.
+    """
     changed = msgspec.structs.replace(day, members=members)
     _check(changed, write(changed), f"--members {members}")
     return changed
--- a/opalwick/lab/fleet/report.py
+++ b/opalwick/lab/fleet/report.py
@@ -1,4 +1,4 @@
-"""A fleet's day as one HTML page: a row a member over time, faults as bands, what each held and owned."""
+"""A fleet's scenario as one HTML page: a row per member over time, faults as bands, leases and beliefs."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def _members(history: dict[str, Any]) -> str:
-    """Who ran, stood still or was gone; whom others held gone as dots; who owned what as bars."""
+    """Members that ran, were paused or down; dots: held gone by some member; bars: owners of leases."""
     from matplotlib.figure import Figure
 
     fleet, truth, end = history["fleet"], GroundTruth(history["fleet"]), history["length"]
@@ -44,11 +44,11 @@
     for row in fleet["rows"]:
         if row[1] == "claims":
             claims[row[4]].append((row[0] / 1e6, min(end, row[6] / 1e6), row[2]))
-    for k, (duty, found) in enumerate(sorted(claims.items())):
+    for k, (lease, found) in enumerate(sorted(claims.items())):
         colour = _OWNERS[k % len(_OWNERS)]
         for begin, until, member in found:
             axis.broken_barh([(begin, until - begin)], (member - 0.15, 0.3), facecolors=colour)
-        axis.plot([], [], color=colour, lw=4, label=f"owns {duty}")
+        axis.plot([], [], color=colour, lw=4, label=f"owns {lease}")
     _bands(axis, history["faults"])
     axis.set_xlim(0, end)
     axis.set_ylim(n - 0.4, -0.6)
@@ -58,33 +58,33 @@
     return svg(figure)
 
 
-def _sums(history: dict[str, Any]) -> str:
-    """Age of the sums that members hold, a line a zone: the median and the worst."""
+def _aggregates(history: dict[str, Any]) -> str:
+    """Age of the load aggregates that members hold, a line per zone: the median and the worst."""
     from matplotlib.figure import Figure
 
-    held: dict[int, dict[int, list[float]]] = defaultdict(lambda: defaultdict(list))
+    ages: dict[int, dict[int, list[float]]] = defaultdict(lambda: defaultdict(list))
     for row in history["fleet"]["rows"]:
         if row[1] == "holds" and row[3] == "sums":
-            held[row[4]][row[0] // 250_000].append(min(row[6], 3.0))
-    if not held:
+            ages[row[4]][row[0] // 250_000].append(min(row[6], 3.0))
+    if not ages:
         return ""
     figure = Figure(figsize=(11.0, 2.6))
     axis = figure.subplots()
-    for zone, looks in sorted(held.items()):
-        x = [at * 0.25 for at in sorted(looks)]
+    for zone, samples in sorted(ages.items()):
+        x = [at * 0.25 for at in sorted(samples)]
         [line] = axis.plot(
-            x, [sorted(looks[at])[len(looks[at]) // 2] for at in sorted(looks)], label=f"zone {zone}"
+            x, [sorted(samples[at])[len(samples[at]) // 2] for at in sorted(samples)], label=f"zone {zone}"
         )
-        axis.plot(x, [max(looks[at]) for at in sorted(looks)], color=line.get_color(), lw=0.5, ls=":")
+        axis.plot(x, [max(samples[at]) for at in sorted(samples)], color=line.get_color(), lw=0.5, ls=":")
     _bands(axis, history["faults"])
     axis.set_xlim(0, history["length"])
-    axis.set_ylabel("age of sums, s (3: or more)")
+    axis.set_ylabel("age of load aggregates, s (3: or more)")
     axis.legend(fontsize=7)
-    return "<h2>Sums</h2>" + svg(figure)
+    return "<h2>Load aggregates</h2>" + svg(figure)
 
 
 def _limits(history: dict[str, Any]) -> str:
-    """What all spent together, an area a member, against the limit."""
+    """Total spending, an area per member, against the limit."""
     from matplotlib.figure import Figure
 
     rows = history["fleet"]["rows"]
@@ -108,6 +108,7 @@
 
 
 def page(history: dict[str, Any], report: dict[str, Any]) -> str:
+    """The whole HTML page."""
     title, fleet = html.escape(history["title"]), report["fleet"]
     rows = [
         f"<tr class=bad><td>{one['at']:.3f}</td><td class=l>{html.escape(one['property'])}</td>"
@@ -129,11 +130,11 @@
             f"<!doctype html><meta charset=utf-8><title>{title}</title><style>{STYLE}</style>",
             f"<h1>{title}</h1>",
             f"<p>seed {history['seed']}, {history['clock']} clock, {fleet['members']} members; "
-            f"figure {report['figure']:.4f}, {report['taken']} work items taken.</p>",
+            f"figure {report['figure']:.4f}, {report['taken']} work items accepted.</p>",
             f"<p class=bad>Void: {html.escape(report['void'])}</p>" if report["void"] else "",
-            f"<h2>Broken</h2><table>{table}{''.join(rows)}</table>" if rows else "<p>Nothing broken.</p>",
+            f"<h2>Violations</h2><table>{table}{''.join(rows)}</table>" if rows else "<p>No violations.</p>",
             f"<h2>Members</h2>{_members(history)}",
-            _sums(history),
+            _aggregates(history),
             _limits(history),
             f"<h2>Figures</h2><pre>{html.escape(json.dumps(figures, indent=1))}</pre>",
         ]
--- a/opalwick/lab/fleet/run.py
+++ b/opalwick/lab/fleet/run.py
@@ -1,4 +1,4 @@
-"""One fleet's day, played and judged twice: by the four rules, and by what the fleet promises."""
+"""Plays a fleet's scenario and checks its history: by the four rules, and by the fleet's invariants."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def reported(history: dict[str, Any]) -> tuple[dict[str, Any], dict[str, Any]]:
-    """The report, with its "fleet", and the series of work items."""
+    """The report, with its "fleet" section, and the time series of work items."""
     report, drawn = judged(history)
     rows = {**history, "rows": history["ledger"].rows}
     report["fleet"] = of_fleet(rows)
@@ -31,7 +31,7 @@
 
 
 def of_fleet(rows: dict[str, Any]) -> dict[str, Any]:
-    """The report's "fleet" of a history with its rows."""
+    """The report's "fleet" section for a history with its rows."""
     return {**judge(rows), "today": measures(rows)}
 
 
@@ -42,7 +42,10 @@
     out: Path | None = None,
     told: Callable[[float], None] = lambda _: None,
 ) -> dict[str, Any]:
-    """Plays and judges; with `out` the history, the day, the report and an HTML page are kept there."""
+    """Plays a scenario and returns its report.
+
+    `out`: directory for history, scenario, report and HTML page; `told`: called with the elapsed seconds.
+    """
     if clock == "virtual":
         history = play(day, seed, told=told)
     else:
@@ -59,14 +62,15 @@
 
 
 def failures(report: dict[str, Any]) -> int:
+    """Number of violations of rules and invariants."""
     return broken(report) + report["fleet"]["broken_count"]
 
 
-# ---- drawn days
+# ---- random scenarios
 
 
 def drawn(day: FleetDay, seed: int, number: int) -> FleetDay:
-    """The day with one to four faults among its members: the same for the same numbers."""
+    """The scenario with one to four random faults instead of its own: the same for the same numbers."""
     draw = random.Random(f"{seed}/{number}")
     names = sorted(name for name, kind in KINDS.items() if "virtual" in kind.clocks)
     faults = []
@@ -90,18 +94,19 @@
 
 
 def trial(text: str, seed: int, number: int) -> dict[str, Any]:
+    """Plays one random scenario; an exception of the program counts as a failure."""
     day = drawn(parse(text, "day"), seed, number)
     found = {"number": number, "faults": [f.kind for f in day.faults], "day": write(day)}
     try:
         report, _ = reported(play(day, number))
-    except Exception as problem:  # noqa: BLE001 - whatever the program raises is what is looked for
-        return {**found, "problem": repr(problem), "broken": 1, "figure": 0.0, "why": [repr(problem)]}
+    except Exception as error:  # noqa: BLE001 - any exception of the program is a finding
+        return {**found, "problem": repr(error), "broken": 1, "figure": 0.0, "why": [repr(error)]}
     why = [b["why"] for b in report["breaches"][:3]] + [b["why"] for b in report["fleet"]["broken"][:3]]
     return {**found, "broken": failures(report), "figure": report["figure"], "why": why}
 
 
 def hunt(day: FleetDay, seed: int, days: int, jobs: int = 0) -> Iterator[dict[str, Any]]:
-    """So many drawn days, as they end."""
+    """Plays `days` random scenarios in `jobs` processes; yields each result as it is ready."""
     text = write(day)
     with ProcessPoolExecutor(jobs or None) as pool:
         for future in as_completed([pool.submit(trial, text, seed, number) for number in range(1, days + 1)]):
@@ -109,38 +114,41 @@
 
 
 def shrink(day: FleetDay, seed: int, told: Callable[[str], None] = lambda _: None) -> FleetDay:
-    """The smallest day found that still fails: faults first, then members, workers and load.
+    """Reduces a scenario that fails: first its faults, then members, workers and load.
 
-    ValueError where the day does not fail as it is.
+    Raises:
+        ValueError: where the scenario does not fail as it is.
     """
 
     def fails(candidate: FleetDay) -> bool:
         try:
-            parse(write(candidate), "day")  # a cut may name one that is there no more
+            parse(write(candidate), "day")  # a fault may name a member that has been removed
             return failures(reported(play(candidate, seed))[0]) > 0
-        except Exception:  # noqa: BLE001 - as in `trial`; and what is no day at all does not fail as one
+        except Exception:  # noqa: BLE001 - as in `trial`; an invalid scenario does not count as failing
             return False
 
-    small, replace = Shrinking(day, fails, told), msgspec.structs.replace
-    at = 0
-    while at < len(small.day.faults):
-        rest = small.day.faults[:at] + small.day.faults[at + 1 :]
-        at += not small.attempt(replace(small.day, faults=rest), f"{len(rest)} faults")
-    rated = replace(small.day, load=replace(small.day.load, rate=round(small.day.day().rate(), 3)))
+    shrinking, replace = Shrinking(day, fails, told), msgspec.structs.replace
+    index = 0
+    while index < len(shrinking.day.faults):
+        rest = shrinking.day.faults[:index] + shrinking.day.faults[index + 1 :]
+        index += not shrinking.attempt(replace(shrinking.day, faults=rest), f"{len(rest)} faults")
+    rated = replace(
+        shrinking.day, load=replace(shrinking.day.load, rate=round(shrinking.day.day().rate(), 3))
+    )
     if fails(rated):
-        small.day = rated
-    while small.day.members > len(small.day.groups) and small.attempt(
-        replace(small.day, members=max(len(small.day.groups), small.day.members // 2)),
-        f"{small.day.members // 2} members",
+        shrinking.day = rated
+    while shrinking.day.members > len(shrinking.day.groups) and shrinking.attempt(
+        replace(shrinking.day, members=max(len(shrinking.day.groups), shrinking.day.members // 2)),
+        f"{shrinking.day.members // 2} members",
     ):
         pass
-    while small.day.workers > 1 and small.attempt(
-        replace(small.day, workers=small.day.workers // 2), f"{small.day.workers // 2} workers"
+    while shrinking.day.workers > 1 and shrinking.attempt(
+        replace(shrinking.day, workers=shrinking.day.workers // 2), f"{shrinking.day.workers // 2} workers"
     ):
         pass
-    while small.day.load.rate > 0.5 and small.attempt(
-        replace(small.day, load=replace(small.day.load, rate=small.day.load.rate / 2)),
-        f"{small.day.load.rate / 2:.1f} items a second",
+    while shrinking.day.load.rate > 0.5 and shrinking.attempt(
+        replace(shrinking.day, load=replace(shrinking.day.load, rate=shrinking.day.load.rate / 2)),
+        f"{shrinking.day.load.rate / 2:.1f} items a second",
     ):
         pass
-    return small.day
+    return shrinking.day
--- a/opalwick/lab/fleet/today.py
+++ b/opalwick/lab/fleet/today.py
@@ -1,5 +1,7 @@
-"""What a fleet without owners, limits and verdicts of its own does: the figures that later parts are held
-against. From histories alone, as the judge."""
+"""Figures of a fleet without leases, limits and shared results about workers, as a baseline for those parts.
+
+They are computed from histories alone, as in `judge.py`.
+"""
 
 from __future__ import annotations
 
@@ -8,77 +10,77 @@
 
 from opalwick.lab.fleet.judge import GroundTruth, quantile
 
-FRESH = 1.0  # seconds: the decision module uses no older sums
-LOOK = 250_000  # us between two looks at what a member holds
+FRESH = 1.0  # seconds: the decision module uses no older aggregates
+SAMPLE_PERIOD = 250_000  # us between two samples of the aggregates that a member holds
 
 
 def _windows(history: dict[str, Any], kind: str) -> list[tuple[int, int]]:
     return [(round(a * 1e6), round(b * 1e6)) for name, a, b in history["faults"] if name == kind]
 
 
-def sums(history: dict[str, Any]) -> dict[str, float] | None:
-    """Of the sums of what is in flight in a zone: how long most members that run had none, in seconds and
-    over the zones; how long they told two keepers; and the share of all looks that found none."""
+def aggregates(history: dict[str, Any]) -> dict[str, float] | None:
+    """Aggregates of the load in flight in a zone: for how many seconds, over all zones, most running members
+    had none, for how many they named two aggregators, and the share of samples without one."""
     rows = [row for row in history["fleet"]["rows"] if row[1] == "holds" and row[3] == "sums"]
     if not rows:
         return None
-    looks: dict[tuple[int, int], list[tuple[float, int]]] = defaultdict(list)
-    for at, _, _member, _, zone, keeper, age, _share in rows:
-        looks[at // LOOK, zone].append((age, keeper))
-    none = two = longest = 0
+    samples_by_zone: dict[tuple[int, int], list[tuple[float, int]]] = defaultdict(list)
+    for at, _, _member, _, zone, aggregator, age, _share in rows:
+        samples_by_zone[at // SAMPLE_PERIOD, zone].append((age, aggregator))
+    missing = conflicting = longest = 0
     spans: dict[int, int] = defaultdict(int)
-    for (_, zone), held in sorted(looks.items()):
-        lacking = sum(age >= FRESH for age, _ in held) > len(held) / 2
-        none += lacking
-        spans[zone] = spans[zone] + 1 if lacking else 0
+    for (_, zone), samples in sorted(samples_by_zone.items()):
+        without = sum(age >= FRESH for age, _ in samples) > len(samples) / 2
+        missing += without
+        spans[zone] = spans[zone] + 1 if without else 0
         longest = max(longest, spans[zone])
-        two += len({keeper for age, keeper in held if age < FRESH}) > 1
+        conflicting += len({aggregator for age, aggregator in samples if age < FRESH}) > 1
     ages = [row[6] for row in rows]
     return {
-        "zone_without_s": round(none * LOOK / 1e6, 2),
-        "longest_without_s": round(longest * LOOK / 1e6, 2),
-        "two_keepers_s": round(two * LOOK / 1e6, 2),
+        "zone_without_s": round(missing * SAMPLE_PERIOD / 1e6, 2),
+        "longest_without_s": round(longest * SAMPLE_PERIOD / 1e6, 2),
+        "two_keepers_s": round(conflicting * SAMPLE_PERIOD / 1e6, 2),
         "looks_without": round(sum(age >= FRESH for age in ages) / len(ages), 4),
         "age_p50_s": quantile([age for age in ages if age < FRESH], 0.5),
         "age_p99_s": quantile([age for age in ages if age < FRESH], 0.99),
     }
 
 
-def _hand_offs(history: dict[str, Any]) -> list[tuple[int, str, str]]:
-    """When, at which worker, by which scheduler."""
-    asked, found = {}, []
+def _attempts(history: dict[str, Any]) -> list[tuple[int, str, str]]:
+    """Delivery attempts: when (us), at which worker, by which scheduler."""
+    accepted_by, found = {}, []
     for at, what, *fields in history["rows"]:
         if what == "asked":
-            asked[fields[0]] = fields[2]
-        elif what == "arrived" and fields[1] in asked:
-            found.append((at, fields[2], asked[fields[1]]))
+            accepted_by[fields[0]] = fields[2]
+        elif what == "arrived" and fields[1] in accepted_by:
+            found.append((at, fields[2], accepted_by[fields[1]]))
     return found
 
 
-def bad_workers(history: dict[str, Any], hand_offs: list[tuple[int, str, str]]) -> dict[str, float] | None:
-    """What went to workers that hang: hand-offs a worker, by how many schedulers, and after a second."""
+def bad_workers(history: dict[str, Any], attempts: list[tuple[int, str, str]]) -> dict[str, float] | None:
+    """Delivery attempts at hanging workers: per worker, by how many schedulers, and those after a second."""
     hit = [row for row in history["fleet"]["rows"] if row[1] == "hit" and row[2] == "bad_worker"]
     windows = _windows(history, "bad_worker")
     if not hit or not windows:
         return None
     total = late = 0
-    who = set()
+    senders = set()
     names = {(name, at) for at, *_, workers in hit for name in workers}
     for name, began in names:
         end = next((b for a, b in windows if abs(a - began) < 1000), began)
-        for at, worker, scheduler in hand_offs:
+        for at, worker, scheduler in attempts:
             if worker == name and began <= at < end:
                 total, late = total + 1, late + (at > began + 1_000_000)
-                who.add((name, scheduler))
+                senders.add((name, scheduler))
     return {
         "hand_offs": round(total / len(names), 2),
-        "schedulers": round(len(who) / len(names), 2),
+        "schedulers": round(len(senders) / len(names), 2),
         "after_a_second": round(late / len(names), 2),
     }
 
 
-def by_hand(history: dict[str, Any], hand_offs: list[tuple[int, str, str]]) -> dict[str, float] | None:
-    """Hand-offs a second to a worker that is out by hand at one scheduler, by the others, and by that one."""
+def by_hand(history: dict[str, Any], attempts: list[tuple[int, str, str]]) -> dict[str, float] | None:
+    """Attempts a second at workers disabled by an operator at one scheduler: by the others, and by it."""
     spans: dict[str, list[int]] = {}
     for at, what, *fields in history["fleet"]["rows"]:
         if what == "by_hand":
@@ -91,45 +93,46 @@
     if not seconds:
         return None
     others = own = 0
-    for at, worker, scheduler in hand_offs:
+    for at, worker, scheduler in attempts:
         if worker in spans and spans[worker][0] <= at < spans[worker][1]:
-            mine = scheduler == f"s{spans[worker][2]}"
-            own, others = own + mine, others + (not mine)
+            is_own = scheduler == f"s{spans[worker][2]}"
+            own, others = own + is_own, others + (not is_own)
     return {"others_a_s": round(others / seconds, 3), "own_a_s": round(own / seconds, 3)}
 
 
 def cold_workers(history: dict[str, Any]) -> dict[str, float] | None:
-    """By what share of the most that it bears all together pushed a cold worker, at most in each."""
-    most: dict[str, float] = {}
+    """Highest load on each cold worker, as a share of what it can bear."""
+    shares: dict[str, float] = {}
     for row in history["fleet"]["rows"]:
         if row[1] == "pushed":
-            most[row[2]] = max(most.get(row[2], 0.0), row[3])
-    if not most:
+            shares[row[2]] = max(shares.get(row[2], 0.0), row[3])
+    if not shares:
         return None
-    return {"p50": quantile(list(most.values()), 0.5), "max": max(most.values()), "workers": len(most)}
+    return {"p50": quantile(list(shares.values()), 0.5), "max": max(shares.values()), "workers": len(shares)}
 
 
 def recovered(history: dict[str, Any]) -> dict[str, float] | None:
-    """Seconds after each start in the day until a member has fresh sums of some zone."""
+    """Seconds from each restart of a member until it has fresh aggregates of some zone."""
     truth, times = GroundTruth(history["fleet"]), []
-    held: dict[int, list[int]] = defaultdict(list)
+    samples: dict[int, list[int]] = defaultdict(list)
     for row in history["fleet"]["rows"]:
         if row[1] == "holds" and row[3] == "sums" and row[6] < FRESH:
-            held[row[2]].append(row[0])
+            samples[row[2]].append(row[0])
     for member, incarnations in enumerate(truth.incarnations):
         for begin, end, _ in incarnations[1:]:
-            after = next((at for at in held[member] if begin < at < end), None)
+            after = next((at for at in samples[member] if begin < at < end), None)
             if after is not None:
                 times.append((after - begin) / 1e6)
     return {"p50": quantile(times, 0.5), "max": max(times)} if times else None
 
 
 def measures(history: dict[str, Any]) -> dict[str, Any]:
-    hand_offs = _hand_offs(history)
+    """The report's "today" section of "fleet"."""
+    attempts = _attempts(history)
     return {
-        "sums": sums(history),
+        "sums": aggregates(history),
         "sums_after_start_s": recovered(history),
         "cold_pushed": cold_workers(history),
-        "bad_worker": bad_workers(history, hand_offs),
-        "by_hand": by_hand(history, hand_offs),
+        "bad_worker": bad_workers(history, attempts),
+        "by_hand": by_hand(history, attempts),
     }
