--- a/opalwick/lab/world/__init__.py
+++ b/opalwick/lab/world/__init__.py
@@ -1,1 +1,1 @@
-"""What a scheduler serves: workers, the list of them, clients. Inputs and due times in, calls out."""
+"""Environment of the schedulers: workers, list service and clients, as objects driven by an agenda."""
--- a/opalwick/lab/world/clients.py
+++ b/opalwick/lab/world/clients.py
@@ -1,4 +1,4 @@
-"""Clients: open-loop arrivals, and what each client does with its answer, or without one."""
+"""Clients: open-loop arrivals, retries and cancellations."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Want:
-    """What a client wants done, through all its tries."""
+    """A work item of a client, over all its requests; times in seconds."""
 
     __slots__ = (
         "bad",
@@ -38,40 +38,40 @@
         "zone",
     )
     number: int
-    category: int  # its place among the day's
+    category: int  # index among the scenario's categories
     zone: int
     customer: int  # -1: none
     subject: int  # 0: none
-    work: float  # seconds on a slot of speed 1, as it truly is
-    hint: float  # as the client guesses; 0: it does not
+    work: float  # true duration in seconds on a slot of speed 1
+    hint: float  # the client's estimate of `work`; 0: none
     key: str | None
     first_at: float
     expiry_at: float
     due_at: float
     worth: float
-    patience: float  # seconds until it goes away
-    follows: bool  # the advice when to come back
-    bad: str  # "again", "once": a bad client's
+    patience: float  # seconds until the client cancels
+    follows: bool  # whether it follows the advice when to retry
+    bad: str  # kind of a misbehaving client: "again", "once"; "": none
 
     def __init__(self) -> None:
         self.tries, self.over = 0, False
 
 
 class Try:
-    """One request. `id` is sixteen hexadecimal digits."""
+    """One request of a client. `id` is sixteen hexadecimal digits."""
 
-    __slots__ = ("carried", "ended", "id", "leaving", "noted", "scheduler", "sent_at", "want")
+    __slots__ = ("carried", "ended", "id", "leaving", "recorded", "scheduler", "sent_at", "want")
 
     def __init__(self, id: str, want: Want, scheduler: int) -> None:
         self.id, self.want, self.scheduler = id, want, scheduler
-        self.noted = self.ended = False
+        self.recorded = self.ended = False
         self.leaving: Entry | None = None
         self.sent_at = 0.0
-        self.carried: Any = None  # the carrier's
+        self.carried: Any = None  # state of the transport
 
 
 class Carrier(Protocol):
-    """What brings requests to schedulers, virtual or on sockets."""
+    """Transport of requests to schedulers, virtual or on sockets."""
 
     def ask(self, attempt: Try) -> None: ...
 
@@ -79,9 +79,9 @@
 
 
 class Front:
-    """Deals out requests among the schedulers of a zone that it takes to be up."""
+    """Load balancer: spreads requests over the schedulers of a zone that it believes to be up."""
 
-    NOTICE = 2.0  # seconds until it finds out that one died: some probes' worth
+    DETECTION = 2.0  # seconds until it detects that a scheduler died: several probes
 
     def __init__(self, day: Day, agenda: Agenda, draw: random.Random) -> None:
         self.agenda, self.draw = agenda, draw
@@ -92,16 +92,17 @@
         self.starts = [0] * day.schedulers
 
     def pick(self, zone: int, but: int = -1) -> int | None:
-        among = [i for i in self.zones[zone] if self.up[i] and i != but]
-        if not among:  # another zone's, rather than none
-            among = [i for i, up in enumerate(self.up) if up and i != but]
-        return among[int(self.draw.random() * len(among))] if among else None
+        """A scheduler other than `but`; None where none is up."""
+        candidates = [i for i in self.zones[zone] if self.up[i] and i != but]
+        if not candidates:  # fall back to other zones
+            candidates = [i for i, up in enumerate(self.up) if up and i != but]
+        return candidates[int(self.draw.random() * len(candidates))] if candidates else None
 
     def lost(self, scheduler: int) -> None:
-        self.agenda.after(self.NOTICE, self._missed, scheduler, self.starts[scheduler])
+        self.agenda.after(self.DETECTION, self._mark_down, scheduler, self.starts[scheduler])
 
-    def _missed(self, scheduler: int, start: int) -> None:
-        # one that is back by then was never missed: it must not be left out for the rest of the day
+    def _mark_down(self, scheduler: int, start: int) -> None:
+        # one that restarted meanwhile must not be marked down for the rest of the scenario
         if self.starts[scheduler] == start:
             self.up[scheduler] = False
 
@@ -114,18 +115,22 @@
 
 
 class Clients:
+    """All clients of a scenario; the transport reports what happens to their requests."""
+
     def __init__(self, day: Day, agenda: Agenda, ledger: Ledger, draws: Draws, names: list[str]) -> None:
         self.day, self.agenda, self.ledger, self.draws, self.names = day, agenda, ledger, draws, names
         self.front = Front(day, agenda, draws.of("front"))
         self.carrier: Carrier | None = None
         self.tries: dict[str, Try] = {}  # open
-        self.wants = 0
-        self.skipped = 0  # that found no scheduler at all
+        self.want_count = 0
+        self.skipped = 0  # sends for which no scheduler was up
         self.heavier, self.heavier_share = 1.0, 0.0
-        self.impatient = 0.0  # further share that leaves early
-        self.most = math.inf  # wants; `shrink` cuts here
-        self.popular = list(accumulate((i + 1) ** -day.load.popularity for i in range(day.load.subjects)))
-        self.shares = list(accumulate(c.share for c in day.customers))
+        self.impatient = 0.0  # additional share of clients that cancel early
+        self.most = math.inf  # maximum number of work items, which `shrink` lowers
+        self.popularity_sums = list(
+            accumulate((i + 1) ** -day.load.popularity for i in range(day.load.subjects))
+        )
+        self.customer_sums = list(accumulate(c.share for c in day.customers))
         self.on_want: Callable[[Want], None] = lambda _: None
 
     def begin(self) -> None:
@@ -133,8 +138,8 @@
         total, rate = sum(k.share for k in day.categories), day.rate()
         for c, kind in enumerate(day.categories):
             for zone in range(len(day.zones)):
-                lean = 1.0 + (day.load.skew if zone == 0 and len(day.zones) > 1 else 0.0)
-                share = lean / (len(day.zones) + (lean - 1.0))
+                weight = 1.0 + (day.load.skew if zone == 0 and len(day.zones) > 1 else 0.0)
+                share = weight / (len(day.zones) + (weight - 1.0))
                 if kind.share:
                     self.stream(
                         f"arrivals/{c}/{zone}", c, zone, rate * kind.share / total * share, day.length
@@ -150,18 +155,18 @@
         shaped: bool = True,
         bad: str = "",
     ) -> None:
-        """Arrivals of one category in one zone: Poisson, thinned to the day's shape."""
+        """Arrivals of one category in one zone: a Poisson process, thinned to the shape of the load."""
         draw = self.draws.of(purpose)
         peak = self._peak() if shaped else 1.0
 
         def next() -> None:
-            self.agenda.after(draw.expovariate(rate * peak), come)
+            self.agenda.after(draw.expovariate(rate * peak), arrive)
 
-        def come() -> None:
+        def arrive() -> None:
             if self.agenda.now >= until:
                 return
-            kept = draw.random() * peak < (self._shape(self.agenda.now) if shaped else 1.0)
-            if kept:
+            accepted = draw.random() * peak < (self._shape(self.agenda.now) if shaped else 1.0)
+            if accepted:
                 self._arrive(draw, category, zone, bad)
             next()
 
@@ -175,70 +180,70 @@
         ]
 
     def _shape(self, now: float) -> float:
-        """The rate against its mean."""
+        """The rate relative to its mean."""
         shape, swing = self.day.load.shape, self.day.load.swing
-        turn = now / self.day.load.period
+        phase = now / self.day.load.period
         if shape == "wave":
-            return 1.0 + swing * math.sin(2.0 * math.pi * turn)
+            return 1.0 + swing * math.sin(2.0 * math.pi * phase)
         if shape == "onoff":
-            return 1.0 + (swing if turn % 1.0 < 0.5 else -swing)
-        if shape == "bursts":  # a tenth of the time five times the swing over the rest
-            return 1.0 + 4.0 * swing if turn % 1.0 < 0.1 else 1.0 - 0.4 * swing / 0.9
+            return 1.0 + (swing if phase % 1.0 < 0.5 else -swing)
+        if shape == "bursts":  # a tenth of the time at a high rate, the rest below the mean
+            return 1.0 + 4.0 * swing if phase % 1.0 < 0.1 else 1.0 - 0.4 * swing / 0.9
         return 1.0
 
     def _arrive(self, draw: random.Random, category: int, zone: int, bad: str) -> None:
         day, kind, now = self.day, self.day.categories[category], self.agenda.now
         want = Want()
         work = max(1e-4, spread(draw, kind.work, kind.spread))
-        # all figures are drawn whether they are used or not: a setting must not shift what follows
-        hint, who, subject = spread(draw, 1.0, 0.4), draw.random(), draw.random()
-        leaves, patience, key, follows = draw.random(), draw.random(), draw.getrandbits(64), draw.random()
+        # all values are drawn whether they are used or not: a setting must not shift later draws
+        hint, customer_draw, subject = spread(draw, 1.0, 0.4), draw.random(), draw.random()
+        leave_draw, patience, key, follows = draw.random(), draw.random(), draw.getrandbits(64), draw.random()
         if self.heavier_share and self.draws.of("heavy").random() < self.heavier_share:
             work *= self.heavier
-        if self.wants >= self.most:
+        if self.want_count >= self.most:
             return
-        self.wants += 1
-        want.number, want.category, want.zone, want.bad = self.wants, category, zone, bad
+        self.want_count += 1
+        want.number, want.category, want.zone, want.bad = self.want_count, category, zone, bad
         want.work = work
         want.hint = {"rough": work * hint, "exact": work, "none": 0.0}[day.load.hints]
-        want.customer = self._among(self.shares, who)
-        want.subject = self._among(self.popular, subject) + 1
+        want.customer = self._sample(self.customer_sums, customer_draw)
+        want.subject = self._sample(self.popularity_sums, subject) + 1
         want.key = f"{key:016x}" if kind.effect == "ticketed" else None
         want.first_at, want.expiry_at = now, now + kind.expiry
         want.due_at = min(now + kind.due + kind.stretch * work, want.expiry_at)
-        want.worth = 0.0 if bad else kind.credit * work  # bad clients count for nothing but the rules
+        want.worth = 0.0 if bad else kind.credit * work  # misbehaving clients count for the rules alone
         want.follows = follows < day.clients.honour
-        leaving = leaves < day.clients.leave + self.impatient
+        leaving = leave_draw < day.clients.leave + self.impatient
         want.patience = -math.log(1.0 - patience) * day.clients.patience if leaving else math.inf
         if bad == "once":
-            want.patience = 0.001  # it asks and goes
+            want.patience = 0.001  # it sends and leaves at once
         self.on_want(want)
-        self._try(want)
+        self._send(want)
 
     @staticmethod
-    def _among(sums: list[float], x: float) -> int:
-        """The place among running sums; -1 where there are none."""
-        if not sums:
+    def _sample(cumulative: list[float], draw: float) -> int:
+        """The index among cumulative sums for `x` from 0 to 1; -1 where there are none."""
+        if not cumulative:
             return -1
-        return min(bisect(sums, x * sums[-1]), len(sums) - 1)
+        return min(bisect(cumulative, draw * cumulative[-1]), len(cumulative) - 1)
 
-    def _try(self, want: Want, but: int = -1) -> None:
+    def _send(self, want: Want, but: int = -1) -> None:
         now = self.agenda.now
         if want.over or now >= want.expiry_at - 0.005:
             return
         scheduler = self.front.pick(want.zone, but)
         if scheduler is None:
             self.skipped += 1
-            self._again(want, 0.0)
+            self._retry(want, 0.0)
             return
         want.tries += 1
-        # the id tells nothing, and is new with every try
+        # the id is opaque and differs for each request
         id = f"{(want.number << 8 | min(255, want.tries)) * 0x9E3779B97F4A7C15 & 0xFFFFFFFFFFFFFFFF:016x}"
         attempt = self.tries[id] = Try(id, want, scheduler)
         attempt.sent_at = now
         if want.patience < math.inf:
             attempt.leaving = self.agenda.at(want.first_at + want.patience, self._leave, attempt)
-        # one that nobody answers goes in the end, or a hung scheduler would hold it for ever
+        # an unanswered request is cancelled in the end, or a hung scheduler would hold it for ever
         self.agenda.at(want.expiry_at + 1.0, self._leave, attempt)
         assert self.carrier is not None
         self.carrier.ask(attempt)
@@ -250,18 +255,18 @@
         early = self.agenda.now < attempt.want.expiry_at
         if early:
             attempt.want.over = True
-            if attempt.noted:
+            if attempt.recorded:
                 self.ledger.note(self.agenda.now, "gone", attempt.id, "left")
         self._end(attempt)
         self.carrier.leave(attempt)
 
-    # ---- the carrier tells
+    # ---- calls by the transport
 
     def taken(self, attempt: Try) -> None:
-        """The request is whole at a scheduler that has accepted it."""
-        if attempt.noted or attempt.ended:
+        """A scheduler has accepted the whole request."""
+        if attempt.recorded or attempt.ended:
             return
-        attempt.noted = True
+        attempt.recorded = True
         want = attempt.want
         self.ledger.note(
             self.agenda.now,
@@ -279,7 +284,7 @@
         )
 
     def answered(self, attempt: Try, final: str, result: Any = None, come_back_in: float = 0.0) -> None:
-        if attempt.noted:  # also one too many: the ledger is to show it
+        if attempt.recorded:  # also a second answer, which the ledger must show
             self.ledger.note(self.agenda.now, "answered", attempt.id, final, result, round(come_back_in, 6))
         if attempt.ended:
             return
@@ -288,25 +293,25 @@
         if final == "finished":
             want.over = True
         elif final == "deferred" or self.day.categories[want.category].effect == "rerunnable":
-            self._again(want, come_back_in if want.follows else 0.0)
+            self._retry(want, come_back_in if want.follows else 0.0)
 
     def unreached(self, attempt: Try) -> None:
-        """No connection came up: nothing was sent, so another scheduler is asked at once."""
+        """The connection failed before anything was sent, so another scheduler is tried at once."""
         if attempt.ended:
             return
         self._end(attempt)
         attempt.want.tries -= 1
-        self.agenda.after(0.002, self._try, attempt.want, attempt.scheduler)
+        self.agenda.after(0.002, self._send, attempt.want, attempt.scheduler)
 
     def cut(self, attempt: Try, crashed: bool) -> None:
         """Its connection ended without an answer."""
         if attempt.ended:
             return
-        if attempt.noted:
+        if attempt.recorded:
             self.ledger.note(self.agenda.now, "gone", attempt.id, "crash" if crashed else "broken")
         self._end(attempt)
         if self.day.categories[attempt.want.category].effect == "rerunnable":
-            self._again(attempt.want, 0.0)
+            self._retry(attempt.want, 0.0)
 
     def _end(self, attempt: Try) -> None:
         attempt.ended = True
@@ -314,11 +319,11 @@
         if attempt.leaving is not None:
             attempt.leaving.cancel()
 
-    def _again(self, want: Want, advice: float) -> None:
+    def _retry(self, want: Want, advice: float) -> None:
         if want.over or want.bad == "once" or (want.tries > self.day.clients.retries and not want.bad):
             return
         pause = self.day.clients.backoff * 2 ** min(want.tries - 1, 6)
         draw = self.draws.of("backoff")
         self.agenda.after(
-            0.002 if want.bad else max(advice, pause) * (1.0 + 0.2 * draw.random()), self._try, want
+            0.002 if want.bad else max(advice, pause) * (1.0 + 0.2 * draw.random()), self._send, want
         )
--- a/opalwick/lab/world/listing.py
+++ b/opalwick/lab/world/listing.py
@@ -1,4 +1,4 @@
-"""The list service: the list as published, calls worked through in turn, watches, and troubles."""
+"""The list service: published list, sequential calls, long polls, and faults."""
 
 from __future__ import annotations
 
@@ -15,14 +15,16 @@
 class Listed(NamedTuple):
     worker: Worker
     phase: str  # "ready", "draining", "gone"
-    born: float  # seconds since the day began; less than nought: long ago
+    born: float  # seconds since the start of the scenario; negative: long ago
 
 
-# what a call comes to: version, whether the list is whole, entries; None: it failed
+# result of a call: version, whether the list is complete, entries; None: it failed
 Reply = Callable[[tuple[int, bool, list[Listed]] | None], None]
 
 
 class Call:
+    """A call of a scheduler; it waits for changes after version `since` until `until`."""
+
     __slots__ = ("reply", "scheduler", "since", "timer", "until")
 
     def __init__(self, scheduler: int, since: int, until: float, reply: Reply) -> None:
@@ -31,8 +33,10 @@
 
 
 class Listing:
-    KEPT = 500  # changes; who asks for older ones gets the whole list
-    QUEUE = 2000  # calls that wait; more are failed at once
+    """The list of workers; changes are published after a lag."""
+
+    CHANGES_KEPT = 500  # changes kept; a call for older ones gets the complete list
+    QUEUE = 2000  # calls that wait; further ones fail at once
 
     def __init__(
         self, day: Day, agenda: Agenda, ledger: Ledger, names: Sequence[str], workers: Sequence[Worker]
@@ -40,20 +44,22 @@
         self.day, self.agenda, self.ledger, self.names = day, agenda, ledger, names
         self.version = 1
         self.entries: dict[str, Listed] = {w.name: Listed(w, "ready", w.born) for w in workers}
-        self.changes: deque[tuple[int, str]] = deque(maxlen=self.KEPT)
+        self.changes: deque[tuple[int, str]] = deque(maxlen=self.CHANGES_KEPT)
         self.queue: deque[Call] = deque()
         self.watchers: dict[Call, None] = {}
         self.busy = False
         self.down, self.behind = False, 0.0
         self.cut: set[int] = set()  # schedulers whose calls fail
-        self.asked_at = [0.0] * len(names)  # by scheduler: when it last called or was answered
+        self.last_call_at = [0.0] * len(names)  # by scheduler: time of its last call or answer
         self.pending = [0] * len(names)
-        self.knows: list[dict[str, str]] = [{} for _ in names]  # by scheduler: told phases but for ready
-        self.told_none = [False] * len(names)
+        # by scheduler: the last reported phase of each worker; missing: ready
+        self.reported: list[dict[str, str]] = [{} for _ in names]
+        self.reported_empty = [False] * len(names)
 
-    # ---- the fleet changes
+    # ---- changes of workers
 
     def change(self, worker: Worker, phase: str, lag: float | None = None) -> None:
+        """Publishes a phase after `lag` seconds, by default the scenario's."""
         wait = (self.day.listing.lag if lag is None else lag) + self.behind
         self.agenda.after(wait, self._publish, worker, phase, worker.born)
 
@@ -61,7 +67,7 @@
         before = self.entries.get(worker.name)
         if before is not None and before.phase == phase and before.born == born:
             return
-        if before is not None and born < before.born:  # of the process before: it comes too late
+        if before is not None and born < before.born:  # outdated: a change of the previous process
             return
         self.version += 1
         self.entries[worker.name] = Listed(worker, phase, born)
@@ -69,8 +75,8 @@
         if phase != "ready":
             for i in range(len(self.names)):
                 self.agenda.at(
-                    self.asked_at[i] + self.day.listing.ask_every,
-                    self._deem,
+                    self.last_call_at[i] + self.day.listing.ask_every,
+                    self._assume_reported,
                     i,
                     worker.name,
                     phase,
@@ -83,21 +89,24 @@
                     call.timer.cancel()
                 self._enqueue(call)
 
-    def _deem(self, scheduler: int, name: str, phase: str, version: int) -> None:
-        """Who neither watches nor asks is deemed to know; who does is told, or asks in vain."""
-        if self.knows[scheduler].get(name) or self.entries[name].phase == "ready":
+    def _assume_reported(self, scheduler: int, name: str, phase: str, version: int) -> None:
+        """A scheduler without an open call counts as informed; an open call gets an answer or fails."""
+        if self.reported[scheduler].get(name) or self.entries[name].phase == "ready":
             return
-        due = self.asked_at[scheduler] + self.day.listing.ask_every
+        due = self.last_call_at[scheduler] + self.day.listing.ask_every
         if self.pending[scheduler] or due > self.agenda.now:
-            self.agenda.at(max(due, self.agenda.now + 1.0), self._deem, scheduler, name, phase, version)
+            self.agenda.at(
+                max(due, self.agenda.now + 1.0), self._assume_reported, scheduler, name, phase, version
+            )
         else:
-            self.knows[scheduler][name] = phase
+            self.reported[scheduler][name] = phase
             self.ledger.note(self.agenda.now, "deemed", self.names[scheduler], name, phase)
 
-    # ---- schedulers call
+    # ---- calls of schedulers
 
     def call(self, scheduler: int, since: int, wait: float, reply: Reply) -> None:
-        self.asked_at[scheduler] = self.agenda.now
+        """Replies with changes after `since`, at the latest after `wait` seconds."""
+        self.last_call_at[scheduler] = self.agenda.now
         if self.down or scheduler in self.cut or len(self.queue) >= self.QUEUE:
             reply(None)
             return
@@ -139,40 +148,40 @@
             return
         self._end(call, (self.version, True, [e for e in self.entries.values() if e.phase != "gone"]))
 
-    def _end(self, call: Call, found: tuple[int, bool, list[Listed]] | None) -> None:
+    def _end(self, call: Call, reply_fields: tuple[int, bool, list[Listed]] | None) -> None:
         i = call.scheduler
         self.pending[i] -= 1
-        self.asked_at[i] = self.agenda.now
-        if found is not None:
-            _, whole, entries = found
-            told = {e.worker.name: e.phase for e in entries}
-            if whole:
-                told |= {name: "gone" for name in self.entries if name not in told}
-            knows = self.knows[i]
-            for name, phase in told.items():
-                if phase != knows.get(name, "ready"):
+        self.last_call_at[i] = self.agenda.now
+        if reply_fields is not None:
+            _, complete, entries = reply_fields
+            phases = {e.worker.name: e.phase for e in entries}
+            if complete:
+                phases |= {name: "gone" for name in self.entries if name not in phases}
+            reported = self.reported[i]
+            for name, phase in phases.items():
+                if phase != reported.get(name, "ready"):
                     self.ledger.note(self.agenda.now, "told", self.names[i], name, phase)
-                    knows[name] = phase
-            ready = any(knows.get(name, "ready") == "ready" for name in self.entries)
-            if self.told_none[i] == ready:
-                self.told_none[i] = not ready
+                    reported[name] = phase
+            ready = any(reported.get(name, "ready") == "ready" for name in self.entries)
+            if self.reported_empty[i] == ready:
+                self.reported_empty[i] = not ready
                 self.ledger.note(self.agenda.now, "none", self.names[i], not ready)
-        call.reply(found)
+        call.reply(reply_fields)
 
     def forget(self, scheduler: int) -> None:
-        """A scheduler starts anew, with the list that it last had."""
-        self.asked_at[scheduler] = self.agenda.now
-        self.knows[scheduler] = {}
+        """A scheduler restarts, with the list that it last had."""
+        self.last_call_at[scheduler] = self.agenda.now
+        self.reported[scheduler] = {}
 
     def drop(self, scheduler: int) -> None:
-        """Its connections are gone."""
+        """A scheduler's connections are lost: its long polls end."""
         for call in [c for c in self.watchers if c.scheduler == scheduler]:
             del self.watchers[call]
             if call.timer is not None:
                 call.timer.cancel()
             self._end(call, None)
 
-    # ---- what goes wrong
+    # ---- faults
 
     def fails(self, down: bool) -> None:
         self.down = down
--- a/opalwick/lab/world/worker.py
+++ b/opalwick/lab/world/worker.py
@@ -1,4 +1,4 @@
-"""A worker as it truly is: slots, a queue, its speed, what it tells. It knows no network and no scheduler."""
+"""Simulated worker: slots, queue, speed and load reports. It is free of networks and schedulers."""
 
 from __future__ import annotations
 
@@ -13,10 +13,11 @@
 
 
 class Job:
-    """A hand-off at a worker. `tell(kind, load, ...)` is the way back to whoever handed it off."""
+    """A delivery attempt at a worker. `tell(kind, load, ...)` reports progress and outcome to its sender."""
 
     __slots__ = (
         "category",
+        "duplicates",
         "id",
         "key",
         "left",
@@ -28,7 +29,6 @@
         "state",
         "tell",
         "timer",
-        "twins",
         "work",
         "worker",
     )
@@ -51,34 +51,36 @@
         self.progress: Entry | None = None
         self.state = "waiting"  # "running", "over"
         self.worker: Worker | None = None
-        self.twins: list[Job] = []  # repeats that wait for what this one comes to
+        self.duplicates: list[Job] = []  # duplicates that wait for the outcome of this one
 
 
-class Marks:
-    """What each group of workers remembers, to discard repeats: one for the whole fleet."""
+class Deduplication:
+    """Idempotency keys that groups of workers have seen, to discard duplicates; shared by the whole fleet."""
 
     def __init__(self) -> None:
-        self.seen: dict[tuple, tuple[float, Job, Any]] = {}
+        self.entries: dict[tuple, tuple[float, Job, Any]] = {}
 
-    def find(self, now: float, place: tuple, window: float) -> tuple[Job, Any] | None:
-        found = self.seen.get(place)
+    def find(self, now: float, key: tuple, window: float) -> tuple[Job, Any] | None:
+        found = self.entries.get(key)
         if found is None or now > found[0] + window:
             return None
         return found[1], found[2]
 
-    def set(self, now: float, place: tuple, job: Job) -> None:
-        self.seen[place] = now, job, None
+    def set(self, now: float, key: tuple, job: Job) -> None:
+        self.entries[key] = now, job, None
 
-    def finished(self, place: tuple, job: Job, result: Any) -> None:
-        if (found := self.seen.get(place)) is not None and found[1] is job:
-            self.seen[place] = found[0], job, result
+    def finished(self, key: tuple, job: Job, result: Any) -> None:
+        if (found := self.entries.get(key)) is not None and found[1] is job:
+            self.entries[key] = found[0], job, result
 
-    def never_ran(self, place: tuple, job: Job) -> None:
-        if (found := self.seen.get(place)) is not None and found[1] is job:
-            del self.seen[place]
+    def never_ran(self, key: tuple, job: Job) -> None:
+        if (found := self.entries.get(key)) is not None and found[1] is job:
+            del self.entries[key]
 
 
 class Worker:
+    """One worker; faults set its attributes."""
+
     def __init__(
         self,
         name: str,
@@ -92,34 +94,35 @@
         agenda: Agenda,
         ledger: Ledger,
         draw: random.Random,
-        marks: Marks,
+        marks: Deduplication,
     ) -> None:
         self.name, self.number, self.model, self.kind = name, number, model, kind
         self.zone, self.cell, self.speed, self.day = zone, cell, speed, day
         self.agenda, self.ledger, self.draw, self.marks = agenda, ledger, draw, marks
-        self.slow = 1.0  # times slower than usual
-        self.stopped = 0  # how many troubles hold it still
-        self.lying = 0.0  # by how much its reports are wrong
-        self.tells = 1.0  # the share of what it holds that its reports tell
-        self.report_late = 0.0  # seconds, beyond the usual
-        self.resets = 0.0  # share of what arrives on which it resets
-        self.rate = 0.0  # takes so many a second at most; 0: any
-        self.taken_at = -1e9
+        self.slow = 1.0  # factor by which it is slower
+        self.stopped = 0  # number of faults that suspend it
+        self.lying = 0.0  # factor of random load reports; 0: true ones
+        self.tells = 1.0  # share of its load that it reports
+        self.report_late = 0.0  # additional seconds
+        self.resets = 0.0  # share of attempts whose connection it resets
+        self.rate = 0.0  # accepts at most this many a second; 0: no limit
+        self.last_accepted_at = -1e9
         self.alive, self.leaving = True, False
         self.born = -1e9
         self.running: dict[Job, None] = {}
         self.waiting: deque[Job] = deque()
-        self.recent: deque[tuple[float, float]] = deque()  # (when, work) of what came, while cold
-        self.shown: deque[tuple[float, int, int]] = deque([(-1e9, 0, 0)])  # when, running, waiting
+        self.recent: deque[tuple[float, float]] = deque()  # (time, work) of attempts that arrived while cold
+        self.load_samples: deque[tuple[float, int, int]] = deque([(-1e9, 0, 0)])  # time, running, waiting
         self.sampled = -1e9
         self.slots_used = self.memory_used = 0.0
         self.on_fall: Callable[[Worker], None] = lambda _: None
         self.on_push: Callable[[Worker, float], None] = lambda *_: None
         self.on_empty: Callable[[Worker], None] | None = None
 
-    # ---- what it is at this moment
+    # ---- current state
 
     def warmth(self) -> float:
+        """Share of its full speed that it has, as it warms up."""
         age = (self.agenda.now - self.born) / self.model.ramp if self.model.ramp else 1.0
         return min(1.0, self.model.cold_share + (1.0 - self.model.cold_share) * max(0.0, age))
 
@@ -127,102 +130,104 @@
         return self.agenda.now - self.born < self.model.ramp
 
     def pace(self) -> float:
-        """Seconds of work that a slot does in a second now."""
+        """Seconds of work that a slot does per second now."""
         return 0.0 if self.stopped else self.speed * self.warmth() / self.slow
 
     def backlog(self) -> float:
-        """Seconds of work, times slots, that it still has to do."""
+        """Remaining work in seconds, times slots."""
         now, pace = self.agenda.now, self.pace()
         return sum(max(0.0, job.left - (now - job.since) * pace) * job.slots for job in self.running) + sum(
             job.work * job.slots for job in self.waiting
         )
 
     def load(self) -> dict[str, float]:
-        """The report that goes along with an answer: as of some time ago, and noisy."""
+        """The load report that accompanies an answer: delayed and noisy."""
         self._sample()
-        then = self.agenda.now - self.day.reports.delay - self.report_late
-        while len(self.shown) > 1 and self.shown[1][0] <= then:
-            self.shown.popleft()
-        _, running, waiting = self.shown[0]
+        as_of = self.agenda.now - self.day.reports.delay - self.report_late
+        while len(self.load_samples) > 1 and self.load_samples[1][0] <= as_of:
+            self.load_samples.popleft()
+        _, running, waiting = self.load_samples[0]
 
         def noisy(x: float) -> float:
             if self.lying:
                 x = self.lying * self.draw.random() * self.model.slots
             return round(max(0.0, x * (1.0 + self.day.reports.noise * (2.0 * self.draw.random() - 1.0))), 3)
 
-        running_told, told = self.tells * running, self.tells * (running + waiting)
-        return {"x0": noisy(max(0.0, self.model.slots - running_told)), "active": noisy(told)}
+        reported_running, reported = self.tells * running, self.tells * (running + waiting)
+        return {"x0": noisy(max(0.0, self.model.slots - reported_running)), "active": noisy(reported)}
 
     def _sample(self) -> None:
-        # sampled when something changes, once a period at most: between changes it would be the same
+        # sampled on changes, once a period at most: between changes the load stays the same
         now = self.agenda.now
         if now - self.sampled >= self.day.reports.period:
             self.sampled = now
-            self.shown.append((now, round(self.slots_used), len(self.waiting)))
+            self.load_samples.append((now, round(self.slots_used), len(self.waiting)))
 
-    # ---- what comes in
+    # ---- attempts arrive
 
     def arrive(self, job: Job) -> None:
-        """Its whole request is here."""
+        """Called when the whole request has arrived."""
         now = self.agenda.now
         self.ledger.note(now, "arrived", job.number, job.id, self.name)
         job.worker = self
         if self.resets and self.draw.random() < self.resets:
-            self._break(job)
+            self._break_connection(job)
             return
         if self.cold():
             self.recent.append((now, job.work * job.slots))
             span = self.day.rules.fall_span
             while self.recent and self.recent[0][0] < now - span:
                 self.recent.popleft()
-            bears = self.day.rules.fall_multiple * self.warmth() * self.model.slots * self.speed * span
-            # one item alone, however heavy, is no push
-            share = sum(work for _, work in self.recent) / bears if len(self.recent) > 1 else 0.0
+            capacity = self.day.rules.fall_multiple * self.warmth() * self.model.slots * self.speed * span
+            # a single item, however heavy, is no overload
+            share = sum(work for _, work in self.recent) / capacity if len(self.recent) > 1 else 0.0
             self.on_push(self, share)
             if share > 1.0:
                 self.waiting.append(job)
                 self.ledger.note(now, "fell", self.name, True)
                 self.on_fall(self)
                 return
-        if place := self._place(job):
+        if key := self._duplicate_key(job):
             kind = self.day.categories[job.category]
-            if (known := self.marks.find(now, place, kind.window)) is not None:
-                self._repeat(job, *known)
+            if (original := self.marks.find(now, key, kind.window)) is not None:
+                self._answer_duplicate(job, *original)
                 return
-        # one that is held still cannot turn away either: what comes waits, and hears nothing
-        if not self.stopped and (self.leaving or len(self.waiting) >= self.model.queue or self._throttles()):
-            self._turn(job)
+        # a suspended worker cannot reject either: attempts wait without an answer
+        if not self.stopped and (
+            self.leaving or len(self.waiting) >= self.model.queue or self._rate_limited()
+        ):
+            self._reject(job)
             return
-        if place:
-            self.marks.set(now, place, job)
+        if key:
+            self.marks.set(now, key, job)
         self.waiting.append(job)
         self._start()
 
-    def _throttles(self) -> bool:
-        if self.rate and self.agenda.now - self.taken_at < 1.0 / self.rate:
+    def _rate_limited(self) -> bool:
+        if self.rate and self.agenda.now - self.last_accepted_at < 1.0 / self.rate:
             return True
-        self.taken_at = self.agenda.now
+        self.last_accepted_at = self.agenda.now
         return False
 
-    def _place(self, job: Job) -> tuple | None:
+    def _duplicate_key(self, job: Job) -> tuple | None:
         kind = self.day.categories[job.category]
         if kind.effect != "ticketed" or job.key is None:
             return None
-        group = {"all": 0, "zone": self.zone, "cell": self.cell}[kind.group]
-        return kind.group, group, job.category, job.key
+        scope_id = {"all": 0, "zone": self.zone, "cell": self.cell}[kind.group]
+        return kind.group, scope_id, job.category, job.key
 
-    def _repeat(self, job: Job, first: Job, result: Any) -> None:
-        """Discarded, but its sender gets what the first one comes to."""
+    def _answer_duplicate(self, job: Job, original_job: Job, result: Any) -> None:
+        """Discards a duplicate; its sender gets the outcome of the original."""
         job.state = "twin"
         if result is not None:
-            self._say(job, "done", result)
-        elif first.state == "over":  # it ran and came to nothing
-            self._say(job, "failed")
+            self._finish(job, "done", result)
+        elif original_job.state == "over":  # it ended without a result
+            self._finish(job, "failed")
         else:
-            first.twins.append(job)
+            original_job.duplicates.append(job)
 
     def drop(self, job: Job) -> None:
-        """Its connection was closed: whoever handed it off takes it back."""
+        """Its sender closed the connection, which cancels the attempt."""
         if job.state == "over":
             return
         self.ledger.note(self.agenda.now, "dropped", job.number)
@@ -231,13 +236,13 @@
             job.state = "over"
             return
         cancel = self.model.cancel
-        if job.twins:  # somebody else waits for what it comes to
+        if job.duplicates:  # another sender waits for its outcome
             return
         if job.state == "waiting" and cancel in ("waiting", "all"):
             self.waiting.remove(job)
             job.state = "over"
-            if place := self._place(job):
-                self.marks.never_ran(place, job)
+            if key := self._duplicate_key(job):
+                self.marks.never_ran(key, job)
             self._start()
         elif job.state == "running" and cancel == "all" and not self.stopped:
             self._leave(job)
@@ -246,7 +251,7 @@
     # ---- running
 
     def _start(self) -> None:
-        """In the order of arrival: the first waits until it fits, and all behind it with it."""
+        """Starts waiting jobs in the order of arrival: one that does not fit yet blocks all behind it."""
         if self.stopped or not self.alive:
             return
         now = self.agenda.now
@@ -269,22 +274,22 @@
             if self.day.allow.starts:
                 job.tell("began")
                 job.progress = self.agenda.after(self.day.allow.progress, self._progress, job)
-            self._time(job)
+            self._schedule_end(job)
         self._sample()
 
-    def _time(self, job: Job) -> None:
+    def _schedule_end(self, job: Job) -> None:
         if job.timer is not None:
             job.timer.cancel()
         pace = self.pace()
         job.timer = self.agenda.after(job.left / pace, self._done, job) if pace > 0 else None
 
-    def changed(self, before: float) -> None:
-        """Its pace was `before` until now."""
+    def changed(self, previous_pace: float) -> None:
+        """Reschedules running jobs; the pace was `before` until now."""
         now = self.agenda.now
         for job in self.running:
-            job.left = max(0.0, job.left - (now - job.since) * before)
+            job.left = max(0.0, job.left - (now - job.since) * previous_pace)
             job.since = now
-            self._time(job)
+            self._schedule_end(job)
         self._start()
 
     def _progress(self, job: Job) -> None:
@@ -307,76 +312,77 @@
         self._leave(job)
         failed = self.model.errors > 0 and self.draw.random() < self.model.errors
         result = None if failed else f"{job.id}@{self.name}.{job.number}"
-        if (place := self._place(job)) and result:
-            self.marks.finished(place, job, result)
-        for each in [job, *job.twins]:
-            self._say(each, "failed") if failed else self._say(each, "done", result)
+        if (key := self._duplicate_key(job)) and result:
+            self.marks.finished(key, job, result)
+        for each in [job, *job.duplicates]:
+            self._finish(each, "failed") if failed else self._finish(each, "done", result)
         self._start()
         if self.leaving and not self.running and self.on_empty:
             self.on_empty(self)
 
-    def _say(self, job: Job, how: str, *result: Any) -> None:
+    def _finish(self, job: Job, outcome: str, *result: Any) -> None:
         job.state = "over"
-        self.ledger.note(self.agenda.now, how, job.number, *result)
-        job.tell(how, self.load(), *result)
+        self.ledger.note(self.agenda.now, outcome, job.number, *result)
+        job.tell(outcome, self.load(), *result)
 
-    def _turn(self, job: Job) -> None:
+    def _reject(self, job: Job) -> None:
         job.state = "over"
         self.ledger.note(self.agenda.now, "turned", job.number)
         job.tell("turned", self.load())
 
-    def _break(self, job: Job) -> None:
+    def _break_connection(self, job: Job) -> None:
         job.state = "over"
         self.ledger.note(self.agenda.now, "broke", job.number)
         job.tell("broke")
 
-    # ---- what befalls it
+    # ---- faults and life cycle
 
     def hold(self, still: bool) -> None:
-        """It does nothing and says nothing until it is let go as often as it was held."""
-        before = self.pace()
+        """Suspends or resumes it; it runs once it has been resumed as often as suspended."""
+        previous_pace = self.pace()
         self.stopped += 1 if still else -1
-        self.changed(before)
+        self.changed(previous_pace)
 
     def slowed(self, times: float) -> None:
-        before = self.pace()
+        previous_pace = self.pace()
         self.slow = times
-        self.changed(before)
+        self.changed(previous_pace)
 
-    def warms(self) -> None:
-        """Called now and then while it is cold: the pace that was counted on is a little behind."""
+    def warm_up(self) -> None:
+        """Updates the pace every 0.25 s while it is cold."""
         if self.alive and self.cold():
-            before = self.pace()
-            self.changed(before)
-            self.agenda.after(0.25, self.warms)
+            previous_pace = self.pace()
+            self.changed(previous_pace)
+            self.agenda.after(0.25, self.warm_up)
 
     def drain(self) -> None:
-        """It finishes what runs, and hands back what waits."""
+        """Finishes running jobs and rejects waiting ones."""
         self.leaving = True
         while self.waiting:
             job = self.waiting.popleft()
-            if place := self._place(job):
-                self.marks.never_ran(place, job)
-            if job.twins:
-                for twin in job.twins:
-                    self._turn(twin)
-            self._turn(job)
+            if key := self._duplicate_key(job):
+                self.marks.never_ran(key, job)
+            if job.duplicates:
+                for duplicate in job.duplicates:
+                    self._reject(duplicate)
+            self._reject(job)
         if not self.running and self.on_empty:
             self.on_empty(self)
 
     def die(self) -> None:
+        """Ends the process; all its connections break."""
         self.alive = False
         jobs = [*self.running, *self.waiting]
         for job in list(self.running):
             self._leave(job)
         self.waiting.clear()
         for job in jobs:
-            for each in [job, *job.twins]:
-                self._break(each)
+            for each in [job, *job.duplicates]:
+                self._break_connection(each)
 
     def rise(self) -> None:
-        """A new process under the old name, cold."""
+        """Starts a new process under the old name, cold."""
         self.alive, self.leaving, self.born = True, False, self.agenda.now
         self.slots_used = self.memory_used = 0.0
         self.recent.clear()
-        self.agenda.after(0.25, self.warms)
+        self.agenda.after(0.25, self.warm_up)
--- a/opalwick/lab/world/world.py
+++ b/opalwick/lab/world/world.py
@@ -1,4 +1,4 @@
-"""The world of a day: fleet, list, clients, links and faults, on an agenda that some clock moves."""
+"""Environment of the schedulers: workers, list service, clients, links and faults, driven by an agenda."""
 
 from __future__ import annotations
 
@@ -13,57 +13,60 @@
 from opalwick.lab.world.clients import Clients
 from opalwick.lab.world.listing import Listing
 from opalwick.lab.world.ways import Copies, LinkFaults
-from opalwick.lab.world.worker import Marks, Worker
+from opalwick.lab.world.worker import Deduplication, Worker
 
-AGAIN = 0.2  # seconds after which a connection says again what was lost, doubled each time: Linux' least
-LOST_MOST = 3.0 * AGAIN  # by two in a row; a third one, at usual shares one in some hundred, is passed over
+RETRANSMIT = 0.2  # seconds until a connection retransmits, doubled each time: the minimum of Linux
+# delay by two losses in a row; a third one, at usual shares one in some hundred, is not simulated
+LOST_MOST = 3.0 * RETRANSMIT
 
 
 class Processes(Protocol):
-    """What a fault may do to schedulers; each by its number."""
+    """Fault injection into scheduler processes, each by its number."""
 
     def kill(self, scheduler: int) -> None: ...
 
     def start(self, scheduler: int) -> None: ...
 
     def end(self, scheduler: int) -> None:
-        """Planned: it is told to end, and given its time."""
+        """Planned shutdown: it is signalled to end and may finish its work."""
 
     def pause(self, scheduler: int, still: bool) -> None: ...
 
     def move_list(self) -> None:
-        """The list is to be had elsewhere, and schedulers are told where."""
+        """Moves the list service to a new address and reconfigures the schedulers."""
 
     def cut(self, scheduler: int, worker: str) -> None:
-        """What is open on this link is reset, or falls silent by the link's state."""
+        """Resets or silences the open connections of this link, as the link's state demands."""
 
 
 class Links:
-    """What is wrong with the ways: between a scheduler (number) and a worker (name), and for words."""
+    """Faults on links: between a scheduler (number) and a worker (name), and for peer messages."""
 
     def __init__(self) -> None:
         self.silent: dict[tuple[int, str], int] = {}
         self.refused: dict[tuple[int, str], int] = {}
-        self.mute: dict[tuple[int, str], int] = {}  # requests come through, answers do not
-        self.resets: dict[tuple[int, str], float] = {}  # share of requests cut half-way
-        self.delay: dict[tuple[int, str], float] = {}  # seconds more, one way
-        self.loss = self.doubled = 0.0  # shares of words
-        self.late = 0.0  # seconds that a word may be late, at most
-        self.apart: dict[tuple[int, int], int] = {}  # schedulers that do not hear each other
-
-    def fate(self, one: int, other: int, draw: random.Random, loss: float) -> list[float]:
-        """Of a word between two schedulers: by how much each of its copies is late; none: it is lost."""
-        lost, doubled, late = draw.random(), draw.random(), draw.random() * self.late
-        if (one, other) in self.apart or lost < loss + self.loss:
+        self.mute: dict[tuple[int, str], int] = {}  # requests arrive, answers do not
+        self.resets: dict[tuple[int, str], float] = {}  # share of requests that are reset half-way
+        self.delay: dict[tuple[int, str], float] = {}  # additional seconds, one way
+        self.loss = self.doubled = 0.0  # shares of peer messages
+        self.late = 0.0  # maximum delay of a peer message, in seconds
+        self.apart: dict[tuple[int, int], int] = {}  # (sender, receiver) without a link between schedulers
+
+    def delays(self, sender: int, receiver: int, draw: random.Random, loss: float) -> list[float]:
+        """Delays in seconds of each copy of a message between two schedulers; none: it is lost."""
+        loss_draw, doubled, delay = draw.random(), draw.random(), draw.random() * self.late
+        if (sender, receiver) in self.apart or loss_draw < loss + self.loss:
             return []
-        return [late, late + 0.5 * self.late] if doubled < self.doubled else [late]
+        return [delay, delay + 0.5 * self.late] if doubled < self.doubled else [delay]
 
 
 class World:
+    """The environment of one scenario; the same seed gives the same draws."""
+
     def __init__(self, day: Day, seed: int, agenda: Agenda | None = None) -> None:
         self.day, self.seed = day, seed
         self.agenda = agenda or Agenda()
-        self.ledger, self.draws, self.marks = Ledger(), Draws(seed), Marks()
+        self.ledger, self.draws, self.marks = Ledger(), Draws(seed), Deduplication()
         self.names = [f"s{i}" for i in range(day.schedulers)]
         self.links, self.link_faults = Links(), LinkFaults()
         self.workers: dict[str, Worker] = {}
@@ -75,23 +78,24 @@
         self.clients = Clients(day, self.agenda, self.ledger, self.draws, self.names)
         self.clients.most = day.load.most or float("inf")
         self.processes: Processes | None = None
-        self.lossy = 0.0  # share of what is lost on ways between zones
-        self.clock_off = [0.0] * day.schedulers  # by scheduler: its wall clock against the workers'
-        self.clock_rate = [1.0] * day.schedulers  # on the virtual clock: how fast its own runs
-        self.hand_offs = 0
-        self.shaded: list[tuple[str, float, float]] = []  # faults as they were, for the report
+        self.lossy = 0.0  # share of packets lost on links between zones
+        # by scheduler: offset in seconds of its wall clock from the workers'
+        self.clock_off = [0.0] * day.schedulers
+        self.clock_rate = [1.0] * day.schedulers  # on the virtual clock: rate of its own clock
+        self.attempt_count = 0
+        self.shaded: list[tuple[str, float, float]] = []  # kind, start and end of each fault, for the report
         self.added: list[Worker] = []
-        self.on_push: Callable[[Worker, float], None] = lambda *_: (
-            None
-        )  # a cold one, by what share of its most
+        # called with a cold worker that is loaded, and the share of what it can bear
+        self.on_push: Callable[[Worker, float], None] = lambda *_: None
 
     def add(self, kind: int, cold: bool = False) -> Worker:
+        """Adds a worker of a model by number; a cold one is started now."""
         model, i = self.day.models[kind], self.count
         self.count += 1
         zone = i % len(self.day.zones)
         draw = self.draws.of(f"worker/{i}")
         speed = max(0.05, spread(draw, model.speed, model.speed_spread))
-        # cells lie within a zone, as buildings do
+        # a cell lies within one zone
         cell = zone + len(self.day.zones) * (i // (len(self.day.zones) * model.cell_size))
         worker = Worker(
             f"w{i}",
@@ -107,7 +111,7 @@
             draw,
             self.marks,
         )
-        worker.on_fall = self.fell
+        worker.on_fall = self.restart_after_overload
         worker.on_push = lambda w, share: self.on_push(w, share)
         self.workers[worker.name] = worker
         if cold:
@@ -116,13 +120,13 @@
             self.listing.change(worker, "ready")
         return worker
 
-    # ---- the life of workers
+    # ---- workers start and end
 
-    def fell(self, worker: Worker) -> None:
+    def restart_after_overload(self, worker: Worker) -> None:
         self.crash(worker, 3.0)
 
     def crash(self, worker: Worker, back_in: float | None) -> None:
-        """It dies without a word, and comes back, cold, unless `back_in` is none."""
+        """Ends it without notice; restarts it, cold, after `back_in` seconds unless that is None."""
         if not worker.alive:
             return
         worker.die()
@@ -136,17 +140,20 @@
             self.listing.change(worker, "ready")
 
     def drain(self, worker: Worker, back_in: float | None) -> None:
-        """Planned: it is listed as draining, finishes what runs, ends; and comes back, cold."""
+        """Planned end: it is listed as draining and finishes what runs.
+
+        Unless `back_in` is None it restarts, cold, after as many seconds.
+        """
         if not worker.alive or worker.leaving:
             return
         self.listing.change(worker, "draining")
 
-        def empty(_: Worker) -> None:
+        def when_empty(_: Worker) -> None:
             worker.on_empty = None
-            # it stays until all that may still send have heard, and some time more
+            # it stays until all senders have the update, with a margin
             self.agenda.after(self.day.listing.lag + 4.0 * self.day.rules.grace, self.gone, worker, back_in)
 
-        worker.on_empty = empty
+        worker.on_empty = when_empty
         worker.drain()
 
     def gone(self, worker: Worker, back_in: float | None) -> None:
@@ -157,41 +164,42 @@
         if back_in is not None:
             self.agenda.after(back_in, self.rise, worker)
 
-    # ---- the way
+    # ---- links
 
-    def way(self, one: int, other: int, draw: random.Random) -> float:
-        """Seconds one way between two zones."""
-        mean = self.day.network.same if one == other else self.day.network.cross
+    def way(self, sender: int, receiver: int, draw: random.Random) -> float:
+        """Latency between two zones, one way in seconds."""
+        mean = self.day.network.same if sender == receiver else self.day.network.cross
         way = mean * (1.0 + self.day.network.jitter * draw.random())
-        if self.lossy and one != other:
-            again = AGAIN
-            while draw.random() < self.lossy and again < LOST_MOST:
-                way, again = way + again, 2.0 * again
+        if self.lossy and sender != receiver:
+            pause = RETRANSMIT
+            while draw.random() < self.lossy and pause < LOST_MOST:
+                way, pause = way + pause, 2.0 * pause
         return way
 
-    def word(self, one: int, other: int, octets: bytes, draw: random.Random) -> Copies:
-        """What becomes of a word between two schedulers."""
-        fate = self.links.fate(one, other, draw, self.day.network.loss)
+    def word(self, sender: int, receiver: int, data: bytes, draw: random.Random) -> Copies:
+        """Copies of a peer message that arrive, each with its delay in seconds."""
+        delays = self.links.delays(sender, receiver, draw, self.day.network.loss)
         zones = len(self.day.zones)
-        if self.lossy and one % zones != other % zones and draw.random() < self.lossy:
+        if self.lossy and sender % zones != receiver % zones and draw.random() < self.lossy:
             return []
         if not self.link_faults.active:
-            return [(late, octets) for late in fate]
+            return [(delay, data) for delay in delays]
         now = self.agenda.now
         return [
-            (late + more, changed)
-            for late in fate
-            for more, changed in self.link_faults.apply(now, one, other, octets, draw)
+            (delay + more, changed)
+            for delay in delays
+            for more, changed in self.link_faults.apply(now, sender, receiver, data, draw)
         ]
 
     def number(self) -> int:
-        self.hand_offs += 1
-        return self.hand_offs
+        """The number of a new delivery attempt."""
+        self.attempt_count += 1
+        return self.attempt_count
 
-    # ---- the day
+    # ---- history
 
     def head(self, policy: str, clock: str, slack: float, held: float) -> dict[str, Any]:
-        """The head of the history. `slack` and `held` are the judge's tolerances in seconds."""
+        """Header of the history. `slack` and `held` are the judge's tolerances in seconds."""
         day = self.day
         return {
             "title": day.title,
@@ -217,5 +225,5 @@
                 for k in day.categories
             ],
             "workers": {w.name: [w.zone, w.cell] for w in self.workers.values()},
-            "faults": [list(shade) for shade in self.shaded],
+            "faults": [list(span) for span in self.shaded],
         }
