--- a/opalwick/lab/fleet/day.py
+++ b/opalwick/lab/fleet/day.py
@@ -160,9 +160,9 @@
                     [*at, key], f"{who.args[0]!r} is no member (s0 to s{found.members - 1}) and no group"
                 ) from None
         if fault.to and not kind.pairs:
-            raise invalid([*at, "to"], f"{fault.kind} is about members, and not about links to others")
+            raise invalid([*at, "to"], f"{fault.kind} is about members, and not about ways to others")
         if kind.pairs and ends[0] and ends[1] and not {(i, j) for i in ends[0] for j in ends[1] if i != j}:
-            raise invalid([*at, "to"], "a link from a member to itself is not possible")
+            raise invalid([*at, "to"], "a way from a member to itself is none")
     check_day(found.day(), text, name)
 
 
--- a/opalwick/lab/fleet/sockets.py
+++ b/opalwick/lab/fleet/sockets.py
@@ -258,7 +258,7 @@
 
     def relay_delay(self) -> float:
         """Delay of the relays themselves, in seconds at p99."""
-        delays = sorted(self.words.behind) if self.words else []
+        delays = sorted(self.words.delays) if self.words else []
         return delays[int(0.99 * (len(delays) - 1))] if delays else 0.0
 
     def void(self) -> str:
@@ -305,8 +305,8 @@
         ),
         "void": stage.void(),
         "exits": stage.exits,
-        "rude": stage.clients.rude,
-        "rude_unanswered": stage.clients.owed,
+        "rude": stage.clients.bad_answered,
+        "rude_unanswered": stage.clients.bad_unanswered,
         "late_ms": round(stage.agenda.worst * 1e3, 1),
         "relays_late_ms": round(stage.relay_delay() * 1e3, 2),
     }
--- a/opalwick/lab/sockets/__init__.py
+++ b/opalwick/lab/sockets/__init__.py
@@ -1,1 +1,1 @@
-"""The same world behind sockets on loopback, in front of real `serve` processes."""
+"""The simulated environment on loopback sockets, for real `serve` processes."""
--- a/opalwick/lab/sockets/clients.py
+++ b/opalwick/lab/sockets/clients.py
@@ -1,4 +1,4 @@
-"""Clients on sockets: a greenlet a request, connections kept by scheduler."""
+"""Clients on sockets: a greenlet per request, idle connections pooled by scheduler."""
 
 from __future__ import annotations
 
@@ -15,27 +15,31 @@
 from opalwick.lab.world.world import World
 from opalwick.protocol.http import Malformed, Message, Parser
 
-_BAD = (
+_BAD_REQUESTS = (
     b"GARBAGE\r\n\r\n",
     b"POST /x HTTP/1.1\r\nContent-Length: -5\r\n\r\n",
     b"POST /none HTTP/1.1\r\nContent-Length: 0\r\n\r\n",
     b"POST / HTTP/1.1\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
 )
-KEPT = 64  # connections to one scheduler that wait for use; more are closed
+MAX_IDLE = 64  # idle connections kept per scheduler; further ones are closed
 
 
-class Early(Exception):
-    """The connection ended before the whole answer."""
+class PrematureEnd(Exception):
+    """The connection ended before the answer was complete."""
 
 
 class SocketClients:
-    def __init__(self, world: World, places: list[Address], crashed: Callable[[int, float], bool]) -> None:
-        """`crashed` tells whether a scheduler has been killed since a moment of the day."""
-        self.world, self.places, self.crashed = world, places, crashed
-        self.kept: list[list[Any]] = [[] for _ in places]
-        self.tries: dict[str, Try] = {}  # all of the day: a worker may get one late
-        self.rude = 0  # bad requests answered or closed on
-        self.owed = 0  # bad requests that got neither in time
+    """Transport of the clients' requests over HTTP."""
+
+    def __init__(
+        self, world: World, addresses: list[Address], was_killed: Callable[[int, float], bool]
+    ) -> None:
+        """`crashed`: whether a scheduler has been killed since a time of the scenario, in seconds."""
+        self.world, self.addresses, self.was_killed = world, addresses, was_killed
+        self.idle_connections: list[list[Any]] = [[] for _ in addresses]
+        self.tries: dict[str, Try] = {}  # all of the scenario, as a worker may receive one late
+        self.bad_answered = 0  # bad requests that got an answer or an end of the connection
+        self.bad_unanswered = 0  # bad requests that got neither in time
 
     def ask(self, attempt: Try) -> None:
         if attempt.want.bad == "once":
@@ -51,7 +55,7 @@
     def connect(self, scheduler: int) -> Any:
         sock = socket.socket(plain.AF_INET, plain.SOCK_STREAM)
         sock.settimeout(1.0)
-        sock.connect(self.places[scheduler])
+        sock.connect(self.addresses[scheduler])
         sock.setsockopt(plain.IPPROTO_TCP, plain.TCP_NODELAY, 1)
         return sock
 
@@ -59,12 +63,12 @@
         clients, i = self.world.clients, attempt.scheduler
         data = self.request(attempt)
         began = self.world.agenda.now
-        sock, whole = None, False
+        sock, complete = None, False
         try:
             while True:
-                fresh = not self.kept[i]
+                is_new = not self.idle_connections[i]
                 try:
-                    sock = self.connect(i) if fresh else self.kept[i].pop()
+                    sock = self.connect(i) if is_new else self.idle_connections[i].pop()
                 except OSError:
                     clients.unreached(attempt)
                     return
@@ -74,28 +78,28 @@
                     clients.taken(attempt)
                     answer = self.answer(sock)
                     break
-                except (OSError, Malformed, Early) as problem:
+                except (OSError, Malformed, PrematureEnd) as problem:
                     sock.close()
-                    # a kept connection that ends without a byte was closed as the request crossed it
+                    # an idle connection that ends without a byte was closed while the request was in transit
                     if (
-                        not fresh
-                        and isinstance(problem, (Early, ConnectionError))
-                        and not self.crashed(i, began)
+                        not is_new
+                        and isinstance(problem, (PrematureEnd, ConnectionError))
+                        and not self.was_killed(i, began)
                     ):
                         continue
-                    clients.cut(attempt, self.crashed(i, began))
+                    clients.cut(attempt, self.was_killed(i, began))
                     return
-            whole = True
+            complete = True
         finally:
-            if sock is not None and not whole:
-                sock.close()  # also when this client leaves
-        if answer.keep_alive and len(self.kept[i]) < KEPT:
-            self.kept[i].append(sock)
+            if sock is not None and not complete:
+                sock.close()  # also when this client cancels
+        if answer.keep_alive and len(self.idle_connections[i]) < MAX_IDLE:
+            self.idle_connections[i].append(sock)
         else:
             sock.close()
-        self.tell(attempt, answer)
+        self.report(attempt, answer)
 
-    def tell(self, attempt: Try, answer: Message) -> None:
+    def report(self, attempt: Try, answer: Message) -> None:
         clients = self.world.clients
         if answer.status == 200:
             clients.answered(attempt, "finished", answer.body.decode("latin-1"))
@@ -139,22 +143,22 @@
         while not done:
             data = sock.recv(65536)
             if not data:
-                raise Early
+                raise PrematureEnd
             parser.feed(memoryview(data))
         return done[0]
 
     def bad(self, attempt: Try) -> None:
-        """Sends what cannot be read; an error or an end is owed within three seconds."""
+        """Sends a malformed request; the scheduler must answer or close within three seconds."""
         try:
             sock = self.connect(attempt.scheduler)
             try:
                 sock.settimeout(3.5)
-                sock.sendall(_BAD[attempt.want.number % len(_BAD)])
+                sock.sendall(_BAD_REQUESTS[attempt.want.number % len(_BAD_REQUESTS)])
                 sock.recv(4096)
-                self.rude += 1
+                self.bad_answered += 1
             finally:
                 sock.close()
         except TimeoutError:
-            self.owed += 1
+            self.bad_unanswered += 1
         except OSError:
-            self.rude += 1
+            self.bad_answered += 1
--- a/opalwick/lab/sockets/clock.py
+++ b/opalwick/lab/sockets/clock.py
@@ -1,4 +1,4 @@
-"""The agenda on the machine's clock, and how late it ran."""
+"""The agenda on the real clock, with a record of its delays."""
 
 from __future__ import annotations
 
@@ -10,13 +10,15 @@
 
 from opalwick.lab.agenda import Agenda
 
-LATE = 0.05  # seconds: as long as each time limit on sockets is stretched
-# share of due times that may be late before the day says nothing of a scheduler: one hiccup in a few hundred
-# is any machine's, and a stall of half a second is longer than most due times
-SHARE, WORST = 0.01, 0.5
+LATE = 0.05  # seconds: each time limit on sockets is extended by as much
+# The history is void above this share of late calls, or with a longer delay (seconds). One short delay in a
+# few hundred calls is normal for any machine; a stall of half a second is longer than most due times.
+MAX_LATE_SHARE, MAX_DELAY = 0.01, 0.5
 
 
 class RealAgenda(Agenda):
+    """Runs calls at their due times; `now` is in seconds since the start of the scenario."""
+
     def __init__(self) -> None:
         self.zero = time.monotonic()
         super().__init__()
@@ -32,34 +34,35 @@
 
     @now.setter
     def now(self, _: float) -> None:
-        """The clock moves by itself."""
+        """Ignored, as the real clock advances by itself."""
 
     def restart(self) -> None:
-        """The day begins now; nothing may be due yet."""
+        """Starts the scenario now; nothing may be due yet."""
         self.zero = time.monotonic()
 
     def drive(self, until: float) -> None:
-        while (left := until - self.now) > 0:
+        """Runs due calls until that time of the scenario."""
+        while (remaining := until - self.now) > 0:
             self.rearmed.clear()
             when = self.next()
             if when is None or when > self.now:
-                self.rearmed.wait(min(left, 60.0 if when is None else when - self.now))
+                self.rearmed.wait(min(remaining, 60.0 if when is None else when - self.now))
                 continue
-            behind = self.now - when
+            delay = self.now - when
             self.fired += 1
-            self.late += behind > LATE
-            self.worst = max(self.worst, behind)
-            if behind > LATE:
-                self.on_late(behind)
+            self.late += delay > LATE
+            self.worst = max(self.worst, delay)
+            if delay > LATE:
+                self.on_late(delay)
             self.fire()
-            if self.fired % 64 == 0:  # what has come on sockets is as old as what is due
+            if self.fired % 64 == 0:  # lets I/O run, which is as old as the due calls
                 gevent.sleep(0)
 
     def void(self) -> str:
-        """Why the day does not count; nothing where it does."""
-        if self.worst > WORST or self.late > SHARE * max(1, self.fired):
+        """Why the scenario does not count; empty where it does."""
+        if self.worst > MAX_DELAY or self.late > MAX_LATE_SHARE * max(1, self.fired):
             return (
                 f"the emulator was late: {self.late} of {self.fired} due times by over {LATE * 1e3:g} ms, "
-                f"the worst by {self.worst:.2f} s; the machine is too busy for this day"
+                f"the worst by {self.worst:.2f} s; the machine is too busy for this scenario"
             )
         return ""
--- a/opalwick/lab/sockets/fleet.py
+++ b/opalwick/lab/sockets/fleet.py
@@ -1,4 +1,4 @@
-"""The emulated workers and the list service behind sockets: the platform's protocol in, the world's calls."""
+"""The simulated workers and the list service on sockets: the platform's protocol to calls of the lab."""
 
 from __future__ import annotations
 
@@ -18,48 +18,48 @@
 _STATES = {"done": "done", "failed": "failed", "turned": "returned"}
 
 
-def _text(status: str, body: bytes = b"", *fields: str) -> bytes:
+def _response(status: str, body: bytes = b"", *fields: str) -> bytes:
     return (
         "\r\n".join([f"HTTP/1.1 {status}", f"Content-Length: {len(body)}", *fields, "", ""]).encode() + body
     )
 
 
 class WorkerServer:
-    """A worker's listener. Ways between zones are waited for here, as loopback has none."""
+    """A worker's listener. It adds the latency between zones, as loopback has none."""
 
     def __init__(
-        self, world: World, worker: Worker, port: int, tries: dict[str, Try], open_house: bool = False
+        self, world: World, worker: Worker, port: int, tries: dict[str, Try], accept_any: bool = False
     ) -> None:
-        """With `open_house` it works for whoever asks, not only for the day's own clients."""
-        self.world, self.worker, self.tries, self.open_house = world, worker, tries, open_house
-        self.way = world.draws.of(f"socket way/{worker.name}")
+        """With `open_house` it accepts work from anyone, not only from the scenario's own clients."""
+        self.world, self.worker, self.tries, self.accept_any = world, worker, tries, accept_any
+        self.latency_draw = world.draws.of(f"socket way/{worker.name}")
         self.server = Server(port, self.request, self.ended, idle=float(world.day.network.idle))
         die, rise = worker.die, worker.rise
 
-        def died() -> None:
+        def die_with_server() -> None:
             die()
             self.server.die()
 
-        def risen() -> None:
+        def rise_with_server() -> None:
             self.server.open()
             rise()
 
-        worker.die, worker.rise = died, risen  # type: ignore[method-assign]
+        worker.die, worker.rise = die_with_server, rise_with_server  # type: ignore[method-assign]
 
     def request(self, served: Served, message: Message) -> None:
         id = message.headers.get(b"x-correlation-id", b"").decode("latin-1")
-        asked = self.asked(id, message)
-        if asked is None or served.carries is not None:
-            # nobody asked for it: the judge is to know
+        expected = self.expected_job(id, message)
+        if expected is None or served.carries is not None:
+            # no client sent it: recorded for the judge
             number = self.world.number()
             self.world.ledger.note(self.world.agenda.now, "arrived", number, id, self.worker.name)
-            served.say(_text("400 Bad Request"))
+            served.say(_response("400 Bad Request"))
             return
-        category, work, zone = asked
+        category, work, zone = expected
         served.plain = b"x-plain" in message.headers
         kind = self.world.day.categories[category]
         key = message.headers.get(b"idempotency-key", b"").decode("latin-1") or None
-        way = self.world.way(zone, self.worker.zone, self.way)
+        latency = self.world.way(zone, self.worker.zone, self.latency_draw)
         job = served.carries = Job(
             self.world.number(),
             id,
@@ -68,79 +68,83 @@
             work,
             kind.slots,
             kind.memory,
-            lambda *told: self.world.agenda.after(way, self.tell, served, job, *told),
+            lambda *fields: self.world.agenda.after(latency, self.report, served, job, *fields),
+        )
+        # a new connection costs a round trip before the request
+        self.world.agenda.after(
+            latency * (3.0 if served.request_count == 1 else 1.0), self.arrive, served, job
         )
-        # a new connection costs a trip each way before the request
-        self.world.agenda.after(way * (3.0 if served.asked == 1 else 1.0), self.arrive, served, job)
 
-    def asked(self, id: str, message: Message) -> tuple[int, float, int] | None:
-        """Category, seconds of work and the scheduler's zone; none for what nobody asked for."""
+    def expected_job(self, id: str, message: Message) -> tuple[int, float, int] | None:
+        """Category, seconds of work and the scheduler's zone; None where no client sent such a request."""
         if (attempt := self.tries.get(id)) is not None:
             return attempt.want.category, attempt.want.work, attempt.scheduler % len(self.world.day.zones)
         name = message.target.decode("latin-1").split("?")[0].split("/")[1:2]
         found = [i for i, kind in enumerate(self.world.day.categories) if [kind.name] == name]
-        if not self.open_house or not found:
+        if not self.accept_any or not found:
             return None
         kind = self.world.day.categories[found[0]]
-        return found[0], max(1e-4, spread(self.way, kind.work, kind.spread)), self.worker.zone
+        return found[0], max(1e-4, spread(self.latency_draw, kind.work, kind.spread)), self.worker.zone
 
     def arrive(self, served: Served, job: Job) -> None:
         if not self.worker.alive:
             served.close(with_reset=True)
             return
         self.worker.arrive(job)
-        if served.over:  # closed on its way: the close arrives after it
+        if served.over:  # closed while in transit: the close arrives after the request
             self.worker.drop(job)
         elif job.state in ("waiting", "running") and not self.worker.stopped and not served.plain:
             served.say(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             served.headed = True
 
-    def tell(self, served: Served, job: Job, what: str, *fields: Any) -> None:
+    def report(self, served: Served, job: Job, event: str, *fields: Any) -> None:
         if served.over:
             return
-        if what == "broke":
+        if event == "broke":
             served.close(with_reset=True)
             return
         if served.plain:
-            self.tell_plainly(served, what, *fields)
+            self.report_plainly(served, event, *fields)
             return
         headed = served.headed
-        if what == "turned" and not headed:
-            load = ",".join(f"{name}={x:g}" for name, x in fields[0].items())
+        if event == "turned" and not headed:
+            load = ",".join(f"{name}={value:g}" for name, value in fields[0].items())
             served.carries = None
-            served.say(_text("503 Service Unavailable", b"", "X-Unprocessed: 1", f"X-Backend-Load: {load}"))
+            served.say(
+                _response("503 Service Unavailable", b"", "X-Unprocessed: 1", f"X-Backend-Load: {load}")
+            )
             return
-        told: dict[str, Any] = {"id": job.id, "from": self.worker.name}
-        if what == "began":
-            told["state"] = "started"
-        elif what == "progressed":
-            told |= {"state": "running", "share": round(fields[0], 4)}
+        record: dict[str, Any] = {"id": job.id, "from": self.worker.name}
+        if event == "began":
+            record["state"] = "started"
+        elif event == "progressed":
+            record |= {"state": "running", "share": round(fields[0], 4)}
         else:
-            told |= {"state": _STATES[what], "load": fields[0]}
-            if what == "done":
-                told["result"] = fields[1]
-        line = json.dumps(told).encode() + b"\n"
+            record |= {"state": _STATES[event], "load": fields[0]}
+            if event == "done":
+                record["result"] = fields[1]
+        line = json.dumps(record).encode() + b"\n"
         data = b"%x\r\n%b\r\n" % (len(line), line)
         if not headed:
             data = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + data
             served.headed = True
-        if what in _STATES:
+        if event in _STATES:
             data += b"0\r\n\r\n"
             served.carries, served.headed = None, False
         served.say(data)
 
-    def tell_plainly(self, served: Served, what: str, *fields: Any) -> None:
-        """As an ordinary HTTP server answers: the status tells, and nothing before the end."""
-        if what not in _STATES:
+    def report_plainly(self, served: Served, event: str, *fields: Any) -> None:
+        """Answers as an ordinary HTTP server: a status only, and nothing before the end."""
+        if event not in _STATES:
             return
-        load = "X-Backend-Load: " + ",".join(f"{name}={x:g}" for name, x in fields[0].items())
+        load = "X-Backend-Load: " + ",".join(f"{name}={value:g}" for name, value in fields[0].items())
         served.carries = None
-        if what == "done":
-            served.say(_text("200 OK", fields[1].encode(), load))
-        elif what == "turned":
-            served.say(_text("503 Service Unavailable", b"", "X-Unprocessed: 1", load))
+        if event == "done":
+            served.say(_response("200 OK", fields[1].encode(), load))
+        elif event == "turned":
+            served.say(_response("503 Service Unavailable", b"", "X-Unprocessed: 1", load))
         else:
-            served.say(_text("500 Internal Server Error", b"", load))
+            served.say(_response("500 Internal Server Error", b"", load))
 
     def ended(self, served: Served) -> None:
         if (job := served.carries) is not None and job.worker is not None:
@@ -148,7 +152,7 @@
 
 
 class ListServer:
-    """The list as one scheduler sees it: each has an address of its own, so that it is known who asks."""
+    """The list service for one scheduler: each has an address of its own, which identifies the caller."""
 
     def __init__(self, world: World, scheduler: int, port: int, dial: dict[str, str]) -> None:
         self.world, self.scheduler, self.dial = world, scheduler, dial
@@ -156,29 +160,29 @@
         self.server = Server(port, self.request)
 
     def request(self, served: Served, message: Message) -> None:
-        at = urlsplit(message.target.decode("latin-1"))
-        if at.path != "/api/targets":
-            served.say(_text("404 Not Found"))
+        url = urlsplit(message.target.decode("latin-1"))
+        if url.path != "/api/targets":
+            served.say(_response("404 Not Found"))
             return
-        given = parse_qs(at.query)
+        query = parse_qs(url.query)
         try:
-            since = int(given.get("since", ["0"])[0])
-            wait = min(60000, int(given.get("timeout_ms", ["0"])[0])) / 1000.0
+            since = int(query.get("since", ["0"])[0])
+            wait = min(60000, int(query.get("timeout_ms", ["0"])[0])) / 1000.0
         except ValueError:
-            served.say(_text("400 Bad Request"))
+            served.say(_response("400 Bad Request"))
             return
 
         def reply(found: tuple[int, bool, list[Listed]] | None) -> None:
             if found is None:
-                served.say(_text("503 Service Unavailable"))
+                served.say(_response("503 Service Unavailable"))
                 return
             version, whole, entries = found
             body = json.dumps(
                 {"seq": version, "whole": whole, "hosts": [self.entry(e) for e in entries]}
             ).encode()
-            served.say(_text("200 OK", body, "Content-Type: application/json"))
+            served.say(_response("200 OK", body, "Content-Type: application/json"))
 
-        # a call that asks for no wait worth the name is answered with what there is
+        # a wait under 10 ms is treated as none, and answered at once
         self.world.listing.call(self.scheduler, since, wait if wait >= 0.01 else 0.0, reply)
 
     def entry(self, entry: Listed) -> dict[str, Any]:
--- a/opalwick/lab/sockets/proxy.py
+++ b/opalwick/lab/sockets/proxy.py
@@ -1,8 +1,9 @@
 """A stand-in proxy on sockets: clients' HTTP in front, workers behind, a processor beside.
 
-It follows what such proxies publish: one gRPC stream a try, the request's head and the response's head are
-asked about, an immediate response is passed to the client, and a further try is made only where the response
-bears the field that says so. Without its processor it fails closed for requests, and lets responses pass.
+It follows the published behaviour of such proxies: one gRPC stream per try, on which the headers of the
+request and of the response are sent to the processor; an immediate response is passed to the client; a
+further try is made only where the response has the header field for it. Without its processor it fails closed
+for requests, and lets responses pass.
 """
 
 from __future__ import annotations
@@ -26,35 +27,41 @@
 from opalwick.protocol.http import Malformed, Message, Parser
 
 PATH = "/envoy.service.ext_proc.v3.ExternalProcessor/Process"
-MESSAGE = 1.0  # seconds that a message of the processor may take
-IDLE = 4.0  # seconds that a connection to a worker is kept: well under the workers' own
-TRIES = 5  # for one request, as retry policies bound them
+MESSAGE_TIMEOUT = 1.0  # seconds that the processor may take for a message
+IDLE_LIMIT = 4.0  # seconds that an idle connection to a worker is kept: well under the workers' own limit
+MAX_TRIES = 5  # per request, as retry policies bound them
 
 
-class Gone(Exception):
-    """The processor, or its stream, is not there any more."""
+class Unavailable(Exception):
+    """The processor, or its stream, is not available."""
 
 
 class Stream:
+    """One gRPC stream to the processor."""
+
     def __init__(self, client: ProcessorClient, id: int) -> None:
         self.client, self.id = client, id
         self.buffer = b""
-        self.came: Queue = Queue()
+        self.received: Queue = Queue()
+
+    def request_reply(self, message: Any) -> Any:
+        """Sends a message and returns its answer.
 
-    def ask(self, message: Any) -> Any:
-        """The answer to a message. Gone where none comes in time."""
-        octets = message.SerializeToString()
-        self.client.send(self.id, len(octets).to_bytes(5, "big") + octets)
+        Raises:
+            Unavailable: where none arrives in time, or the stream has ended.
+        """
+        data = message.SerializeToString()
+        self.client.send(self.id, len(data).to_bytes(5, "big") + data)
         try:
-            found = self.came.get(timeout=MESSAGE)
+            result = self.received.get(timeout=MESSAGE_TIMEOUT)
         except Empty:
-            raise Gone("no answer in time") from None
-        if found is None:
-            raise Gone("the stream has ended")
-        return found
+            raise Unavailable("no answer in time") from None
+        if result is None:
+            raise Unavailable("the stream has ended")
+        return result
 
-    def data(self, octets: bytes) -> None:
-        self.buffer += octets
+    def data(self, data: bytes) -> None:
+        self.buffer += data
         while len(self.buffer) >= 5:
             size = int.from_bytes(self.buffer[1:5], "big")
             if len(self.buffer) < 5 + size:
@@ -62,21 +69,21 @@
             answer = ext_proc.ProcessingResponse()
             answer.ParseFromString(self.buffer[5 : 5 + size])
             self.buffer = self.buffer[5 + size :]
-            self.came.put(answer)
+            self.received.put(answer)
 
 
 class ProcessorClient:
-    """One connection to a processor, for all streams of a proxy; a new one is made when it has ended."""
+    """One connection to a processor, for all streams of a proxy; it reconnects when it has ended."""
 
-    def __init__(self, place: Address) -> None:
-        self.place = place
+    def __init__(self, address: Address) -> None:
+        self.address = address
         self.sock: Any = None
         self.streams: dict[int, Stream] = {}
-        self.leaving = False  # it has said so on this connection
+        self.going_away = False  # GOAWAY has been received on this connection
 
     def open(self) -> Stream:
-        if self.leaving:
-            raise Gone("the processor leaves")
+        if self.going_away:
+            raise Unavailable("the processor is shutting down")
         if self.sock is None:
             self.connect()
         try:
@@ -93,8 +100,8 @@
                 ],
             )
         except h2.exceptions.ProtocolError as problem:
-            self.lose()
-            raise Gone(str(problem)) from None
+            self.disconnect()
+            raise Unavailable(str(problem)) from None
         stream = self.streams[id] = Stream(self, id)
         return stream
 
@@ -102,9 +109,9 @@
         sock = socket.socket(plain.AF_INET, plain.SOCK_STREAM)
         sock.settimeout(0.5)
         try:
-            sock.connect(self.place)
+            sock.connect(self.address)
         except OSError as problem:
-            raise Gone(str(problem)) from None
+            raise Unavailable(str(problem)) from None
         sock.settimeout(None)
         sock.setsockopt(plain.IPPROTO_TCP, plain.TCP_NODELAY, 1)
         self.sock, self.streams = sock, {}
@@ -112,12 +119,12 @@
         self.h2.initiate_connection()
         gevent.spawn(self.read, sock, self.h2)
 
-    def send(self, id: int, octets: bytes) -> None:
+    def send(self, id: int, data: bytes) -> None:
         try:
-            self.h2.send_data(id, octets)
+            self.h2.send_data(id, data)
             self.flush()
         except (h2.exceptions.ProtocolError, OSError) as problem:
-            raise Gone(str(problem)) from None
+            raise Unavailable(str(problem)) from None
 
     def end(self, stream: Stream, orderly: bool) -> None:
         if self.streams.pop(stream.id, None) is not None and self.sock is not None:
@@ -147,181 +154,188 @@
                             stream.data(event.data)
                     elif isinstance(event, (h2.events.StreamReset, h2.events.StreamEnded)):
                         if stream is not None:
-                            stream.came.put(None)
+                            stream.received.put(None)
                     elif isinstance(event, h2.events.ConnectionTerminated):
-                        # GOAWAY: what is open finishes; a new stream would be refused, so it fails here
-                        self.leaving = True
-                if self.sock is sock and (out := connection.data_to_send()):
-                    sock.sendall(out)
+                        # GOAWAY: open streams finish; a new stream would be refused, so it fails here
+                        self.going_away = True
+                if self.sock is sock and (pending := connection.data_to_send()):
+                    sock.sendall(pending)
         except (OSError, h2.exceptions.ProtocolError):
             pass
         if self.sock is sock:
-            self.lose()
+            self.disconnect()
 
-    def lose(self) -> None:
-        sock, self.sock, self.leaving = self.sock, None, False
+    def disconnect(self) -> None:
+        sock, self.sock, self.going_away = self.sock, None, False
         if sock is not None:
             sock.close()
         streams, self.streams = self.streams, {}
         for stream in streams.values():
-            stream.came.put(None)
+            stream.received.put(None)
 
 
 class Response:
+    """An HTTP response: status, header fields and body."""
+
     def __init__(self, status: int, fields: dict[bytes, bytes], body: bytes = b"") -> None:
         self.status, self.fields, self.body = status, fields, body
 
 
 class ProxyServer:
-    """`processors`: where they are; those of a request are all asked at one, by its id, so that a further try
-    meets what knows of the first. `hedge`: seconds without a response after which a second try starts beside
-    the first; 0: none. `fail_open`: without a processor it sends to a worker of its own choice."""
+    """The proxy's listener.
+
+    `processors`: their addresses; all tries of a request go to the same one, by its id, as it has the state
+    of the first try. `hedge`: seconds without a response until a second try starts in parallel; 0: none.
+    `fail_open`: workers to which it sends of its own choice without a processor.
+    """
 
     def __init__(
         self, port: int, processors: list[Address], hedge: float = 0.0, fail_open: list[str] | None = None
     ) -> None:
-        self.clients = [ProcessorClient(place) for place in processors]
+        self.clients = [ProcessorClient(address) for address in processors]
         self.hedge, self.fail_open = hedge, fail_open
-        self.kept: dict[str, list[tuple[float, Any]]] = {}
+        self.idle_connections: dict[str, list[tuple[float, Any]]] = {}
         self.server = Server(port, self.request, self.ended)
         self.failed_closed = self.failed_open = self.passed = self.tries = self.unused = self.hedged = 0
 
     def close(self) -> None:
         self.server.die()
         for client in self.clients:
-            client.lose()
+            client.disconnect()
 
     def request(self, served: Served, message: Message) -> None:
-        served.carries = gevent.spawn(self.carry, served, message)
+        served.carries = gevent.spawn(self.handle, served, message)
 
     def ended(self, served: Served) -> None:
         if served.carries is not None:
             served.carries.kill(block=False)
 
-    def carry(self, served: Served, message: Message) -> None:
-        response = self.decide(message)
+    def handle(self, served: Served, message: Message) -> None:
+        response = self.respond(message)
         served.carries = None
         lines = [f"HTTP/1.1 {response.status} x", f"Content-Length: {len(response.body)}"]
         if b"retry-after" in response.fields:
             lines.append("Retry-After: " + response.fields[b"retry-after"].decode())
         served.say("\r\n".join([*lines, "", ""]).encode() + response.body)
 
-    def decide(self, message: Message) -> Response:
+    def respond(self, message: Message) -> Response:
         if not self.hedge:
-            return self.through(message)
-        first = gevent.spawn(self.through, message)
-        out = [first]
+            return self.with_retries(message)
+        first = gevent.spawn(self.with_retries, message)
+        pending = [first]
         try:
             first.join(self.hedge)
             if not first.ready():
                 self.hedged += 1
-                out.append(gevent.spawn(self.once, message))
+                pending.append(gevent.spawn(self.single_try, message))
             while True:
-                # the first good one is the answer; a refused hedge is none, and the first is waited for
-                done = [each for each in out if each.ready()]
-                good = [each for each in done if each.value is not None and each.value.status < 500]
-                if good or len(done) == len(out):
+                # the first good response is the answer; after a refused hedge the first try is awaited
+                completed = [each for each in pending if each.ready()]
+                good = [each for each in completed if each.value is not None and each.value.status < 500]
+                if good or len(completed) == len(pending):
                     return (good or [first])[0].value or Response(503, {})
-                gevent.wait([each for each in out if not each.ready()], count=1)
+                gevent.wait([each for each in pending if not each.ready()], count=1)
         finally:
-            for each in out:
+            for each in pending:
                 each.kill(block=False)
 
-    def through(self, message: Message) -> Response:
-        """Try after try, as far as the processor says that there is a worker for it."""
+    def with_retries(self, message: Message) -> Response:
+        """Repeats tries as long as the processor has a worker for the request."""
         response = Response(503, {})
-        for _ in range(TRIES):
-            response, again = self.one(message)
+        for _ in range(MAX_TRIES):
+            response, again = self.try_once(message)
             if not again:
                 break
         return response
 
-    def once(self, message: Message) -> Response:
-        return self.one(message)[0]
+    def single_try(self, message: Message) -> Response:
+        return self.try_once(message)[0]
 
-    def one(self, message: Message) -> tuple[Response, bool]:
+    def try_once(self, message: Message) -> tuple[Response, bool]:
         self.tries += 1
         id = message.headers.get(b"x-correlation-id", b"")
         client = self.clients[zlib.crc32(id) % len(self.clients)]
         try:
             stream = client.open()
-        except Gone:
-            return self.without(message), False
+        except Unavailable:
+            return self.without_processor(message), False
         orderly = False
         try:
-            found = self.attempt(stream, message)
+            result = self.exchange(stream, message)
             orderly = True
-            return found
+            return result
         finally:
             client.end(stream, orderly)
 
-    def without(self, message: Message) -> Response:
-        """No processor answers."""
+    def without_processor(self, message: Message) -> Response:
+        """Response without a processor: 503, or with `fail_open` that of a worker."""
         if self.fail_open:
             self.failed_open += 1
-            place = self.fail_open[
+            address = self.fail_open[
                 zlib.crc32(message.headers.get(b"x-correlation-id", b"")) % len(self.fail_open)
             ]
-            return self.send(place, message, time.monotonic() + 1.0)
+            return self.send(address, message, time.monotonic() + 1.0)
         self.failed_closed += 1
         return Response(503, {})
 
-    def attempt(self, stream: Stream, message: Message) -> tuple[Response, bool]:
-        asked = ext_proc.ProcessingRequest()
-        asked.request_headers.end_of_stream = False
+    def exchange(self, stream: Stream, message: Message) -> tuple[Response, bool]:
+        processing_request = ext_proc.ProcessingRequest()
+        processing_request.request_headers.end_of_stream = False
         fields = {b":path": message.target, b":method": message.method, **message.headers}
         fields[b"x-request-id"] = message.headers.get(b"x-correlation-id", b"")
         for name, value in fields.items():
-            asked.request_headers.headers.headers.add(key=name.decode("latin-1"), raw_value=value)
+            processing_request.request_headers.headers.headers.add(
+                key=name.decode("latin-1"), raw_value=value
+            )
         try:
-            told = stream.ask(asked)
-        except Gone:
-            return self.without(message), False
+            reply = stream.request_reply(processing_request)
+        except Unavailable:
+            return self.without_processor(message), False
         at = time.monotonic()
-        if told.HasField("immediate_response"):
-            return self.immediate(told.immediate_response), False
+        if reply.HasField("immediate_response"):
+            return self.immediate(reply.immediate_response), False
         where = {
             h.header.key: h.header.raw_value.decode()
-            for h in told.request_headers.response.header_mutation.set_headers
+            for h in reply.request_headers.response.header_mutation.set_headers
         }
         use_by = at + int(where["x-opalwick-use-by-ms"]) / 1e3
         response = self.send(where["x-envoy-original-dst-host"], message, use_by)
-        asked = ext_proc.ProcessingRequest()
-        asked.response_headers.end_of_stream = True
-        headers = asked.response_headers.headers.headers
+        processing_request = ext_proc.ProcessingRequest()
+        processing_request.response_headers.end_of_stream = True
+        headers = processing_request.response_headers.headers.headers
         headers.add(key=":status", raw_value=str(response.status).encode())
         for name, value in response.fields.items():
             headers.add(key=name.decode("latin-1"), raw_value=value)
         try:
-            told = stream.ask(asked)
-        except Gone:
+            reply = stream.request_reply(processing_request)
+        except Unavailable:
             self.passed += 1
             return response, False
-        if told.HasField("immediate_response"):
-            return self.immediate(told.immediate_response), False
-        marks = [h.header.key for h in told.response_headers.response.header_mutation.set_headers]
-        return response, "x-opalwick-again" in marks
+        if reply.HasField("immediate_response"):
+            return self.immediate(reply.immediate_response), False
+        set_names = [h.header.key for h in reply.response_headers.response.header_mutation.set_headers]
+        return response, "x-opalwick-again" in set_names
 
     @staticmethod
-    def immediate(told: Any) -> Response:
-        fields = {h.header.key.encode(): h.header.raw_value for h in told.headers.set_headers}
-        return Response(told.status.code, fields)
-
-    def send(self, place: str, message: Message, use_by: float) -> Response:
-        """To the worker; what it answers, or the proxy's own words for why it did not."""
-        never = Response(503, {b"x-opalwick-not-sent": b"1"})
-        left = float(message.headers.get(b"x-time-left-ms", b"5000")) / 1e3
-        kept = self.kept.setdefault(place, [])
+    def immediate(reply: Any) -> Response:
+        fields = {h.header.key.encode(): h.header.raw_value for h in reply.headers.set_headers}
+        return Response(reply.status.code, fields)
+
+    def send(self, address: str, message: Message, use_by: float) -> Response:
+        """Sends to the worker; returns its response, or the proxy's own for a failure to get one."""
+        not_sent = Response(503, {b"x-opalwick-not-sent": b"1"})
+        time_left = float(message.headers.get(b"x-time-left-ms", b"5000")) / 1e3
+        idle_connections = self.idle_connections.setdefault(address, [])
         sock = None
-        while kept and sock is None:
-            since, found = kept.pop()
-            if time.monotonic() - since < IDLE:
-                sock = found
+        while idle_connections and sock is None:
+            since, idle = idle_connections.pop()
+            if time.monotonic() - since < IDLE_LIMIT:
+                sock = idle
             else:
-                found.close()
+                idle.close()
         try:
             if sock is None:
-                host, port = place.rsplit(":", 1)
+                host, port = address.rsplit(":", 1)
                 sock = socket.socket(plain.AF_INET, plain.SOCK_STREAM)
                 sock.settimeout(max(0.001, use_by - time.monotonic()))
                 sock.connect((host, int(port)))
@@ -329,37 +343,37 @@
         except OSError:
             if sock is not None:
                 sock.close()
-            return never
+            return not_sent
         if time.monotonic() > use_by:
             sock.close()
             self.unused += 1
-            return never
-        done: list[Message] = []
-        whole = False
+            return not_sent
+        completed: list[Message] = []
+        reusable = False
         try:
             lines = [b"POST " + message.target + b" HTTP/1.1", b"Host: worker", b"X-Plain: 1"]
             for name in (b"x-correlation-id", b"idempotency-key", b"x-time-left-ms"):
                 if name in message.headers:
                     lines.append(name + b": " + message.headers[name])
             lines += [b"Content-Length: %d" % len(message.body), b"", message.body]
-            sock.settimeout(left)
+            sock.settimeout(time_left)
             sock.sendall(b"\r\n".join(lines))
-            parser = Parser(httptools.HttpResponseParser, LIMITS, done.append)
-            while not done:
+            parser = Parser(httptools.HttpResponseParser, LIMITS, completed.append)
+            while not completed:
                 data = sock.recv(65536)
                 if not data:
                     return Response(502, {})
                 parser.feed(memoryview(data))
-            whole = done[0].keep_alive
+            reusable = completed[0].keep_alive
         except TimeoutError:
             return Response(504, {})
         except (OSError, Malformed):
             return Response(502, {})
         finally:
-            if whole:
-                kept.append((time.monotonic(), sock))
+            if reusable:
+                idle_connections.append((time.monotonic(), sock))
             else:
                 sock.close()
         names = (b"x-unprocessed", b"x-backend-load")
-        fields = {name: done[0].headers[name] for name in names if name in done[0].headers}
-        return Response(done[0].status, fields, done[0].body)
+        fields = {name: completed[0].headers[name] for name in names if name in completed[0].headers}
+        return Response(completed[0].status, fields, completed[0].body)
--- a/opalwick/lab/sockets/relays.py
+++ b/opalwick/lab/sockets/relays.py
@@ -1,4 +1,4 @@
-"""Relays on loopback that do to bytes and datagrams what networks do. They know no work items."""
+"""Relays on loopback that emulate network faults on bytes and datagrams, independent of their content."""
 
 from __future__ import annotations
 
@@ -17,25 +17,27 @@
 
 
 class Way:
-    """What holds on a TCP relay now, both ways. It may change while connections are open."""
+    """Faults of a TCP relay, for both directions. They may change while connections are open."""
 
     def __init__(self) -> None:
         self.delay = 0.0  # seconds, each way
-        self.rate = 0.0  # bytes a second, each way; 0: any
-        self.silent = False  # swallows all, ends nothing, takes connections without an answer
-        self.mute = False  # swallows what comes back from the target
-        self.refuse = False  # takes no connection
-        self.stall_at = -1  # bytes toward the target after which a connection stalls; -1: never
-        self.reset_at = -1  # after which it is reset, both sides
-        self.resets = 0.0  # share of messages toward the target that are cut half-way by a reset
+        self.rate = 0.0  # bytes a second, each way; 0: no limit
+        self.silent = False  # discards all data, closes nothing, accepts connections without an answer
+        self.mute = False  # discards data from the target
+        self.refuse = False  # refuses connections
+        self.stall_at = -1  # bytes to the target after which a connection stalls; -1: never
+        self.reset_at = -1  # bytes to the target after which it is reset, both sides; -1: never
+        self.resets = 0.0  # share of messages to the target that are reset half-way
         self.draw = random.Random(0)
-        self.on_swallow: Callable[[bytes], None] = lambda _: None  # told what did not come through
+        self.on_swallow: Callable[[bytes], None] = lambda _: None  # called with discarded data
 
 
 class TcpRelay:
+    """Relays the connections of one port to a target."""
+
     def __init__(self, port: int, target: Callable[[], Address], way: Way) -> None:
         self.port, self.target, self.way = port, target, way
-        self.open: dict[Any, Any] = {}  # client's side: target's side
+        self.open: dict[Any, Any] = {}  # socket of the client: socket of the target
         self.swallowed = 0  # bytes
         self.sock: Any = None
         self.accepting: Any = None
@@ -46,10 +48,10 @@
             self.sock = listener(self.port)
             self.accepting = gevent.spawn(self.accept, self.sock)
 
-    def refuse(self, so: bool) -> None:
-        """Refusing ends what is open, as a host that rejects packets does."""
-        self.way.refuse = so
-        if so:
+    def refuse(self, refusing: bool) -> None:
+        """Starts or stops refusing; refusing resets open connections, as a host that rejects packets does."""
+        self.way.refuse = refusing
+        if refusing:
             if self.accepting is not None:
                 self.accepting.kill()
                 self.sock.close()
@@ -59,179 +61,181 @@
             self.listen()
 
     def cut(self) -> None:
-        """Resets all that is open."""
-        for here, there in list(self.open.items()):
-            self.end(here, there)
+        """Resets all open connections."""
+        for client_side, server_side in list(self.open.items()):
+            self.end(client_side, server_side)
 
-    def end(self, here: Any, there: Any) -> None:
-        self.open.pop(here, None)
-        reset(here)
-        reset(there)
+    def end(self, client_side: Any, server_side: Any) -> None:
+        self.open.pop(client_side, None)
+        reset(client_side)
+        reset(server_side)
 
     def accept(self, sock: Any) -> None:
         while True:
             try:
-                here, _ = sock.accept()
+                client_side, _ = sock.accept()
             except OSError:
                 return
-            gevent.spawn(self.connect, here)
+            gevent.spawn(self.connect, client_side)
 
-    def connect(self, here: Any) -> None:
-        if self.way.mute:  # a handshake needs both ways, and loopback's has been done already
-            link = Link(here, None)
-            link.dead = True
-            self.carry(link, here, None, True)
+    def connect(self, client_side: Any) -> None:
+        if self.way.mute:  # on a real network the handshake would fail; on loopback it has completed already
+            connection = Connection(client_side, None)
+            connection.dead = True
+            self.carry(connection, client_side, None, True)
             return
         if self.way.delay:
             gevent.sleep(self.way.delay)
-        there = socket.socket(plain.AF_INET, plain.SOCK_STREAM)
+        server_side = socket.socket(plain.AF_INET, plain.SOCK_STREAM)
         try:
-            there.connect(self.target())
+            server_side.connect(self.target())
         except OSError:
-            reset(here)
+            reset(client_side)
             return
-        for sock in (here, there):
+        for sock in (client_side, server_side):
             sock.setsockopt(plain.IPPROTO_TCP, plain.TCP_NODELAY, 1)
-        self.open[here] = there
-        link = Link(here, there)
-        gevent.spawn(self.carry, link, here, there, True)
-        gevent.spawn(self.carry, link, there, here, False)
+        self.open[client_side] = server_side
+        connection = Connection(client_side, server_side)
+        gevent.spawn(self.carry, connection, client_side, server_side, True)
+        gevent.spawn(self.carry, connection, server_side, client_side, False)
 
-    def carry(self, link: Link, one: Any, other: Any, toward: bool) -> None:
-        """Bytes of one direction, until its end."""
+    def carry(self, connection: Connection, source: Any, destination: Any, to_server: bool) -> None:
+        """Relays the bytes of one direction, until its end."""
         way, carried = self.way, 0
         try:
-            while data := one.recv(16384):
-                # bytes that are gone leave a gap, so nothing may come through after them
-                link.dead = link.dead or way.silent
-                link.mute = link.mute or way.mute
-                if link.dead or (link.mute and not toward):
+            while data := source.recv(16384):
+                # discarded bytes leave a gap in the stream, so nothing after them may pass
+                connection.dead = connection.dead or way.silent
+                connection.mute = connection.mute or way.mute
+                if connection.dead or (connection.mute and not to_server):
                     self.swallow(data)
                     continue
                 if way.delay:
                     gevent.sleep(way.delay)
-                if toward and 0 <= way.reset_at < carried + len(data):
-                    other.sendall(data[: way.reset_at - carried])
-                    self.break_off(link, data)
+                if to_server and 0 <= way.reset_at < carried + len(data):
+                    destination.sendall(data[: way.reset_at - carried])
+                    self.reset_half_way(connection, data)
                     return
-                if toward and way.resets and way.draw.random() < way.resets:
-                    other.sendall(data[: len(data) // 2])
-                    self.break_off(link, data)
+                if to_server and way.resets and way.draw.random() < way.resets:
+                    destination.sendall(data[: len(data) // 2])
+                    self.reset_half_way(connection, data)
                     return
-                if toward and 0 <= way.stall_at < carried + len(data):
+                if to_server and 0 <= way.stall_at < carried + len(data):
                     first = max(0, way.stall_at - carried)
-                    other.sendall(data[:first])
+                    destination.sendall(data[:first])
                     carried, data = carried + first, data[first:]
-                    while way.stall_at >= 0:  # until it is lifted
+                    while way.stall_at >= 0:  # until the stall ends
                         gevent.sleep(0.02)
                 carried += len(data)
-                self.pace(other, data)
-            if link.dead:
+                self.send_paced(destination, data)
+            if connection.dead:
                 return
-            other.shutdown(plain.SHUT_WR)  # an orderly end of this direction
-            link.ended += 1
-            if link.ended == 2:
-                self.open.pop(link.here, None)
-                link.here.close()
-                link.there.close()
+            destination.shutdown(plain.SHUT_WR)  # orderly shutdown of this direction
+            connection.ended += 1
+            if connection.ended == 2:
+                self.open.pop(connection.client_side, None)
+                connection.client_side.close()
+                connection.server_side.close()
         except OSError:
-            if not link.dead:
-                self.end(link.here, link.there)
+            if not connection.dead:
+                self.end(connection.client_side, connection.server_side)
 
-    def pace(self, other: Any, data: bytes) -> None:
+    def send_paced(self, destination: Any, data: bytes) -> None:
         while data:
-            # fifty pieces a second: fine enough for a slow line, cheap enough for a fast one
-            some = data[: max(1, int(self.way.rate * 0.02))] if self.way.rate else data
-            other.sendall(some)
-            data = data[len(some) :]
+            # pieces of 20 ms: fine enough for a slow link, cheap enough for a fast one
+            piece = data[: max(1, int(self.way.rate * 0.02))] if self.way.rate else data
+            destination.sendall(piece)
+            data = data[len(piece) :]
             if self.way.rate:
-                gevent.sleep(len(some) / self.way.rate)
+                gevent.sleep(len(piece) / self.way.rate)
 
     def swallow(self, data: bytes) -> None:
         self.swallowed += len(data)
         self.way.on_swallow(data)
 
-    def break_off(self, link: Link, data: bytes) -> None:
+    def reset_half_way(self, connection: Connection, data: bytes) -> None:
         self.swallow(data)
-        gevent.sleep(0.01)  # what was sent first arrives before the reset
-        self.end(link.here, link.there)
+        gevent.sleep(0.01)  # data sent before arrives before the reset
+        self.end(connection.client_side, connection.server_side)
 
 
-class Link:
+class Connection:
     """One connection through a relay."""
 
-    def __init__(self, here: Any, there: Any) -> None:
-        self.here, self.there = here, there
+    def __init__(self, client_side: Any, server_side: Any) -> None:
+        self.client_side, self.server_side = client_side, server_side
         self.dead = self.mute = False
-        self.ended = 0  # directions
+        self.ended = 0  # number of directions that have ended
 
 
 class Words:
-    """All words between the members of a fleet: a place a member, under which the others know it.
+    """Relays the datagrams between the members of a fleet, with an address per member for the others.
 
-    A member sends from where it listens, which tells who it is; what comes through goes on from the place of
-    its sender, so that the receiver knows it by the same.
+    A member sends from the port on which it listens, which identifies it. Datagrams are forwarded from the
+    relay's address of their sender, so that the receiver sees the address that it has for it.
     """
 
     def __init__(
         self, ports: list[int], fate: Callable[[int, int, bytes], list[tuple[float, bytes]]]
     ) -> None:
-        """`fate`: of a word between two members by number, how late each copy is and what it says then."""
+        """`fate`: for a datagram between two members by number, the delay and content of each copy."""
         self.fate = fate
-        self.socks, self.homes = [], [(HOST, 0)] * len(ports)
-        self.members: dict[Address, int] = {}  # by where each listens, a twin beside the first
+        self.socks, self.reply_addresses = [], [(HOST, 0)] * len(ports)
+        # by listening address; a second process of a member has its own
+        self.members: dict[Address, int] = {}
         self.carried = self.lost = 0
-        self.behind: list[float] = []  # seconds that each was late here, beyond its fate
+        self.delays: list[float] = []  # seconds by which each was forwarded late, beyond its intended delay
         for port in ports:
             sock = socket.socket(plain.AF_INET, plain.SOCK_DGRAM)
             sock.bind((HOST, port))
             sock.setsockopt(plain.SOL_SOCKET, plain.SO_RCVBUF, 1 << 21)
-            sock.setsockopt(plain.SOL_SOCKET, _STAMP, 1)
+            sock.setsockopt(plain.SOL_SOCKET, _TIMESTAMP_OPTION, 1)
             sock.settimeout(0.0)
             self.socks.append(sock)
         self.running = [gevent.spawn(self.run, number) for number in range(len(ports))]
 
     def place(self, member: int) -> Address:
+        """The relay's address of a member, for the others."""
         return HOST, self.socks[member].getsockname()[1]
 
     def listens(self, member: int, where: Address) -> None:
-        """A member, or a second process under its name, listens there; words go to where it spoke last."""
+        """Registers a listening address of a member; datagrams go to the one that it sent from last."""
         self.members[where] = member
-        if not self.homes[member][1]:
-            self.homes[member] = where
+        if not self.reply_addresses[member][1]:
+            self.reply_addresses[member] = where
 
     def run(self, to: int) -> None:
         sock = self.socks[to]
         while True:
             try:
                 socket.wait_read(sock.fileno())
-                for _ in range(64):  # what has come by then, and no more: one that floods lets others in
-                    octets, told, _, sender = sock.recvmsg(2048, 64)
-                    self.take(to, octets, sender, told)
+                for _ in range(64):  # bounded, so that one that floods does not block the others
+                    data, ancillary, _, sender = sock.recvmsg(2048, 64)
+                    self.receive(to, data, sender, ancillary)
             except BlockingIOError:
                 continue
             except OSError:
                 return
 
-    def take(self, to: int, octets: bytes, sender: Address, told: list[tuple[int, int, bytes]]) -> None:
-        if (one := self.members.get(sender)) is None:
+    def receive(self, to: int, data: bytes, sender: Address, ancillary: list[tuple[int, int, bytes]]) -> None:
+        if (source := self.members.get(sender)) is None:
             return
-        self.homes[one] = sender
-        came = _stamped(told)
-        copies = self.fate(one, to, octets)
+        self.reply_addresses[source] = sender
+        arrived = _received_at(ancillary)
+        copies = self.fate(source, to, data)
         self.lost += not copies
-        for late, said in copies:
-            if late:
-                gevent.spawn_later(late, self.give, one, to, said, came + late)
+        for delay, content in copies:
+            if delay:
+                gevent.spawn_later(delay, self.forward, source, to, content, arrived + delay)
             else:
-                self.give(one, to, said, came)
+                self.forward(source, to, content, arrived)
 
-    def give(self, one: int, to: int, octets: bytes, due: float) -> None:
+    def forward(self, source: int, to: int, data: bytes, due: float) -> None:
         self.carried += 1
-        self.behind.append(time.time() - due)
+        self.delays.append(time.time() - due)
         try:
-            self.socks[one].sendto(octets, self.homes[to])
-        except OSError:  # the member is not there
+            self.socks[source].sendto(data, self.reply_addresses[to])
+        except OSError:  # the member is not running
             pass
 
     def close(self) -> None:
@@ -241,13 +245,13 @@
             sock.close()
 
 
-_STAMP = 35  # SO_TIMESTAMPNS of Linux, which the socket module does not name
+_TIMESTAMP_OPTION = 35  # SO_TIMESTAMPNS of Linux, for which the socket module has no name
 
 
-def _stamped(told: list[tuple[int, int, bytes]]) -> float:
-    """When the kernel took it in, Unix time; now where it does not tell."""
-    for level, kind, octets in told:
-        if (level, kind) == (plain.SOL_SOCKET, _STAMP) and len(octets) >= 16:
-            seconds, nanoseconds = struct.unpack_from("qq", octets)
+def _received_at(ancillary: list[tuple[int, int, bytes]]) -> float:
+    """Unix time at which the kernel received it; the current time without a timestamp."""
+    for level, kind, data in ancillary:
+        if (level, kind) == (plain.SOL_SOCKET, _TIMESTAMP_OPTION) and len(data) >= 16:
+            seconds, nanoseconds = struct.unpack_from("qq", data)
             return seconds + nanoseconds * 1e-9
     return time.time()
--- a/opalwick/lab/sockets/stage.py
+++ b/opalwick/lab/sockets/stage.py
@@ -1,4 +1,4 @@
-"""A day on sockets: the world's servers and clients in this process, each scheduler a `serve` of its own."""
+"""A scenario on sockets: servers and clients of the lab in this process, each scheduler a `serve` process."""
 
 from __future__ import annotations
 
@@ -32,27 +32,29 @@
 from opalwick.lab.world.worker import Worker
 from opalwick.lab.world.world import World
 
-# faults that need a relay on each link
-LINKS = {"silent_links", "one_sided", "refused", "half_resets", "slow_links"}
-LOG_TAIL = 2000  # characters of a log that stand in an error's message
-READY = 20.0  # seconds within which all schedulers must be ready: a hundred times the usual
-# as each limit on sockets is 50 ms longer, and a process of the day may be late by as much again
+# kinds of faults that need a relay on each link
+LINK_FAULTS = {"silent_links", "one_sided", "refused", "half_resets", "slow_links"}
+LOG_TAIL = 2000  # characters of a log that an error message contains
+READY = 20.0  # seconds within which all schedulers must be ready: a hundred times the usual start time
+# each time limit on sockets is 50 ms longer, and a process of the scenario may be late by as much again
 SLACK = 0.15
 
 
-_IDS = re.compile(rb"\b[0-9a-f]{16}\b")  # of work items, as the lab's clients give them
+_IDS = re.compile(rb"\b[0-9a-f]{16}\b")  # ids of requests, as the lab's clients assign them
 
 
 def dies_with_its_parent() -> None:
-    """Called in a child before it becomes the program: a lab that is killed leaves nothing behind."""
+    """Called in a child before exec, so that it is killed together with the lab."""
     ctypes.CDLL(None).prctl(1, signal.SIGKILL)  # PR_SET_PDEATHSIG of Linux
 
 
 class NotReady(RuntimeError):
-    """A scheduler did not come up; says why."""
+    """A scheduler did not become ready; the message has the reason and its log."""
 
 
 class Stage:
+    """The processes, servers and relays of one scenario."""
+
     def __init__(
         self,
         day: Day,
@@ -62,7 +64,7 @@
         hedge: float = 0.0,
         relayed: bool = False,
     ) -> None:
-        """`relayed`: each way to a worker has a relay, whether a fault of the day needs it or not."""
+        """`relayed`: each link to a worker has a relay, whether a fault needs it or not; `hedge`: seconds."""
         self.day, self.logs, self.front = day, logs, front
         self.agenda = RealAgenda()
         self.world = World(day, seed, self.agenda)
@@ -70,39 +72,41 @@
         n = day.schedulers
         self.places: list[Address] = [(HOST, free_port(self.ports)) for _ in range(n)]
         self.peer_ports = [free_port(self.ports, socket.SOCK_DGRAM) for _ in range(n)]
-        self.killed: list[list[float]] = [[] for _ in range(n)]
-        self.asked_at = self.places  # where clients ask
+        self.kill_times: list[list[float]] = [[] for _ in range(n)]
+        self.client_addresses = self.places  # where clients connect
         self.proxies: list[Any] = []
         if front == "processor":
             from opalwick.lab.sockets.proxy import ProxyServer
 
-            # each proxy asks all processors of the day, so each of those sees a part of every proxy's traffic
+            # each proxy calls all processors, so each processor sees a part of every proxy's traffic
             self.proxies = [ProxyServer(free_port(self.ports), self.places, hedge) for _ in self.places]
-            self.asked_at = [(HOST, proxy.server.port) for proxy in self.proxies]
-        self.clients = SocketClients(self.world, self.asked_at, self.was_killed)
+            self.client_addresses = [(HOST, proxy.server.port) for proxy in self.proxies]
+        self.clients = SocketClients(self.world, self.client_addresses, self.was_killed)
         self.world.clients.carrier = self.clients
         self.world.processes = self
         self.servers: dict[str, WorkerServer] = {}
-        self.relayed = relayed or any(f.kind in LINKS for f in day.faults)
+        self.relayed = relayed or any(f.kind in LINK_FAULTS for f in day.faults)
         self.relays: dict[tuple[int, str], TcpRelay] = {}
-        self.dials: list[dict[str, str]] = [{} for _ in range(n)]
+        self.worker_addresses: list[dict[str, str]] = [{} for _ in range(n)]
         for worker in self.world.workers.values():
             self.serve(worker)
         add = self.world.add
 
-        def added(kind: int, cold: bool = False) -> Worker:
+        def add_and_serve(kind: int, cold: bool = False) -> Worker:
             worker = add(kind, cold)
             self.serve(worker)
             return worker
 
-        self.world.add = added  # type: ignore[method-assign]
-        self.lists = [ListServer(self.world, i, free_port(self.ports), self.dials[i]) for i in range(n)]
+        self.world.add = add_and_serve  # type: ignore[method-assign]
+        self.lists = [
+            ListServer(self.world, i, free_port(self.ports), self.worker_addresses[i]) for i in range(n)
+        ]
         self.words = self._words() if day.allow.words and n > 1 else None
         self.running: list[subprocess.Popen | None] = [None] * n
         self.starts = [0] * n
-        self.waits: dict[int, Any] = {}  # until a scheduler is ready
-        self.exits: list[str] = []  # of schedulers that ended unasked
-        self.asked_to_end: set[int] = set()
+        self.ready_waits: dict[int, Any] = {}  # greenlets that wait until a scheduler is ready
+        self.exits: list[str] = []  # descriptions of unexpected ends of schedulers
+        self.shutting_down: set[int] = set()
 
     # ---- servers
 
@@ -115,26 +119,26 @@
             if self.relayed:
                 way = Way()
                 way.draw = self.world.draws.of(f"relay/{i}/{worker.name}")
-                way.on_swallow = partial(self.swallow, worker.name)
+                way.on_swallow = partial(self.record_lost, worker.name)
                 port = free_port(self.ports)
                 relay = TcpRelay(port, lambda port=server.server.port: (HOST, port), way)  # type: ignore[misc]
                 self.relays[i, worker.name] = relay
                 place = f"{HOST}:{port}"
-            self.dials[i][worker.name] = place
+            self.worker_addresses[i][worker.name] = place
 
     def _words(self) -> Words:
         n = self.day.schedulers
-        made = Words([free_port(self.ports, socket.SOCK_DGRAM) for _ in range(n)], self.word)
+        relays = Words([free_port(self.ports, socket.SOCK_DGRAM) for _ in range(n)], self.word)
         for i, port in enumerate(self.peer_ports):
-            made.listens(i, (HOST, port))
-        return made
+            relays.listens(i, (HOST, port))
+        return relays
 
-    def word(self, one: int, other: int, octets: bytes) -> list[tuple[float, bytes]]:
-        """What becomes of a word between two schedulers."""
-        return self.world.word(one, other, octets, self.world.draws.of(f"words/{one}/{other}"))
+    def word(self, sender: int, receiver: int, data: bytes) -> list[tuple[float, bytes]]:
+        """Copies of a peer message that arrive, each with its delay in seconds."""
+        return self.world.word(sender, receiver, data, self.world.draws.of(f"words/{sender}/{receiver}"))
 
     def sync(self) -> None:
-        """Puts the links' state on the relays."""
+        """Applies the links' state to the relays, every 0.02 s."""
         links = self.world.links
         for key, relay in self.relays.items():
             relay.way.silent = key in links.silent
@@ -147,10 +151,10 @@
             self.agenda.after(0.02, self.sync)
 
     def cut(self, scheduler: int, worker: str) -> None:
-        """The relay does it by itself when it is told to refuse."""
+        """Nothing to do: `sync` makes the relay refuse, which resets its connections."""
 
-    def swallow(self, worker: str, data: bytes) -> None:
-        """What did not come through may keep its sender waiting until the expiry: the judge is to know."""
+    def record_lost(self, worker: str, data: bytes) -> None:
+        """Records lost requests and answers, as they may keep their sender waiting until the expiry."""
         for id in _IDS.findall(data):
             if (attempt := self.clients.tries.get(id.decode())) is not None:
                 self.world.ledger.note(
@@ -160,9 +164,11 @@
     # ---- processes
 
     def was_killed(self, scheduler: int, since: float) -> bool:
-        return any(when >= since for when in self.killed[scheduler])
+        """Whether it has been killed since then, in seconds of the scenario."""
+        return any(when >= since for when in self.kill_times[scheduler])
 
     def write(self, i: int) -> Path:
+        """Writes the scheduler's configuration file."""
         n, cells = self.day.schedulers, {w.name: w.cell for w in self.world.workers.values()}
         peers = [
             "%s:%d" % self.words.place(j) if self.words and i != j else f"{HOST}:{self.peer_ports[j]}"
@@ -173,7 +179,7 @@
             i,
             listen="%s:%d" % self.places[i],
             discovery=self.lists[i].server.place,
-            dial=self.dials[i],
+            dial=self.worker_addresses[i],
             cells=cells,
             peers=peers,
             peer_listen=f"{HOST}:{self.peer_ports[i]}" if self.words else None,
@@ -193,11 +199,11 @@
         path = self.write(i)
         self.world.listing.forget(i)
         self.running[i] = self.launch(i, path)
-        self.asked_to_end.discard(i)
-        self.waits[i] = gevent.spawn(self.await_ready, i, self.running[i])
+        self.shutting_down.discard(i)
+        self.ready_waits[i] = gevent.spawn(self.await_ready, i, self.running[i])
 
     def launch(self, i: int, path: Path) -> subprocess.Popen:
-        """A process that ends with this one, however this one ends."""
+        """Starts a process that is killed when this one ends, however it ends."""
         with open(self.logs / f"s{i}.log", "ab") as log:
             return subprocess.Popen(
                 [sys.executable, *self.command(path)],
@@ -223,13 +229,14 @@
         return ["-m", "opalwick", "processor", str(file)]
 
     def await_ready(self, i: int, process: Any) -> bool:
+        """Whether it became ready within READY seconds."""
         until = time.monotonic() + READY
         while time.monotonic() < until and process.poll() is None:
             try:
                 with socket.create_connection(self.places[i], timeout=0.5) as sock:
                     if self.front == "processor":
                         sock.sendall(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\4\0\0\0\0\0")
-                        ready = len(sock.recv(9)) == 9  # its settings
+                        ready = len(sock.recv(9)) == 9  # the settings frame
                     else:
                         sock.sendall(b"GET /-/ready HTTP/1.1\r\nHost: lab\r\n\r\n")
                         ready = sock.recv(4096).startswith(b"HTTP/1.1 200")
@@ -247,7 +254,7 @@
         process: Any = self.running[i]
         if process is None:
             return
-        self.killed[i].append(self.agenda.now)
+        self.kill_times[i].append(self.agenda.now)
         self.running[i] = None
         process.kill()
         process.wait()
@@ -255,18 +262,18 @@
         self.world.clients.front.lost(i)
 
     def down(self, i: int) -> None:
-        if not self.proxies:  # a proxy stays, with its clients' connections
-            for sock in self.clients.kept[i]:
+        if not self.proxies:  # a proxy keeps running, with its clients' connections
+            for sock in self.clients.idle_connections[i]:
                 sock.close()
-            self.clients.kept[i].clear()
+            self.clients.idle_connections[i].clear()
         self.world.ledger.note(self.agenda.now, "down", self.world.names[i])
         self.world.listing.drop(i)
 
     def end(self, i: int) -> None:
         process: Any = self.running[i]
-        if process is None or process.poll() is not None or i in self.asked_to_end:
+        if process is None or process.poll() is not None or i in self.shutting_down:
             return
-        self.asked_to_end.add(i)
+        self.shutting_down.add(i)
         process.send_signal(signal.SIGTERM)
         leave = min(max(k.expiry for k in self.day.categories), 3.0) + 0.7
         self.agenda.after(0.3, self.world.clients.front._set, i, False)
@@ -283,25 +290,25 @@
         self.down(i)
         self.agenda.after(0.2, self.start, i)
 
-    def pause(self, i: int, still: bool) -> None:
+    def pause(self, i: int, paused: bool) -> None:
         if (process := self.running[i]) is not None and process.poll() is None:
-            self.world.ledger.note(self.agenda.now, "paused" if still else "resumed", self.world.names[i])
-            process.send_signal(signal.SIGSTOP if still else signal.SIGCONT)
+            self.world.ledger.note(self.agenda.now, "paused" if paused else "resumed", self.world.names[i])
+            process.send_signal(signal.SIGSTOP if paused else signal.SIGCONT)
 
     def move_list(self) -> None:
-        """A new address; the old one takes no connection any more, and ends what is open a while after."""
+        """Moves to a new address; the old one accepts no connections and closes open ones after 1.5 s."""
         for i, old in enumerate(self.lists):
             old.server.shut()
             gevent.spawn_later(1.5, old.server.die)
-            self.lists[i] = ListServer(self.world, i, free_port(self.ports), self.dials[i])
+            self.lists[i] = ListServer(self.world, i, free_port(self.ports), self.worker_addresses[i])
             if (process := self.running[i]) is not None:
                 self.write(i)
                 process.send_signal(signal.SIGHUP)
 
     def check(self) -> None:
-        """A scheduler that ends unasked has crashed."""
+        """Restarts schedulers that ended unexpectedly, and records them in `exits`."""
         for i, process in enumerate(self.running):
-            if process is not None and process.poll() is not None and i not in self.asked_to_end:
+            if process is not None and process.poll() is not None and i not in self.shutting_down:
                 self.exits.append(
                     f"{self.world.names[i]} ended by itself with {process.returncode}, "
                     f"see {self.logs / f's{i}.log'}"
@@ -312,10 +319,10 @@
                 self.agenda.after(1.0, self.start, i)
         self.agenda.after(0.1, self.check)
 
-    # ---- the day
+    # ---- the scenario
 
     def shut(self) -> None:
-        """Nothing of a day may go on into the next one of this process."""
+        """Closes everything, as nothing may carry over into the next scenario of this process."""
         for worker in self.servers.values():
             worker.server.die()
         for list_ in self.lists:
@@ -328,9 +335,9 @@
             self.words.close()
 
     def not_ready(self) -> str:
-        """Of each scheduler that did not come up: whether it ended, and the end of its log."""
+        """Of each scheduler that did not become ready: its state and the end of its log."""
         found = []
-        for i, wait in self.waits.items():
+        for i, wait in self.ready_waits.items():
             if wait.value:
                 continue
             process = self.running[i]
@@ -347,8 +354,8 @@
         try:
             for i in range(self.day.schedulers):
                 self.start(i)
-            gevent.joinall(list(self.waits.values()))
-            if not all(wait.value for wait in self.waits.values()):
+            gevent.joinall(list(self.ready_waits.values()))
+            if not all(wait.value for wait in self.ready_waits.values()):
                 raise NotReady(self.not_ready())
             self.agenda.restart()
             for served in self.lists:
@@ -360,23 +367,27 @@
             self.begin()
             self.sync()
             self.check()
-            # a collection walks all rows of the ledger: hundreds of milliseconds late in a long day
+            # garbage collection walks all rows of the ledger: hundreds of milliseconds in a long scenario
             gc.collect()
             gc.disable()
             self.agenda.drive(self.day.length + max(k.expiry for k in self.day.categories) + 1.5)
         finally:
             gc.enable()
             self.shut()
-            for left in self.running:
-                if left is not None:
-                    left.kill()
-                    left.wait()
+            for process in self.running:
+                if process is not None:
+                    process.kill()
+                    process.wait()
 
 
 def play(
     day: Day, seed: int, logs: Path | None = None, front: str = "http", hedge: float = 0.0
 ) -> dict[str, Any]:
-    """The history of one day on sockets; it takes as long as the day. NotReady where none comes up."""
+    """Plays a scenario on sockets in real time and returns its history.
+
+    Raises:
+        NotReady: where a scheduler does not become ready.
+    """
     with tempfile.TemporaryDirectory(prefix="opalwick-") as kept:
         stage = Stage(day, seed, logs or Path(kept), front, hedge)
         stage.logs.mkdir(parents=True, exist_ok=True)
@@ -395,19 +406,19 @@
         },
         "void": agenda.void(),
         "exits": stage.exits,
-        "rude": stage.clients.rude,
-        "rude_unanswered": stage.clients.owed,
+        "rude": stage.clients.bad_answered,
+        "rude_unanswered": stage.clients.bad_unanswered,
         "late_ms": round(agenda.worst * 1e3, 1),
         "ledger": stage.world.ledger,
     }
 
 
 def stand(day: Day, seed: int, ports: Ports, seconds: float) -> None:
-    """The day's workers and list at fixed places, for schedulers and clients that others start."""
+    """Runs workers and list service at fixed ports, for schedulers and clients started elsewhere."""
     agenda = RealAgenda()
     world = World(day, seed, agenda)
     for name, worker in world.workers.items():
-        WorkerServer(world, worker, ports.dial[name], {}, open_house=True)
+        WorkerServer(world, worker, ports.dial[name], {}, accept_any=True)
     dial = {name: f"{HOST}:{port}" for name, port in ports.dial.items()}
     for i, port in enumerate(ports.lists):
         ListServer(world, i, port, dial)
--- a/opalwick/lab/sockets/wire.py
+++ b/opalwick/lab/sockets/wire.py
@@ -1,4 +1,4 @@
-"""What both the emulated workers and the list service need of HTTP: requests in, bytes out, one at a time."""
+"""HTTP server for the simulated workers and the list service: one request at a time per connection."""
 
 from __future__ import annotations
 
@@ -21,6 +21,7 @@
 
 
 def listener(port: int, backlog: int = 256, host: str = HOST) -> Any:
+    """A listening TCP socket. OSError where the port is taken."""
     sock = socket.socket(plain.AF_INET, plain.SOCK_STREAM)
     sock.setsockopt(plain.SOL_SOCKET, plain.SO_REUSEADDR, 1)
     sock.bind((host, port))
@@ -29,7 +30,7 @@
 
 
 def reset(sock: Any) -> None:
-    """Closes with RST, as a process that dies does."""
+    """Closes with RST, as a process that is killed does."""
     try:
         sock.setsockopt(plain.SOL_SOCKET, plain.SO_LINGER, struct.pack("ii", 1, 0))
         sock.close()
@@ -38,7 +39,7 @@
 
 
 class Served:
-    """A connection from the other side: a greenlet reads it, one writes it; neither holds up the agenda."""
+    """An accepted connection, with a greenlet each to read and write, so that neither blocks the agenda."""
 
     def __init__(
         self,
@@ -49,17 +50,17 @@
     ) -> None:
         self.sock, self.on_request, self.on_end, self.idle = sock, on_request, on_end, idle
         self.out: Queue = Queue()
-        self.carries: Any = None  # what is being answered on it
-        self.asked = 0
-        self.headed = False  # an answer's head is out, its end is not
-        self.plain = False  # it wants one plain answer
+        self.carries: Any = None  # the request in progress
+        self.request_count = 0
+        self.headed = False  # an answer's head has been sent, its end has not
+        self.plain = False  # the client expects a plain answer without progress
         self.over = False
         sock.setsockopt(plain.IPPROTO_TCP, plain.TCP_NODELAY, 1)
         gevent.spawn(self.read)
         gevent.spawn(self.write)
 
     def read(self) -> None:
-        parser = Parser(httptools.HttpRequestParser, LIMITS, self.whole)
+        parser = Parser(httptools.HttpRequestParser, LIMITS, self.on_message)
         try:
             while not self.over:
                 self.sock.settimeout(self.idle)
@@ -76,8 +77,8 @@
             pass
         self.close()
 
-    def whole(self, message: Message) -> None:
-        self.asked += 1
+    def on_message(self, message: Message) -> None:
+        self.request_count += 1
         self.on_request(self, message)
 
     def write(self) -> None:
@@ -102,7 +103,7 @@
 
 
 class Server:
-    """A listener that can be shut and opened again under its address."""
+    """A listener that can be closed and opened again at its address."""
 
     def __init__(
         self,
@@ -130,23 +131,24 @@
     def accept(self, sock: Any) -> None:
         while True:
             try:
-                taken, _ = sock.accept()
+                accepted, _ = sock.accept()
             except OSError:
                 return
-            self.connections[Served(taken, self.on_request, self.ended, self.idle)] = None
+            self.connections[Served(accepted, self.on_request, self.ended, self.idle)] = None
 
     def ended(self, served: Served) -> None:
         self.connections.pop(served, None)
         self.on_end(served)
 
     def shut(self) -> None:
-        """No new connections; the open ones stay."""
+        """Accepts no new connections; open ones stay."""
         if self.accepting is not None:
             self.accepting.kill()
             self.accepting = None
             self.sock.close()
 
     def die(self) -> None:
+        """Closes the listener and resets all connections."""
         self.shut()
         for served in list(self.connections):
             served.close(with_reset=True)
