--- a/bench/members.py
+++ b/bench/members.py
@@ -21,7 +21,7 @@
 from opalwick.fleet.words import MessageType
 from opalwick.lab.fleet.day import parse
 from opalwick.lab.fleet.judge import judge
-from opalwick.lab.fleet.virtual import Lone, play
+from opalwick.lab.fleet.virtual import AgentOnly, play
 
 
 class AllToAll(Members):
@@ -77,7 +77,7 @@
         f'title = "m"\nlength = "30 s"\nmembers = {members}\nworkers = 2\nparts = ["members"]\n'
         f"load = {{ rate = 0.001, most = 0 }}\nfaults = [{DAYS[name]}]\n"
     )
-    found = judge({**play(parse(text, "m"), seed, process=Lone), "rows": []})
+    found = judge({**play(parse(text, "m"), seed, process=AgentOnly), "rows": []})
     broken = Counter(one["property"] for one in found["broken"])
     return {
         "members": members,
--- a/opalwick/lab/commands.py
+++ b/opalwick/lab/commands.py
@@ -228,7 +228,7 @@
 
     Exit code 1: a rule or a promise was broken; 3: the machine was too busy.
     """
-    from opalwick.lab.fleet.day import built_in, fits, read
+    from opalwick.lab.fleet.day import built_in, with_members, read
     from opalwick.lab.fleet.run import run as play
 
     if day == "days":
@@ -241,7 +241,7 @@
         raise fail(f"--clock: {clock!r} is neither virtual nor sockets")
     if members < 0:
         raise fail(f"--members: {members} is no number of members")
-    found = fits(read(day), members) if members else read(day)
+    found = with_members(read(day), members) if members else read(day)
     typer.echo(f"{found.title}: {found.members} members, {found.length:g} s, {clock} clock", err=True)
     try:
         report = play(found, seed, clock, out, lambda over: typer.echo(f"  {over:.0f} s over", err=True))
@@ -512,7 +512,7 @@
     """Puts the day's workers and list where `configuration` says, for schedulers that you start yourself."""
     from opalwick.lab.day import read
     from opalwick.lab.settings import Ports
-    from opalwick.lab.sockets.stage import stand as put_up
+    from opalwick.lab.sockets.stage import serve_environment as put_up
 
     found = read(day)
     try:
--- a/opalwick/lab/faults.py
+++ b/opalwick/lab/faults.py
@@ -125,10 +125,10 @@
 def untrue_reports(world: World, fault: Fault, draw: random.Random) -> Steps:
     hit = _workers(world, fault, draw)
     for w in hit:
-        w.tells = fault.size  # of what it holds
+        w.reported_share = fault.size  # of what it holds
     yield
     for w in hit:
-        w.tells = 1.0
+        w.reported_share = 1.0
 
 
 @fault
@@ -322,9 +322,9 @@
         for j in range(world.day.schedulers)
         if (i in one) != (j in one)
     ]
-    more(world.links.apart, pairs, 1)
+    more(world.links.partitioned, pairs, 1)
     yield
-    more(world.links.apart, pairs, -1)
+    more(world.links.partitioned, pairs, -1)
 
 
 # ---- clients
--- a/opalwick/lab/fleet/agents.py
+++ b/opalwick/lab/fleet/agents.py
@@ -1,9 +1,10 @@
 """Stand-in members: small test programs instead of schedulers, on both clocks.
 
 An agent is free of I/O and clocks. Its inputs are the time, messages and its own timers; its outputs lie in
-`out`: messages to members and rows of what it believes and does. `Standing` runs it on the virtual clock,
-`main` as a process of its own. A message to the number after the last member goes to the lab's store, which
-accepts acts, each with its lease and number, and rejects one that is older than the newest received.
+`out`: messages to members and rows of what it believes and does. `AgentProcess` runs it on the virtual
+clock, `main` as a process of its own. A message to the number after the last member goes to the lab's
+store, which accepts acts, each with its lease and number, and rejects one that is older than the newest
+received.
 """
 
 from __future__ import annotations
@@ -29,18 +30,18 @@
 
     # ---- inputs, for subclasses to implement
 
-    def begins(self) -> None: ...
+    def on_start(self) -> None: ...
 
-    def hears(self, sender: int, fields: dict[str, Any]) -> None: ...
+    def on_message(self, sender: int, fields: dict[str, Any]) -> None: ...
 
-    def wakes(self) -> None: ...
+    def on_wake(self) -> None: ...
 
     # ---- outputs
 
     def send(self, to: int, **fields: Any) -> None:
         self.out.append(("send", to, json.dumps(fields, separators=(",", ":")).encode()))
 
-    def tell_all(self, **fields: Any) -> None:
+    def broadcast(self, **fields: Any) -> None:
         for to in range(self.members):
             if to != self.me:
                 self.send(to, **fields)
@@ -57,7 +58,7 @@
 
     def begin(self, now: float) -> None:
         self.now = now
-        self.begins()
+        self.on_start()
 
     def heard(self, now: float, sender: int, data: bytes) -> None:
         self.now = now
@@ -66,11 +67,11 @@
         except ValueError:
             return
         if isinstance(fields, dict):
-            self.hears(sender, fields)
+            self.on_message(sender, fields)
 
     def wake_due(self, now: float) -> None:
         self.now = now
-        self.wakes()
+        self.on_wake()
 
 
 MakeAgent = Callable[[int, int, int, float], Agent]
@@ -99,7 +100,7 @@
         self.note("acted", lease, number, sender, life, effective)
 
 
-class Standing(Process):
+class AgentProcess(Process):
     """Runs an agent on the virtual clock; a subclass sets the class of the agent."""
 
     agent: MakeAgent
--- a/opalwick/lab/fleet/day.py
+++ b/opalwick/lab/fleet/day.py
@@ -205,7 +205,7 @@
         return False
 
 
-def fits(day: FleetDay, members: int) -> FleetDay:
+def with_members(day: FleetDay, members: int) -> FleetDay:
     """The scenario with this number of members, for `--members`.
 
     Raises:
--- a/opalwick/lab/fleet/virtual.py
+++ b/opalwick/lab/fleet/virtual.py
@@ -154,7 +154,7 @@
         super().die(crashed)
 
 
-class Lone(AgentHost):
+class AgentOnly(AgentHost):
     """A member that runs its agent alone and no scheduler, for long and large membership scenarios."""
 
     def __init__(self, stage: Host, i: int, known: list[tuple], incarnation: int) -> None:
@@ -197,7 +197,7 @@
         draw = self.world.draws.of(f"words/{sender.i}")
         copies = self.world.word(sender.i, to, data, draw)
         self.note("word", sender.i, to, len(data), data[0] if data else -1, len(copies))
-        latency = self.world.way(sender.zone, to % len(self.day.zones), draw)
+        latency = self.world.latency(sender.zone, to % len(self.day.zones), draw)
         for delay, content in copies:
             if to < self.fleet_day.members:
                 self.world.agenda.after(latency + delay, self._heard, to, sender.i, content)
--- a/opalwick/lab/post/sockets/doors.py
+++ b/opalwick/lab/post/sockets/doors.py
@@ -78,7 +78,7 @@
         world.runs += 1
         run = Run(world.runs, sending)
         world.rids[run.number] = run.rid
-        served.carries = run
+        served.in_progress = run
         worker.arrive(run)
 
     def well(self, served: Served) -> None:
@@ -89,7 +89,7 @@
     def ended(self, served: Served) -> None:
         """The counter has closed its connection, or it was reset here."""
         self.nodes.pop(served, None)
-        run, served.carries = served.carries, None
+        run, served.in_progress = served.in_progress, None
         if run is not None and not run.over:
             self.worker.hung_up(run)
 
--- a/opalwick/lab/proxy.py
+++ b/opalwick/lab/proxy.py
@@ -11,7 +11,7 @@
 
 from opalwick.interface import Outcome, SchedulerConfig
 from opalwick.lab.scheduler import START, Hand, Scheduler
-from opalwick.lab.world.clients import Try
+from opalwick.lab.world.clients import ClientRequest
 from opalwick.processor.exchange import (
     Call,
     Continue,
@@ -43,7 +43,7 @@
 
     __slots__ = ("attempt", "call", "hand", "over", "result", "status")
 
-    def __init__(self, attempt: Try) -> None:
+    def __init__(self, attempt: ClientRequest) -> None:
         self.attempt = attempt
         self.call: Call | None = None
         self.hand: Hand | None = None
@@ -83,8 +83,8 @@
 
     # ---- the proxy: requests in
 
-    def ask(self, attempt: Try, arrived: float) -> None:
-        self.world.clients.taken(attempt)
+    def ask(self, attempt: ClientRequest, arrived: float) -> None:
+        self.world.clients.accepted(attempt)
         self.calls[attempt.id] = attempt
         request = self.requests[attempt.id] = Request(attempt)
         self.call(request)
@@ -183,7 +183,7 @@
             return  # a proxy looks at a response's head, not at its lines
         super().told(hand, what, *fields)
 
-    def leave(self, attempt: Try) -> None:
+    def leave(self, attempt: ClientRequest) -> None:
         request = self.requests.get(attempt.id)
         if request is not None and not request.over:
             request.over = True
--- a/opalwick/lab/scheduler.py
+++ b/opalwick/lab/scheduler.py
@@ -15,7 +15,7 @@
 from opalwick.lab.agenda import Entry
 from opalwick.lab.day import Day
 from opalwick.lab.settings import settings
-from opalwick.lab.world.clients import Try
+from opalwick.lab.world.clients import ClientRequest
 from opalwick.lab.world.listing import Listed
 from opalwick.lab.world.worker import Job, Worker
 from opalwick.lab.world.world import World
@@ -163,7 +163,7 @@
         seed = zlib.crc32(f"{stage.world.seed}/{i}/{serial}".encode())
         self.adapt(terms)
         self.reducer = stage.make(terms, seed, self.now(), stage.world, i)
-        self.calls: dict[str, Try] = {}
+        self.calls: dict[str, ClientRequest] = {}
         self.closed: set[str] = set()  # of those that have their answer, or whose client left
         self.out: dict[tuple[Any, int], Hand] = {}
         self.idle: dict[str, list[float]] = {}  # by worker: kept connections, since when each is idle
@@ -231,9 +231,9 @@
 
     # ---- clients
 
-    def ask(self, attempt: Try, arrived: float) -> None:
+    def ask(self, attempt: ClientRequest, arrived: float) -> None:
         want, day = attempt.want, self.stage.day
-        self.world.clients.taken(attempt)
+        self.world.clients.accepted(attempt)
         self.calls[attempt.id] = attempt
         came = self.came_at(arrived)
         kind = day.categories[want.category]
@@ -263,14 +263,14 @@
                 come_back_in,
             )
 
-    def leave(self, attempt: Try) -> None:
+    def leave(self, attempt: ClientRequest) -> None:
         self.closed.add(attempt.id)
         self.put("left", attempt.id)
 
     # ---- workers
 
     def _way(self, worker: Worker) -> float:
-        return self.world.way(self.zone, worker.zone, self.way) + self.world.links.delay.get(
+        return self.world.latency(self.zone, worker.zone, self.way) + self.world.links.delay.get(
             (self.i, worker.name), 0.0
         )
 
@@ -354,7 +354,14 @@
             self.after(self._way(worker), self.told, hand, what, *fields)
 
         hand.job = Job(
-            self.world.number(), hand.key, want.category, want.key, want.work, kind.slots, kind.memory, tell
+            self.world.new_attempt_number(),
+            hand.key,
+            want.category,
+            want.key,
+            want.work,
+            kind.slots,
+            kind.memory,
+            tell,
         )
         worker.arrive(hand.job)
 
@@ -467,7 +474,9 @@
                 hand.arrival.cancel()  # half-way: the reset overtakes it
         tries = self.world.clients.tries.values()
         # and what lay there unread
-        unread = [attempt for attempt in tries if attempt.carried is self and attempt.id not in self.calls]
+        unread = [
+            attempt for attempt in tries if attempt.transport_state is self and attempt.id not in self.calls
+        ]
         for attempt in [*self.calls.values(), *unread]:
             if not attempt.ended:
                 self.agenda.after(self.stage.day.network.client, self.world.clients.cut, attempt, crashed)
--- a/opalwick/lab/sockets/clients.py
+++ b/opalwick/lab/sockets/clients.py
@@ -11,7 +11,7 @@
 from gevent import socket
 
 from opalwick.lab.sockets.wire import LIMITS, Address
-from opalwick.lab.world.clients import Try
+from opalwick.lab.world.clients import ClientRequest
 from opalwick.lab.world.world import World
 from opalwick.protocol.http import Malformed, Message, Parser
 
@@ -37,20 +37,20 @@
         """`crashed`: whether a scheduler has been killed since a time of the scenario, in seconds."""
         self.world, self.addresses, self.was_killed = world, addresses, was_killed
         self.idle_connections: list[list[Any]] = [[] for _ in addresses]
-        self.tries: dict[str, Try] = {}  # all of the scenario, as a worker may receive one late
+        self.tries: dict[str, ClientRequest] = {}  # all of the scenario, as a worker may receive one late
         self.bad_answered = 0  # bad requests that got an answer or an end of the connection
         self.bad_unanswered = 0  # bad requests that got neither in time
 
-    def ask(self, attempt: Try) -> None:
+    def ask(self, attempt: ClientRequest) -> None:
         if attempt.want.bad == "once":
             gevent.spawn(self.bad, attempt)
             return
         self.tries[attempt.id] = attempt
-        attempt.carried = gevent.spawn(self.run, attempt)
+        attempt.transport_state = gevent.spawn(self.run, attempt)
 
-    def leave(self, attempt: Try) -> None:
-        if isinstance(attempt.carried, gevent.Greenlet):
-            attempt.carried.kill(block=False)
+    def leave(self, attempt: ClientRequest) -> None:
+        if isinstance(attempt.transport_state, gevent.Greenlet):
+            attempt.transport_state.kill(block=False)
 
     def connect(self, scheduler: int) -> Any:
         sock = socket.socket(plain.AF_INET, plain.SOCK_STREAM)
@@ -59,7 +59,7 @@
         sock.setsockopt(plain.IPPROTO_TCP, plain.TCP_NODELAY, 1)
         return sock
 
-    def run(self, attempt: Try) -> None:
+    def run(self, attempt: ClientRequest) -> None:
         clients, i = self.world.clients, attempt.scheduler
         data = self.request(attempt)
         began = self.world.agenda.now
@@ -70,12 +70,12 @@
                 try:
                     sock = self.connect(i) if is_new else self.idle_connections[i].pop()
                 except OSError:
-                    clients.unreached(attempt)
+                    clients.not_connected(attempt)
                     return
                 try:
                     sock.settimeout(10.0)
                     sock.sendall(data)
-                    clients.taken(attempt)
+                    clients.accepted(attempt)
                     answer = self.answer(sock)
                     break
                 except (OSError, Malformed, PrematureEnd) as problem:
@@ -99,7 +99,7 @@
             sock.close()
         self.report(attempt, answer)
 
-    def report(self, attempt: Try, answer: Message) -> None:
+    def report(self, attempt: ClientRequest, answer: Message) -> None:
         clients = self.world.clients
         if answer.status == 200:
             clients.answered(attempt, "finished", answer.body.decode("latin-1"))
@@ -112,7 +112,7 @@
         else:
             clients.answered(attempt, "written off" if answer.status == 504 else "fault")
 
-    def request(self, attempt: Try) -> bytes:
+    def request(self, attempt: ClientRequest) -> bytes:
         want, day = attempt.want, self.world.day
         kind = day.categories[want.category]
         left = max(1, int((want.expiry_at - self.world.agenda.now) * 1000))
@@ -147,7 +147,7 @@
             parser.feed(memoryview(data))
         return done[0]
 
-    def bad(self, attempt: Try) -> None:
+    def bad(self, attempt: ClientRequest) -> None:
         """Sends a malformed request; the scheduler must answer or close within three seconds."""
         try:
             sock = self.connect(attempt.scheduler)
--- a/opalwick/lab/sockets/fleet.py
+++ b/opalwick/lab/sockets/fleet.py
@@ -9,7 +9,7 @@
 
 from opalwick.lab.draws import spread
 from opalwick.lab.sockets.wire import Served, Server
-from opalwick.lab.world.clients import Try
+from opalwick.lab.world.clients import ClientRequest
 from opalwick.lab.world.listing import Listed
 from opalwick.lab.world.worker import Job, Worker
 from opalwick.lab.world.world import World
@@ -28,7 +28,12 @@
     """A worker's listener. It adds the latency between zones, as loopback has none."""
 
     def __init__(
-        self, world: World, worker: Worker, port: int, tries: dict[str, Try], accept_any: bool = False
+        self,
+        world: World,
+        worker: Worker,
+        port: int,
+        tries: dict[str, ClientRequest],
+        accept_any: bool = False,
     ) -> None:
         """With `open_house` it accepts work from anyone, not only from the scenario's own clients."""
         self.world, self.worker, self.tries, self.accept_any = world, worker, tries, accept_any
@@ -49,9 +54,9 @@
     def request(self, served: Served, message: Message) -> None:
         id = message.headers.get(b"x-correlation-id", b"").decode("latin-1")
         expected = self.expected_job(id, message)
-        if expected is None or served.carries is not None:
+        if expected is None or served.in_progress is not None:
             # no client sent it: recorded for the judge
-            number = self.world.number()
+            number = self.world.new_attempt_number()
             self.world.ledger.note(self.world.agenda.now, "arrived", number, id, self.worker.name)
             served.say(_response("400 Bad Request"))
             return
@@ -59,9 +64,9 @@
         served.plain = b"x-plain" in message.headers
         kind = self.world.day.categories[category]
         key = message.headers.get(b"idempotency-key", b"").decode("latin-1") or None
-        latency = self.world.way(zone, self.worker.zone, self.latency_draw)
-        job = served.carries = Job(
-            self.world.number(),
+        latency = self.world.latency(zone, self.worker.zone, self.latency_draw)
+        job = served.in_progress = Job(
+            self.world.new_attempt_number(),
             id,
             category,
             key,
@@ -109,7 +114,7 @@
         headed = served.headed
         if event == "turned" and not headed:
             load = ",".join(f"{name}={value:g}" for name, value in fields[0].items())
-            served.carries = None
+            served.in_progress = None
             served.say(
                 _response("503 Service Unavailable", b"", "X-Unprocessed: 1", f"X-Backend-Load: {load}")
             )
@@ -130,7 +135,7 @@
             served.headed = True
         if event in _STATES:
             data += b"0\r\n\r\n"
-            served.carries, served.headed = None, False
+            served.in_progress, served.headed = None, False
         served.say(data)
 
     def report_plainly(self, served: Served, event: str, *fields: Any) -> None:
@@ -138,7 +143,7 @@
         if event not in _STATES:
             return
         load = "X-Backend-Load: " + ",".join(f"{name}={value:g}" for name, value in fields[0].items())
-        served.carries = None
+        served.in_progress = None
         if event == "done":
             served.say(_response("200 OK", fields[1].encode(), load))
         elif event == "turned":
@@ -147,7 +152,7 @@
             served.say(_response("500 Internal Server Error", b"", load))
 
     def ended(self, served: Served) -> None:
-        if (job := served.carries) is not None and job.worker is not None:
+        if (job := served.in_progress) is not None and job.worker is not None:
             self.world.agenda.after(0.0, self.worker.drop, job)
 
 
--- a/opalwick/lab/sockets/proxy.py
+++ b/opalwick/lab/sockets/proxy.py
@@ -204,15 +204,15 @@
             client.disconnect()
 
     def request(self, served: Served, message: Message) -> None:
-        served.carries = gevent.spawn(self.handle, served, message)
+        served.in_progress = gevent.spawn(self.handle, served, message)
 
     def ended(self, served: Served) -> None:
-        if served.carries is not None:
-            served.carries.kill(block=False)
+        if served.in_progress is not None:
+            served.in_progress.kill(block=False)
 
     def handle(self, served: Served, message: Message) -> None:
         response = self.respond(message)
-        served.carries = None
+        served.in_progress = None
         lines = [f"HTTP/1.1 {response.status} x", f"Content-Length: {len(response.body)}"]
         if b"retry-after" in response.fields:
             lines.append("Retry-After: " + response.fields[b"retry-after"].decode())
--- a/opalwick/lab/sockets/relays.py
+++ b/opalwick/lab/sockets/relays.py
@@ -16,7 +16,7 @@
 from opalwick.lab.sockets.wire import Address, listener, reset
 
 
-class Way:
+class LinkState:
     """Faults of a TCP relay, for both directions. They may change while connections are open."""
 
     def __init__(self) -> None:
@@ -35,7 +35,7 @@
 class TcpRelay:
     """Relays the connections of one port to a target."""
 
-    def __init__(self, port: int, target: Callable[[], Address], way: Way) -> None:
+    def __init__(self, port: int, target: Callable[[], Address], way: LinkState) -> None:
         self.port, self.target, self.way = port, target, way
         self.open: dict[Any, Any] = {}  # socket of the client: socket of the target
         self.swallowed = 0  # bytes
@@ -168,7 +168,7 @@
         self.ended = 0  # number of directions that have ended
 
 
-class Words:
+class DatagramRelay:
     """Relays the datagrams between the members of a fleet, with an address per member for the others.
 
     A member sends from the port on which it listens, which identifies it. Datagrams are forwarded from the
@@ -176,10 +176,10 @@
     """
 
     def __init__(
-        self, ports: list[int], fate: Callable[[int, int, bytes], list[tuple[float, bytes]]]
+        self, ports: list[int], deliveries: Callable[[int, int, bytes], list[tuple[float, bytes]]]
     ) -> None:
-        """`fate`: for a datagram between two members by number, the delay and content of each copy."""
-        self.fate = fate
+        """`deliveries`: for a datagram between two members by number, the delay and content of each copy."""
+        self.deliveries = deliveries
         self.socks, self.reply_addresses = [], [(HOST, 0)] * len(ports)
         # by listening address; a second process of a member has its own
         self.members: dict[Address, int] = {}
@@ -222,7 +222,7 @@
             return
         self.reply_addresses[source] = sender
         arrived = _received_at(ancillary)
-        copies = self.fate(source, to, data)
+        copies = self.deliveries(source, to, data)
         self.lost += not copies
         for delay, content in copies:
             if delay:
--- a/opalwick/lab/sockets/stage.py
+++ b/opalwick/lab/sockets/stage.py
@@ -26,7 +26,7 @@
 from opalwick.lab.sockets.clock import RealAgenda
 from opalwick.lab.sockets.fleet import ListServer, WorkerServer
 from opalwick.lab.sockets.ports import HOST, free_port
-from opalwick.lab.sockets.relays import TcpRelay, Way, Words
+from opalwick.lab.sockets.relays import TcpRelay, LinkState, DatagramRelay
 from opalwick.lab.sockets.wire import Address
 from opalwick.lab.virtual import HELD, slowest_link
 from opalwick.lab.world.worker import Worker
@@ -117,7 +117,7 @@
         for i in range(self.day.schedulers):
             place = server.server.place
             if self.relayed:
-                way = Way()
+                way = LinkState()
                 way.draw = self.world.draws.of(f"relay/{i}/{worker.name}")
                 way.on_swallow = partial(self.record_lost, worker.name)
                 port = free_port(self.ports)
@@ -126,9 +126,9 @@
                 place = f"{HOST}:{port}"
             self.worker_addresses[i][worker.name] = place
 
-    def _words(self) -> Words:
+    def _words(self) -> DatagramRelay:
         n = self.day.schedulers
-        relays = Words([free_port(self.ports, socket.SOCK_DGRAM) for _ in range(n)], self.word)
+        relays = DatagramRelay([free_port(self.ports, socket.SOCK_DGRAM) for _ in range(n)], self.word)
         for i, port in enumerate(self.peer_ports):
             relays.listens(i, (HOST, port))
         return relays
@@ -413,7 +413,7 @@
     }
 
 
-def stand(day: Day, seed: int, ports: Ports, seconds: float) -> None:
+def serve_environment(day: Day, seed: int, ports: Ports, seconds: float) -> None:
     """Runs workers and list service at fixed ports, for schedulers and clients started elsewhere."""
     agenda = RealAgenda()
     world = World(day, seed, agenda)
--- a/opalwick/lab/sockets/wire.py
+++ b/opalwick/lab/sockets/wire.py
@@ -50,7 +50,7 @@
     ) -> None:
         self.sock, self.on_request, self.on_end, self.idle = sock, on_request, on_end, idle
         self.out: Queue = Queue()
-        self.carries: Any = None  # the request in progress
+        self.in_progress: Any = None  # the request in progress
         self.request_count = 0
         self.headed = False  # an answer's head has been sent, its end has not
         self.plain = False  # the client expects a plain answer without progress
@@ -67,7 +67,7 @@
                 try:
                     data = self.sock.recv(65536)
                 except TimeoutError:
-                    if self.carries is not None:
+                    if self.in_progress is not None:
                         continue
                     break
                 if not data:
--- a/opalwick/lab/virtual.py
+++ b/opalwick/lab/virtual.py
@@ -9,7 +9,7 @@
 from opalwick.lab.faults import begin
 from opalwick.lab.proxy import Sidecar
 from opalwick.lab.scheduler import LONG_AGO, START, Make, Process, Scheduler, Start
-from opalwick.lab.world.clients import Try
+from opalwick.lab.world.clients import ClientRequest
 from opalwick.lab.world.listing import Listed
 from opalwick.lab.world.world import LOST_MOST, World
 
@@ -38,28 +38,28 @@
 
     # ---- carrier
 
-    def ask(self, attempt: Try) -> None:
+    def ask(self, attempt: ClientRequest) -> None:
         way = self.day.network.client
         found = self.running[attempt.scheduler]
         # a process that has closed its listener refuses
         if found is None or found.leaving:
-            self.world.agenda.after(2.0 * way, self.world.clients.unreached, attempt)
+            self.world.agenda.after(2.0 * way, self.world.clients.not_connected, attempt)
             return
         self.world.agenda.after(way, self._arrive, attempt, found)
 
-    def _arrive(self, attempt: Try, found: Scheduler) -> None:
+    def _arrive(self, attempt: ClientRequest, found: Scheduler) -> None:
         if not found.alive:
-            self.world.clients.unreached(attempt)
+            self.world.clients.not_connected(attempt)
             return
-        attempt.carried = found
+        attempt.transport_state = found
         if not attempt.ended:
-            self.world.clients.taken(attempt)
+            self.world.clients.accepted(attempt)
             # from here on it lies in the kernel, whether the process runs or not
             found.event(found.ask, attempt, self.world.agenda.now)
 
-    def leave(self, attempt: Try) -> None:
-        if attempt.carried is not None:
-            attempt.carried.after(self.day.network.client, attempt.carried.leave, attempt)
+    def leave(self, attempt: ClientRequest) -> None:
+        if attempt.transport_state is not None:
+            attempt.transport_state.after(self.day.network.client, attempt.transport_state.leave, attempt)
 
     # ---- words
 
@@ -67,7 +67,7 @@
         draw = sender.words
         if not (copies := self.world.word(sender.i, to, octets, draw)):
             return
-        way = self.world.way(sender.zone, to % len(self.day.zones), draw)
+        way = self.world.latency(sender.zone, to % len(self.day.zones), draw)
         for late, said in copies:
             self.world.agenda.after(way + late, self._heard, to, sender.i, said)
 
--- a/opalwick/lab/world/clients.py
+++ b/opalwick/lab/world/clients.py
@@ -15,7 +15,7 @@
 from opalwick.lab.ledger import Ledger
 
 
-class Want:
+class WorkItem:
     """A work item of a client, over all its requests; times in seconds."""
 
     __slots__ = (
@@ -57,28 +57,28 @@
         self.tries, self.over = 0, False
 
 
-class Try:
+class ClientRequest:
     """One request of a client. `id` is sixteen hexadecimal digits."""
 
-    __slots__ = ("carried", "ended", "id", "leaving", "recorded", "scheduler", "sent_at", "want")
+    __slots__ = ("ended", "id", "leaving", "recorded", "scheduler", "sent_at", "transport_state", "want")
 
-    def __init__(self, id: str, want: Want, scheduler: int) -> None:
+    def __init__(self, id: str, want: WorkItem, scheduler: int) -> None:
         self.id, self.want, self.scheduler = id, want, scheduler
         self.recorded = self.ended = False
         self.leaving: Entry | None = None
         self.sent_at = 0.0
-        self.carried: Any = None  # state of the transport
+        self.transport_state: Any = None  # state of the transport
 
 
-class Carrier(Protocol):
+class Transport(Protocol):
     """Transport of requests to schedulers, virtual or on sockets."""
 
-    def ask(self, attempt: Try) -> None: ...
+    def ask(self, attempt: ClientRequest) -> None: ...
 
-    def leave(self, attempt: Try) -> None: ...
+    def leave(self, attempt: ClientRequest) -> None: ...
 
 
-class Front:
+class LoadBalancer:
     """Load balancer: spreads requests over the schedulers of a zone that it believes to be up."""
 
     DETECTION = 2.0  # seconds until it detects that a scheduler died: several probes
@@ -119,9 +119,9 @@
 
     def __init__(self, day: Day, agenda: Agenda, ledger: Ledger, draws: Draws, names: list[str]) -> None:
         self.day, self.agenda, self.ledger, self.draws, self.names = day, agenda, ledger, draws, names
-        self.front = Front(day, agenda, draws.of("front"))
-        self.carrier: Carrier | None = None
-        self.tries: dict[str, Try] = {}  # open
+        self.front = LoadBalancer(day, agenda, draws.of("front"))
+        self.carrier: Transport | None = None
+        self.tries: dict[str, ClientRequest] = {}  # open
         self.want_count = 0
         self.skipped = 0  # sends for which no scheduler was up
         self.heavier, self.heavier_share = 1.0, 0.0
@@ -131,7 +131,7 @@
             accumulate((i + 1) ** -day.load.popularity for i in range(day.load.subjects))
         )
         self.customer_sums = list(accumulate(c.share for c in day.customers))
-        self.on_want: Callable[[Want], None] = lambda _: None
+        self.on_want: Callable[[WorkItem], None] = lambda _: None
 
     def begin(self) -> None:
         day = self.day
@@ -193,7 +193,7 @@
 
     def _arrive(self, draw: random.Random, category: int, zone: int, bad: str) -> None:
         day, kind, now = self.day, self.day.categories[category], self.agenda.now
-        want = Want()
+        want = WorkItem()
         work = max(1e-4, spread(draw, kind.work, kind.spread))
         # all values are drawn whether they are used or not: a setting must not shift later draws
         hint, customer_draw, subject = spread(draw, 1.0, 0.4), draw.random(), draw.random()
@@ -227,7 +227,7 @@
             return -1
         return min(bisect(cumulative, draw * cumulative[-1]), len(cumulative) - 1)
 
-    def _send(self, want: Want, but: int = -1) -> None:
+    def _send(self, want: WorkItem, but: int = -1) -> None:
         now = self.agenda.now
         if want.over or now >= want.expiry_at - 0.005:
             return
@@ -239,7 +239,7 @@
         want.tries += 1
         # the id is opaque and differs for each request
         id = f"{(want.number << 8 | min(255, want.tries)) * 0x9E3779B97F4A7C15 & 0xFFFFFFFFFFFFFFFF:016x}"
-        attempt = self.tries[id] = Try(id, want, scheduler)
+        attempt = self.tries[id] = ClientRequest(id, want, scheduler)
         attempt.sent_at = now
         if want.patience < math.inf:
             attempt.leaving = self.agenda.at(want.first_at + want.patience, self._leave, attempt)
@@ -248,7 +248,7 @@
         assert self.carrier is not None
         self.carrier.ask(attempt)
 
-    def _leave(self, attempt: Try) -> None:
+    def _leave(self, attempt: ClientRequest) -> None:
         if attempt.ended:
             return
         assert self.carrier is not None
@@ -262,7 +262,7 @@
 
     # ---- calls by the transport
 
-    def taken(self, attempt: Try) -> None:
+    def accepted(self, attempt: ClientRequest) -> None:
         """A scheduler has accepted the whole request."""
         if attempt.recorded or attempt.ended:
             return
@@ -283,7 +283,9 @@
             round(want.work * 1e6),
         )
 
-    def answered(self, attempt: Try, final: str, result: Any = None, come_back_in: float = 0.0) -> None:
+    def answered(
+        self, attempt: ClientRequest, final: str, result: Any = None, come_back_in: float = 0.0
+    ) -> None:
         if attempt.recorded:  # also a second answer, which the ledger must show
             self.ledger.note(self.agenda.now, "answered", attempt.id, final, result, round(come_back_in, 6))
         if attempt.ended:
@@ -295,7 +297,7 @@
         elif final == "deferred" or self.day.categories[want.category].effect == "rerunnable":
             self._retry(want, come_back_in if want.follows else 0.0)
 
-    def unreached(self, attempt: Try) -> None:
+    def not_connected(self, attempt: ClientRequest) -> None:
         """The connection failed before anything was sent, so another scheduler is tried at once."""
         if attempt.ended:
             return
@@ -303,7 +305,7 @@
         attempt.want.tries -= 1
         self.agenda.after(0.002, self._send, attempt.want, attempt.scheduler)
 
-    def cut(self, attempt: Try, crashed: bool) -> None:
+    def cut(self, attempt: ClientRequest, crashed: bool) -> None:
         """Its connection ended without an answer."""
         if attempt.ended:
             return
@@ -313,13 +315,13 @@
         if self.day.categories[attempt.want.category].effect == "rerunnable":
             self._retry(attempt.want, 0.0)
 
-    def _end(self, attempt: Try) -> None:
+    def _end(self, attempt: ClientRequest) -> None:
         attempt.ended = True
         self.tries.pop(attempt.id, None)
         if attempt.leaving is not None:
             attempt.leaving.cancel()
 
-    def _retry(self, want: Want, advice: float) -> None:
+    def _retry(self, want: WorkItem, advice: float) -> None:
         if want.over or want.bad == "once" or (want.tries > self.day.clients.retries and not want.bad):
             return
         pause = self.day.clients.backoff * 2 ** min(want.tries - 1, 6)
--- a/opalwick/lab/world/worker.py
+++ b/opalwick/lab/world/worker.py
@@ -102,7 +102,7 @@
         self.slow = 1.0  # factor by which it is slower
         self.stopped = 0  # number of faults that suspend it
         self.lying = 0.0  # factor of random load reports; 0: true ones
-        self.tells = 1.0  # share of its load that it reports
+        self.reported_share = 1.0  # share of its load that it reports
         self.report_late = 0.0  # additional seconds
         self.resets = 0.0  # share of attempts whose connection it resets
         self.rate = 0.0  # accepts at most this many a second; 0: no limit
@@ -153,7 +153,7 @@
                 x = self.lying * self.draw.random() * self.model.slots
             return round(max(0.0, x * (1.0 + self.day.reports.noise * (2.0 * self.draw.random() - 1.0))), 3)
 
-        reported_running, reported = self.tells * running, self.tells * (running + waiting)
+        reported_running, reported = self.reported_share * running, self.reported_share * (running + waiting)
         return {"x0": noisy(max(0.0, self.model.slots - reported_running)), "active": noisy(reported)}
 
     def _sample(self) -> None:
--- a/opalwick/lab/world/world.py
+++ b/opalwick/lab/world/world.py
@@ -50,12 +50,13 @@
         self.delay: dict[tuple[int, str], float] = {}  # additional seconds, one way
         self.loss = self.doubled = 0.0  # shares of peer messages
         self.late = 0.0  # maximum delay of a peer message, in seconds
-        self.apart: dict[tuple[int, int], int] = {}  # (sender, receiver) without a link between schedulers
+        # (sender, receiver) without a link between schedulers
+        self.partitioned: dict[tuple[int, int], int] = {}
 
     def delays(self, sender: int, receiver: int, draw: random.Random, loss: float) -> list[float]:
         """Delays in seconds of each copy of a message between two schedulers; none: it is lost."""
         loss_draw, doubled, delay = draw.random(), draw.random(), draw.random() * self.late
-        if (sender, receiver) in self.apart or loss_draw < loss + self.loss:
+        if (sender, receiver) in self.partitioned or loss_draw < loss + self.loss:
             return []
         return [delay, delay + 0.5 * self.late] if doubled < self.doubled else [delay]
 
@@ -166,7 +167,7 @@
 
     # ---- links
 
-    def way(self, sender: int, receiver: int, draw: random.Random) -> float:
+    def latency(self, sender: int, receiver: int, draw: random.Random) -> float:
         """Latency between two zones, one way in seconds."""
         mean = self.day.network.same if sender == receiver else self.day.network.cross
         way = mean * (1.0 + self.day.network.jitter * draw.random())
@@ -191,7 +192,7 @@
             for more, changed in self.link_faults.apply(now, sender, receiver, data, draw)
         ]
 
-    def number(self) -> int:
+    def new_attempt_number(self) -> int:
         """The number of a new delivery attempt."""
         self.attempt_count += 1
         return self.attempt_count
--- a/tests/fleet_members.py
+++ b/tests/fleet_members.py
@@ -24,7 +24,7 @@
 class Sound(Agent):
     """The correct member."""
 
-    def begins(self) -> None:
+    def on_start(self) -> None:
         n, now = self.members, self.now
         self.heard_at = {
             i: now for i in range(n) if i != self.me
@@ -48,7 +48,7 @@
 
     # ---- every heartbeat
 
-    def wakes(self) -> None:
+    def on_wake(self) -> None:
         if self.now - self.last_heartbeat > STALL:
             self.after_stall()
         self.last_heartbeat, self.wake_at = self.now, self.now + HEARTBEAT
@@ -65,7 +65,7 @@
             self.outcomes[stamp] = self.now
             self.used.add(stamp)
         for stamp, made in self.outcomes.items():
-            self.tell_all(v=stamp, age=round(self.now - made, 3))
+            self.broadcast(v=stamp, age=round(self.now - made, 3))
         self.outcomes = {stamp: made for stamp, made in self.outcomes.items() if self.now - made < 2.0}
 
     def after_stall(self) -> None:
@@ -76,13 +76,13 @@
 
     def send_heartbeat(self) -> None:
         there = [i for i, at in self.direct.items() if self.now - at < 2.0 * HEARTBEAT]
-        self.tell_all(b=self.life, near=there)
+        self.broadcast(b=self.life, near=there)
 
     def mark_gone(self, i: int) -> None:
         self.gone[i] = True
         self.row("believes", i, "gone", self.lives[i])
 
-    def hears(self, sender: int, fields: dict[str, Any]) -> None:
+    def on_message(self, sender: int, fields: dict[str, Any]) -> None:
         if self.now - self.last_heartbeat > STALL:
             self.after_stall()
             self.last_heartbeat = self.now
@@ -125,7 +125,7 @@
             self.own = max(self.number, self.own) + 1
         self.asked_at, self.votes = self.now, set()
         self.vote(self.me, self.life, self.own)
-        self.tell_all(ask=self.own, life=self.life)
+        self.broadcast(ask=self.own, life=self.life)
         self.act()
         if self.now < self.owned_until:
             self.share()
@@ -183,8 +183,8 @@
 class EverybodyDead(Sound):
     """Declares all others dead at once."""
 
-    def wakes(self) -> None:
-        super().wakes()
+    def on_wake(self) -> None:
+        super().on_wake()
         if self.heartbeats == 30 and self.me == 0:
             for i in self.heard_at:
                 self.mark_gone(i)
@@ -233,8 +233,8 @@
 class OldNumbers(Sound):
     """Acts with an outdated number at a receiver that doesn't check."""
 
-    def wakes(self) -> None:
-        super().wakes()
+    def on_wake(self) -> None:
+        super().on_wake()
         if self.own and self.heartbeats % 5 == 0:
             self.send(self.members, act="pace", n=max(0, self.own - 1), life=self.life, checked=False)
 
@@ -258,11 +258,11 @@
 class OldVerdictAsNew(Sound):
     """Uses outcomes without regard to their age."""
 
-    def hears(self, sender: int, fields: dict[str, Any]) -> None:
+    def on_message(self, sender: int, fields: dict[str, Any]) -> None:
         if "v" in fields:
             fields = {**fields, "age": 0.0}
             self.used.discard(fields["v"])
-        super().hears(sender, fields)
+        super().on_message(sender, fields)
 
 
 class LongWords(Sound):
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -20,7 +20,7 @@
 from opalwick.lab.fleet.judge import judge
 from opalwick.lab.fleet.run import failures, reported
 from opalwick.lab.fleet.sockets import play as play_sockets
-from opalwick.lab.fleet.virtual import Lone, play
+from opalwick.lab.fleet.virtual import AgentOnly, play
 from opalwick.program.configuration import BadConfiguration
 
 
@@ -153,7 +153,7 @@
     return parse(text, "m")
 
 
-def seen(day: FleetDay, process: type = Lone, seed: int = 5) -> dict:
+def seen(day: FleetDay, process: type = AgentOnly, seed: int = 5) -> dict:
     return judge({**play(day, seed, process=process), "rows": []})
 
 
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -18,7 +18,7 @@
 from opalwick.checked import Seconds
 from opalwick.commands import app
 from opalwick.lab.day import BadDay, write
-from opalwick.lab.fleet.agents import Standing
+from opalwick.lab.fleet.agents import AgentProcess
 from opalwick.lab.fleet.day import FleetDay, built_in, parse, read
 from opalwick.lab.fleet.judge import judge
 from opalwick.lab.fleet.kinds import KINDS
@@ -53,8 +53,8 @@
     return parse(FLEET.format(faults=FAULTS[name]), "fleet.toml")
 
 
-def standing(made: type) -> type[Standing]:
-    return type(made.__name__, (Standing,), {"agent": made})
+def standing(made: type) -> type[AgentProcess]:
+    return type(made.__name__, (AgentProcess,), {"agent": made})
 
 
 def properties(history: dict) -> set[str]:
--- a/tests/test_lab_sockets.py
+++ b/tests/test_lab_sockets.py
@@ -14,7 +14,7 @@
 from opalwick.lab.experiment import judged
 from opalwick.lab.sockets.clock import RealAgenda
 from opalwick.lab.sockets.ports import HOST, free_port
-from opalwick.lab.sockets.relays import TcpRelay, Way, Words
+from opalwick.lab.sockets.relays import DatagramRelay, LinkState, TcpRelay
 from opalwick.lab.sockets.stage import play
 from opalwick.lab.sockets.wire import listener
 
@@ -48,7 +48,7 @@
     import random
 
     draw = random.Random()  # which ports are free is the machine's matter; nothing else is drawn from it
-    echo, way = Echo(draw), Way()
+    echo, way = Echo(draw), LinkState()
     made = TcpRelay(free_port(draw), lambda: echo.place, way)
     made.echo = echo  # type: ignore[attr-defined]
     yield made
@@ -141,27 +141,29 @@
     for sock in (one, other):
         sock.bind((HOST, 0))
         sock.settimeout(0.3)
-    words = Words([free_port(draw, socket.SOCK_DGRAM) for _ in "12"], lambda i, j, octets: [(0.0, octets)])
+    words = DatagramRelay(
+        [free_port(draw, socket.SOCK_DGRAM) for _ in "12"], lambda i, j, octets: [(0.0, octets)]
+    )
     for i, sock in enumerate((one, other)):
         words.listens(i, sock.getsockname())
     one.sendto(b"hello", words.place(1))
     assert other.recvfrom(99) == (b"hello", words.place(0))
     other.sendto(b"answer", words.place(0))
     assert one.recvfrom(99) == (b"answer", words.place(1))
-    words.fate = lambda i, j, octets: [(0.0, octets), (0.05, b"late")]
+    words.deliveries = lambda i, j, octets: [(0.0, octets), (0.05, b"late")]
     one.sendto(b"twice", words.place(1))
     assert [other.recv(99) for _ in "12"] == [b"twice", b"late"]
-    words.fate = lambda i, j, octets: []
+    words.deliveries = lambda i, j, octets: []
     one.sendto(b"lost", words.place(1))
     with pytest.raises(TimeoutError):
         other.recv(99)
-    assert words.lost == 1 and max(words.behind) < 0.1
+    assert words.lost == 1 and max(words.delays) < 0.1
     # a second process under a name is heard as the first, and words go to whichever spoke last
     twin = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     twin.bind((HOST, 0))
     twin.settimeout(0.3)
     words.listens(1, twin.getsockname())
-    words.fate = lambda i, j, octets: [(0.0, octets)]
+    words.deliveries = lambda i, j, octets: [(0.0, octets)]
     twin.sendto(b"as the other", words.place(0))
     assert one.recvfrom(99) == (b"as the other", words.place(1))
     one.sendto(b"back", words.place(1))
--- a/tests/test_lab_world.py
+++ b/tests/test_lab_world.py
@@ -73,7 +73,7 @@
         world.clients.on_want = lambda w: found.append(
             (w.first_at, w.category, w.zone, w.work, w.hint, w.key)
         )
-        world.clients._try = lambda want, but=-1: None  # type: ignore[method-assign]
+        world.clients._send = lambda want, but=-1: None  # type: ignore[method-assign]
         begin(world)
         world.agenda.run(8.0)
         return found
@@ -187,7 +187,9 @@
             if what != "progressed":
                 self.lines.append(f"{self.world.agenda.now:.2f} {name} {what}")
 
-        job = self.jobs[name] = Job(self.world.number(), name, category, key, work, slots, 0.0, tell)
+        job = self.jobs[name] = Job(
+            self.world.new_attempt_number(), name, category, key, work, slots, 0.0, tell
+        )
         self.worker.arrive(job)
         return job
 
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -23,7 +23,7 @@
 from opalwick.lab.fleet.faults import STARVED
 from opalwick.lab.fleet.virtual import FleetStage, Member
 from opalwick.lab.scheduler import START, Scheduler
-from opalwick.lab.world.clients import Try, Want
+from opalwick.lab.world.clients import ClientRequest, WorkItem
 from opalwick.routing.reducer import Answer, Close, Final, Send
 from opalwick.transport import connection
 from opalwick.transport.connection import Connection
@@ -209,11 +209,11 @@
 
 def fleet() -> tuple[FleetStage, Member]:
     """Two members without load, and a request at the first one that is not in its reducer."""
-    stage, want = FleetStage(parse(FLEET, "fleet.toml"), 3, maker("opalwick")), Want()
+    stage, want = FleetStage(parse(FLEET, "fleet.toml"), 3, maker("opalwick")), WorkItem()
     want.category, want.key, want.work, want.follows, want.bad = 0, None, 0.05, False, "once"
     member = stage.running[0]
     assert isinstance(member, Member)
-    member.calls["x"] = Try("x", want, 0)
+    member.calls["x"] = ClientRequest("x", want, 0)
     return stage, member
 
 
@@ -271,7 +271,7 @@
 def test_a_request_unread_at_the_death_of_its_scheduler_is_cut() -> None:
     stage, member = fleet()
     clients = stage.world.clients
-    attempt = clients.tries["y"] = Try("y", member.calls.pop("x").want, 0)
+    attempt = clients.tries["y"] = ClientRequest("y", member.calls.pop("x").want, 0)
     want = attempt.want
     want.number, want.customer, want.subject, want.hint, want.worth = 1, -1, 0, 0.0, 1.0
     want.first_at, want.expiry_at, want.due_at = 0.0, 5.0, 1.0
