--- a/opalwick/lab/post/sockets/doors.py
+++ b/opalwick/lab/post/sockets/doors.py
@@ -81,7 +81,7 @@
         world.runs += 1
         run = Run(world.runs, sending)
         world.rids[run.number] = run.rid
-        served.carries = run
+        served.in_progress = run
         worker.arrive(run)
 
     def answer_probe(self, served: Served) -> None:
@@ -92,7 +92,7 @@
     def ended(self, served: Served) -> None:
         """Called when the gateway has closed its connection, or it was reset here."""
         self.nodes.pop(served, None)
-        run, served.carries = served.carries, None
+        run, served.in_progress = served.in_progress, None
         if run is not None and not run.over:
             self.worker.hung_up(run)
 
