--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -88,10 +88,10 @@
 
 def destinations(count: int) -> dict[str, float]:
     """A controller and a gateway that know so many destinations."""
-    from opalwick.post.beats import parse_heartbeat
+    from opalwick.post.controller.registry import Registry
     from opalwick.post.directory import Directory
-    from opalwick.post.office.registry import Registry
     from opalwick.post.wire_pb2 import News
+    from opalwick.post.worker_heartbeats import parse_heartbeat
 
     def said(number: int, calls: int) -> bytes:
         return json.dumps(
@@ -146,10 +146,10 @@
 
 def backlog(count: int) -> dict[str, float]:
     """A store with so many messages that wait: on its disk, read at its start, and looked at."""
-    from opalwick.post.depot.agent import load
-    from opalwick.post.depot.disk import Disk
-    from opalwick.post.depot.role import StoreRole
     from opalwick.post.settings import parse
+    from opalwick.post.store.disk import Disk
+    from opalwick.post.store.process import load
+    from opalwick.post.store.role import StoreRole
     from opalwick.post.wire_pb2 import Letter
 
     body = 1_000 if count <= 100_000 else 100
@@ -213,8 +213,8 @@
 def configuration(routes: int) -> dict[str, float]:
     """A configuration with so many routes, a fifth as many services."""
     from opalwick.post.configuration import check
-    from opalwick.post.counter.routes import Routes
-    from opalwick.post.office.role import packed
+    from opalwick.post.controller.role import packed
+    from opalwick.post.gateway.routes import Routes
     from opalwick.post.wire_pb2 import Conf
 
     services = max(1, routes // 5)
--- a/bench/late_send.py
+++ b/bench/late_send.py
@@ -18,12 +18,12 @@
 
 import msgspec
 
-from opalwick.checked import Seconds
 from opalwick.lab.day import Load
 from opalwick.lab.fleet.day import Fault, FleetDay
 from opalwick.lab.fleet.kinds import KINDS
 from opalwick.lab.fleet.run import drawn, failures, reported
 from opalwick.lab.fleet.virtual import play
+from opalwick.settings_file import Seconds
 
 STILL = [["stop"], ["stops"], ["starve"], ["stop", "starve"], ["stops", "starve"]]
 
--- a/bench/maintenance.py
+++ b/bench/maintenance.py
@@ -16,7 +16,6 @@
 
 import msgspec
 
-from opalwick.checked import Seconds
 from opalwick.lab.post.day import Fault, PostDay, parse
 from opalwick.lab.post.judge import judge
 from opalwick.lab.post.kinds import CLOSING, KINDS
@@ -26,6 +25,7 @@
 from opalwick.post.maintenance.needs import unmet_needs
 from opalwick.post.maintenance.planner import EXACT_LIMIT, MAX_UNFAIRNESS, NoPlan, Planner
 from opalwick.post.maintenance.racks import Declaration, check
+from opalwick.settings_file import Seconds
 
 ZONES = "abc"
 ROLES = ("counter", "depot", "office")
--- a/bench/members.py
+++ b/bench/members.py
@@ -17,8 +17,8 @@
 from typing import Any
 
 from opalwick.fleet import agent
-from opalwick.fleet.members import Members, Peer, Suspicion
-from opalwick.fleet.words import MessageType
+from opalwick.fleet.membership import Members, Peer, Suspicion
+from opalwick.fleet.messages import MessageType
 from opalwick.lab.fleet.day import parse
 from opalwick.lab.fleet.judge import judge
 from opalwick.lab.fleet.virtual import AgentOnly, play
--- a/bench/message_names.py
+++ b/bench/message_names.py
@@ -14,8 +14,8 @@
 
 sys.path.insert(0, str(Path(__file__).parents[1]))
 
-from opalwick.post.depot.disk import Disk
 from opalwick.post.names import NameGenerator, complete_name, parse_name
+from opalwick.post.store.disk import Disk
 from opalwick.post.wire_pb2 import Envelope, Kept, Letter
 
 ROUNDS = 50_000
--- a/bench/processor.py
+++ b/bench/processor.py
@@ -25,11 +25,11 @@
 
 
 def serve(file: str, floor: bool) -> None:
-    from opalwick.processor import front
+    from opalwick.processor import server
 
     if floor:
 
-        class Continue(front.Conversation):
+        class Continue(server.Conversation):
             def receive(self, octets: bytes) -> None:
                 message, answer = ext_proc.ProcessingRequest(), ext_proc.ProcessingResponse()
                 message.ParseFromString(octets)
@@ -37,8 +37,8 @@
                 getattr(answer, kind).response.SetInParent()
                 self.send(answer.SerializeToString(), None)
 
-        front.Conversation = Continue  # type: ignore[misc]
-    sys.exit(front.serve(file, "WARNING"))
+        server.Conversation = Continue  # type: ignore[misc]
+    sys.exit(server.serve(file, "WARNING"))
 
 
 def message(kind: str, fields: dict[str, str]) -> bytes:
--- a/bench/standstill.py
+++ b/bench/standstill.py
@@ -11,10 +11,10 @@
 import json
 import sys
 
-from opalwick.checked import Seconds
 from opalwick.lab.day import Load
 from opalwick.lab.fleet.day import Fault, FleetDay
 from opalwick.lab.fleet.run import run
+from opalwick.settings_file import Seconds
 
 words = sys.argv[1:]
 clocks = [clock for clock in ("virtual", "sockets") if clock in words] or ["virtual", "sockets"]
--- a/opalwick/balance.py
+++ b/opalwick/balance.py
@@ -24,7 +24,7 @@
 from collections.abc import Iterable, Iterator, Sequence
 from itertools import accumulate
 
-from opalwick.chance import RandomSource
+from opalwick.random_source import RandomSource
 from opalwick.interface import (
     NEVER_RAN,
     Attempt,
@@ -54,7 +54,7 @@
     WorkItem,
     Zone,
 )
-from opalwick.sums import LoadAggregator, older
+from opalwick.load_aggregation import LoadAggregator, older
 
 
 class Balancer:
--- a/opalwick/fleet/agent.py
+++ b/opalwick/fleet/agent.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from typing import Any
 
-from opalwick.fleet.members import Event, Members, Send, MembershipConfig, Wake
+from opalwick.fleet.membership import Event, Members, Send, MembershipConfig, Wake
 
 _STATES = {
     "joined": "alive",
--- a/opalwick/fleet/members.py
+++ b/opalwick/fleet/membership.py
@@ -17,8 +17,8 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from opalwick.chance import RandomSource
-from opalwick.fleet.words import (
+from opalwick.random_source import RandomSource
+from opalwick.fleet.messages import (
     BUCKETS,
     MAX_UPDATES,
     Update,
--- a/opalwick/lab/day.py
+++ b/opalwick/lab/day.py
@@ -9,7 +9,15 @@
 import msgspec
 from msgspec import Struct, field
 
-from opalwick.checked import InvalidFile, Seconds, decode, decode_hook, fault_at, format_seconds, line_of
+from opalwick.settings_file import (
+    InvalidFile,
+    Seconds,
+    decode,
+    decode_hook,
+    fault_at,
+    format_seconds,
+    line_of,
+)
 from opalwick.lab.kinds import KINDS
 
 BUILT_IN = Path(__file__).parent / "days"
--- a/opalwick/lab/experiment.py
+++ b/opalwick/lab/experiment.py
@@ -13,7 +13,7 @@
 
 from msgspec import Struct, field
 
-from opalwick.checked import decode, line_of
+from opalwick.settings_file import decode, line_of
 from opalwick.lab.baselines import POLICIES
 from opalwick.lab.day import BadDay, Day, changed, read, write
 from opalwick.lab.judge import judge
--- a/opalwick/lab/faults.py
+++ b/opalwick/lab/faults.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterator
 from typing import Protocol
 
-from opalwick.checked import Seconds
+from opalwick.settings_file import Seconds
 from opalwick.lab.day import Fault
 from opalwick.lab.draws import part
 from opalwick.lab.kinds import KINDS
--- a/opalwick/lab/fleet/day.py
+++ b/opalwick/lab/fleet/day.py
@@ -9,7 +9,7 @@
 import msgspec
 from msgspec import Struct, field
 
-from opalwick.checked import InvalidFile, Seconds, decode, fault_at
+from opalwick.settings_file import InvalidFile, Seconds, decode, fault_at
 from opalwick.lab.day import Allow, BadDay, Clients, Day, Kind, Listing, Load, Model, Network, text_of, write
 from opalwick.lab.day import built_in as others
 from opalwick.lab.day import check as check_day
--- a/opalwick/lab/fleet/run.py
+++ b/opalwick/lab/fleet/run.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from opalwick.checked import Seconds
+from opalwick.settings_file import Seconds
 from opalwick.lab.day import write
 from opalwick.lab.experiment import judged, keep, write_whole
 from opalwick.lab.fleet.day import Fault, FleetDay, parse
--- a/opalwick/lab/fleet/virtual.py
+++ b/opalwick/lab/fleet/virtual.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from opalwick.fleet.agent import Agent, Event, Send, Wake
-from opalwick.fleet.members import MembershipConfig as MemberTerms
-from opalwick.fleet.words import KIND
+from opalwick.fleet.membership import MembershipConfig as MemberTerms
+from opalwick.fleet.messages import KIND
 from opalwick.lab.agenda import Entry
 from opalwick.lab.baselines import maker
 from opalwick.lab.fleet.agents import Store
@@ -19,7 +19,7 @@
 from opalwick.lab.scheduler import Host, Make, Process, Scheduler, Start
 from opalwick.lab.virtual import HELD, SLACK, Stage
 from opalwick.lab.world.worker import Worker
-from opalwick.transport.pulse import StallDetector
+from opalwick.transport.stalls import StallDetector
 
 AGENT = bytes([KIND])  # first byte of the agents' messages
 SAMPLE_PERIOD = 0.25  # seconds between two samples of the members' aggregates
--- a/opalwick/lab/hunt.py
+++ b/opalwick/lab/hunt.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from opalwick.checked import Seconds
+from opalwick.settings_file import Seconds
 from opalwick.lab.day import Day, Fault, parse, write
 from opalwick.lab.experiment import judged
 from opalwick.lab.judge import broken
--- a/opalwick/lab/post/day.py
+++ b/opalwick/lab/post/day.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Struct, field
 
-from opalwick.checked import InvalidFile, Seconds, decode, fault_at
+from opalwick.settings_file import InvalidFile, Seconds, decode, fault_at
 from opalwick.lab.day import BadDay, text_of
 from opalwick.lab.day import built_in as others
 from opalwick.lab.post.kinds import ALL, CHANGES, CLOSING, KINDS
--- a/opalwick/lab/post/disks.py
+++ b/opalwick/lab/post/disks.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from opalwick.post.depot import disk
-from opalwick.post.office.views import Stored
+from opalwick.post.store import disk
+from opalwick.post.controller.views import Stored
 
 
 class Depot(disk.Disk):
@@ -30,7 +30,7 @@
 
 
 class Office:
-    """A controller's disk (role office): one record and the last directory, as in `post/office/disk.py`."""
+    """A controller's disk (role office): one record and the last directory, as in `post/controller/disk.py`."""
 
     def __init__(self) -> None:
         self.stored: Stored | None = None
--- a/opalwick/lab/post/home_world.py
+++ b/opalwick/lab/post/home_world.py
@@ -18,14 +18,14 @@
 
 from msgspec.structs import replace
 
-from opalwick.checked import Seconds
+from opalwick.settings_file import Seconds
 from opalwick.lab.post.clients import DEFINITE, Clients, Exchange, Platform
 from opalwick.lab.post.day import ROLES, Fault, PostDay, Service
 from opalwick.lab.post.kinds import ALL, AT_HOME
 from opalwick.lab.post.process import Machine
 from opalwick.lab.post.workers import request
 from opalwick.lab.post.world import World
-from opalwick.post.home.audit import rows as audited
+from opalwick.post.residency.audit import rows as audited
 from opalwick.post.wire_pb2 import Letter
 
 if TYPE_CHECKING:
--- a/opalwick/lab/post/process.py
+++ b/opalwick/lab/post/process.py
@@ -26,7 +26,7 @@
     TICK_INTERVAL,
 )
 from opalwick.post.settings import Settings, parse
-from opalwick.post.station import RoleBase
+from opalwick.post.base_role import RoleBase
 
 if TYPE_CHECKING:
     from opalwick.lab.post.world import World
--- a/opalwick/lab/post/roles.py
+++ b/opalwick/lab/post/roles.py
@@ -11,18 +11,18 @@
 from opalwick.lab.agenda import Entry
 from opalwick.lab.post import disks
 from opalwick.lab.post.process import DISKS, PROCESSES, Machine, Proc, recording_events
-from opalwick.post.counter.agent import MAX_ACCEPTS, EXIT_MARGIN
-from opalwick.post.counter.desks import parse_load as read_load
-from opalwick.post.counter.front import decode_message, answer_error, parse_lookup
-from opalwick.post.counter.item import Start
-from opalwick.post.counter.role import Gateway
-from opalwick.post.depot.agent import BATCH_DELAY, load, run_batch
-from opalwick.post.depot.role import StoreRole
-from opalwick.post.office.agent import POLL_INTERVAL, STORE_INTERVAL
-from opalwick.post.office.role import Controller
+from opalwick.post.gateway.process import MAX_ACCEPTS, EXIT_MARGIN
+from opalwick.post.gateway.dispatchers import parse_load as read_load
+from opalwick.post.gateway.http_api import decode_message, answer_error, parse_lookup
+from opalwick.post.gateway.item import Start
+from opalwick.post.gateway.role import Gateway
+from opalwick.post.store.process import BATCH_DELAY, load, run_batch
+from opalwick.post.store.role import StoreRole
+from opalwick.post.controller.process import POLL_INTERVAL, STORE_INTERVAL
+from opalwick.post.controller.role import Controller
 from opalwick.post.settings import Settings
-from opalwick.post.verdict import DeliveryOutcome, outcome_of_status
-from opalwick.protocol.conversation import Call
+from opalwick.post.delivery_outcome import DeliveryOutcome, outcome_of_status
+from opalwick.protocol.server_connection import Call
 from opalwick.protocol.http import Malformed, Message
 
 if TYPE_CHECKING:
--- a/opalwick/lab/post/run.py
+++ b/opalwick/lab/post/run.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from opalwick.checked import Seconds
+from opalwick.settings_file import Seconds
 from opalwick.lab.day import BadDay, write
 from opalwick.lab.hunt import Shrinking
 from opalwick.lab.post import home_faults, home_world  # noqa: F401 - the import registers its faults
--- a/opalwick/lab/post/soak.py
+++ b/opalwick/lab/post/soak.py
@@ -18,11 +18,11 @@
 
 import msgspec
 
-from opalwick.checked import Seconds
+from opalwick.settings_file import Seconds
 from opalwick.lab.post.day import ROLES, Fault, PostDay, read
 from opalwick.lab.post.kinds import KINDS
 from opalwick.lab.post.run import run
-from opalwick.post.runs import Cause, Event, read_events, repeats
+from opalwick.post.repeats import Cause, Event, read_events, repeats
 
 FAULT_KINDS = (
     "kill",
--- a/opalwick/lab/post/window.py
+++ b/opalwick/lab/post/window.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from opalwick.checked import Seconds
+from opalwick.settings_file import Seconds
 from opalwick.lab.post.day import PostDay, Service
 from opalwick.lab.post.faults import Scene
 from opalwick.lab.post.process import Machine
--- a/opalwick/lab/scheduler.py
+++ b/opalwick/lab/scheduler.py
@@ -22,8 +22,8 @@
 from opalwick.protocol.clients import hash_subject
 from opalwick.protocol.settings import flatten, read_scheduler_config
 from opalwick.routing.reducer import Answer, Close, Datagram, Final, Reducer, Send, Timer, Watch
-from opalwick.transport.idle import IdleTime
-from opalwick.transport.pulse import StallDetector
+from opalwick.transport.idle_time import IdleTime
+from opalwick.transport.stalls import StallDetector
 
 START = 1000.0  # the reducers' clock when the day begins: nought means "never" to the module
 LONG_AGO = -1e9
--- a/opalwick/lab/verify/answers.py
+++ b/opalwick/lab/verify/answers.py
@@ -12,8 +12,8 @@
 
 from opalwick.lab.verify.explorer import PropertyViolation, Transition
 from opalwick.lab.verify.replayed import Replayed
-from opalwick.post.counter.delivery import Delivery
-from opalwick.post.verdict import DeliveryOutcome
+from opalwick.post.gateway.delivery import Delivery
+from opalwick.post.delivery_outcome import DeliveryOutcome
 from opalwick.post.wire_pb2 import Letter
 from opalwick.transport.connection import Connection
 from opalwick.transport.limits import compute_limits
--- a/opalwick/lab/verify/depots.py
+++ b/opalwick/lab/verify/depots.py
@@ -20,16 +20,16 @@
 from opalwick.lab.verify.explorer import PropertyViolation, Transition
 from opalwick.lab.verify.rows import InMemoryDisk
 from opalwick.lab.verify.words import EncodedMessage, decode, encode
-from opalwick.post.counter.desks import Dispatcher, WaitQueue
-from opalwick.post.counter.item import Start
-from opalwick.post.counter.role import Gateway
-from opalwick.post.counter.routes import Routes
-from opalwick.post.depot.agent import load, run_batch
-from opalwick.post.depot.records import Fetch, Write
-from opalwick.post.depot.role import StoreRole
+from opalwick.post.gateway.dispatchers import Dispatcher, WaitQueue
+from opalwick.post.gateway.item import Start
+from opalwick.post.gateway.role import Gateway
+from opalwick.post.gateway.routes import Routes
+from opalwick.post.store.process import load, run_batch
+from opalwick.post.store.records import Fetch, Write
+from opalwick.post.store.role import StoreRole
 from opalwick.post.message_state import MessageState
 from opalwick.post.settings import Settings, parse
-from opalwick.post.verdict import DeliveryOutcome
+from opalwick.post.delivery_outcome import DeliveryOutcome
 from opalwick.post.wire_pb2 import Conf, Hello, Letter, News, Route, Service
 from opalwick.routing.reducer import Send
 
--- a/opalwick/lab/verify/leases.py
+++ b/opalwick/lab/verify/leases.py
@@ -17,10 +17,10 @@
 from opalwick.lab.verify.copying import Canonicalizer, Copier
 from opalwick.lab.verify.explorer import PropertyViolation, Transition
 from opalwick.lab.verify.words import EncodedMessage, decode, encode
-from opalwick.post.counter.ceilings import MARGIN, Ceilings
+from opalwick.post.gateway.rate_limits import MARGIN, Ceilings
 from opalwick.post.names import process_id
-from opalwick.post.office.duties import LeaseTable
-from opalwick.post.office.role import Controller
+from opalwick.post.controller.leases import LeaseTable
+from opalwick.post.controller.role import Controller
 from opalwick.post.wire_pb2 import Hello
 
 TASK = "s"
--- a/opalwick/lab/verify/mutants.py
+++ b/opalwick/lab/verify/mutants.py
@@ -37,22 +37,22 @@
 from opalwick.lab.verify.parts import (
     Answer as Asking,
 )
-from opalwick.post.counter import answers, ceilings, delivery
-from opalwick.post.counter import role as counter_role
-from opalwick.post.counter.ceilings import Ceilings
-from opalwick.post.counter.delivery import Delivery
-from opalwick.post.counter.intake import Intake
-from opalwick.post.counter.role import Gateway
-from opalwick.post.depot import keeping
-from opalwick.post.depot.keeping import MessageStore
-from opalwick.post.depot.moving import Rebalancing
-from opalwick.post.depot.records import Send, Write
-from opalwick.post.depot.seal import Seal
-from opalwick.post.office import numbers
-from opalwick.post.office.duties import LeaseTable
-from opalwick.post.office.notices import Notices as Confirming
-from opalwick.post.office.role import Controller
-from opalwick.post.office.views import Answer, PendingChange, Views
+from opalwick.post.gateway import answers, rate_limits, delivery
+from opalwick.post.gateway import role as counter_role
+from opalwick.post.gateway.rate_limits import Ceilings
+from opalwick.post.gateway.delivery import Delivery
+from opalwick.post.gateway.intake import Intake
+from opalwick.post.gateway.role import Gateway
+from opalwick.post.store import message_store
+from opalwick.post.store.message_store import MessageStore
+from opalwick.post.store.rebalancing import Rebalancing
+from opalwick.post.store.records import Send, Write
+from opalwick.post.store.seal import Seal
+from opalwick.post.controller import conf_history
+from opalwick.post.controller.leases import LeaseTable
+from opalwick.post.controller.notices import Notices as Confirming
+from opalwick.post.controller.role import Controller
+from opalwick.post.controller.views import Answer, PendingChange, Views
 from opalwick.post.wire_pb2 import Written
 
 Patch = Callable[[Any, str, Any], None]
@@ -215,12 +215,12 @@
 
 @mutant("takeover", takeover(Takeover(puts=1, again=1, reorder=0), *SERVING), "two confirmed")
 def another_content_is_confirmed(patch: Patch) -> None:
-    patch(numbers, "match", lambda newest, given: numbers.Match.SAME)
+    patch(numbers, "match", lambda newest, given: conf_history.Match.SAME)
 
 
 @mutant("takeover", takeover(Takeover(puts=1, again=1, reorder=0), *SERVING), "refused again")
 def a_repeated_order_is_refused(patch: Patch) -> None:
-    patch(numbers, "match", lambda newest, given: numbers.Match.OTHER)
+    patch(numbers, "match", lambda newest, given: conf_history.Match.OTHER)
 
 
 @mutant("takeover", takeover(Takeover(puts=1, again=1, reorder=0), *TWO_WRITES), "forgotten")
@@ -449,7 +449,7 @@
     has = Ceilings.acquire
 
     def longer(self: Ceilings, svc: str, until: float) -> None:
-        has(self, svc, self.now + ceilings.LEASE_SPAN - ceilings.MARGIN)
+        has(self, svc, self.now + rate_limits.LEASE_SPAN - rate_limits.MARGIN)
 
     patch(Ceilings, "acquire", longer)
 
--- a/opalwick/lab/verify/notices.py
+++ b/opalwick/lab/verify/notices.py
@@ -13,7 +13,7 @@
 
 from opalwick.lab.verify.explorer import PropertyViolation, Transition
 from opalwick.lab.verify.replayed import Replayed
-from opalwick.post.office.role import Controller
+from opalwick.post.controller.role import Controller
 from opalwick.post.settings import Settings, parse
 from opalwick.post.wire_pb2 import Hello, View
 from opalwick.protocol.http import Message
--- a/opalwick/lab/verify/offices.py
+++ b/opalwick/lab/verify/offices.py
@@ -19,10 +19,10 @@
 from opalwick.lab.verify.copying import Canonicalizer, Copier
 from opalwick.lab.verify.explorer import PropertyViolation, Transition
 from opalwick.lab.verify.words import EncodedMessage, decode, encode
-from opalwick.post.office import numbers
-from opalwick.post.office.duties import LeaseTable
-from opalwick.post.office.role import Controller
-from opalwick.post.office.views import Key, Save, Stored, Views
+from opalwick.post.controller import conf_history
+from opalwick.post.controller.leases import LeaseTable
+from opalwick.post.controller.role import Controller
+from opalwick.post.controller.views import Key, Save, Stored, Views
 from opalwick.post.wire_pb2 import Conf, Hello, View
 
 NAMES = ("o1", "o2", "o3")
@@ -375,7 +375,7 @@
                 views, conf = new.controller(me).views, Conf(gen=gen, said=text.encode())
                 newest = Conf.FromString(views.newest())
                 if gen > newest.gen:
-                    numbers.follow(conf, newest)
+                    conf_history.follow(conf, newest)
                 views.put(len(new.calls) - 1, conf.SerializeToString())
             case "read":
                 new.budget = new.budget.spend("reads")
--- a/opalwick/lab/verify/rows.py
+++ b/opalwick/lab/verify/rows.py
@@ -1,4 +1,4 @@
-"""In-memory replacement of a store's disk, with the effects of the SQL statements in `post/depot/disk.py`.
+"""In-memory replacement of a store's disk, with the effects of the SQL statements in `post/store/disk.py`.
 
 It does without SQLite because a state is copied thousands of times a second. A test compares the two.
 """
@@ -8,7 +8,7 @@
 from collections.abc import Iterator, Sequence
 from typing import Any
 
-from opalwick.post.depot.disk import Row
+from opalwick.post.store.disk import Row
 
 
 class InMemoryDisk:
--- a/opalwick/post/__main__.py
+++ b/opalwick/post/__main__.py
@@ -77,15 +77,15 @@
     process = Process(stop, reload, path, options.metrics, settings_stamp)
     # each role imports only what it needs, since imports take seconds on a small machine
     if arguments == ["carrier", "counter"]:
-        from opalwick.post.counter.agent import GatewayShell
+        from opalwick.post.gateway.process import GatewayShell
 
         GatewayShell(settings, process).serve()
     elif arguments == ["carrier", "depot"]:
-        from opalwick.post.depot.agent import StoreShell
+        from opalwick.post.store.process import StoreShell
 
         StoreShell(settings, process).serve()
     elif arguments == ["postmaster"]:
-        from opalwick.post.office.agent import ControllerShell
+        from opalwick.post.controller.process import ControllerShell
 
         ControllerShell(settings, process).serve()
     else:
--- a/opalwick/post/commands.py
+++ b/opalwick/post/commands.py
@@ -15,7 +15,7 @@
 
 from cyclopts import App, CycloptsError
 
-from opalwick.post.asking import (
+from opalwick.post.command_helpers import (
     Address,
     At,
     CommandError,
@@ -28,7 +28,7 @@
     send_requests,
     start_time,
 )
-from opalwick.post.asking import send_request as send_request
+from opalwick.post.command_helpers import send_request as send_request
 from opalwick.post.maintenance.commands import maintenance
 from opalwick.post.settings import InvalidFile, parse
 
@@ -48,7 +48,7 @@
     app.command(part)
 # the library imports the module when the command is called
 app.command(
-    "opalwick.post.home.commands:home",
+    "opalwick.post.residency.commands:home",
     name="home",
     help="Data residency: where work may be, and where it is.",
 )
@@ -518,7 +518,7 @@
     most
         Maximum number of repeats shown for each cause.
     """
-    from opalwick.post.runs import Cause, Event, read_events, repeats
+    from opalwick.post.repeats import Cause, Event, read_events, repeats
 
     if not logs:
         raise CommandError("no log file is given")
--- a/opalwick/post/office/disk.py
+++ b/opalwick/post/controller/disk.py
@@ -7,7 +7,7 @@
 import os
 import sqlite3
 
-from opalwick.post.files import (
+from opalwick.post.database_files import (
     add_columns,
     is_corrupt,
     closing_on_error,
@@ -16,7 +16,7 @@
     set_aside,
     checksum,
 )
-from opalwick.post.office.views import Stored
+from opalwick.post.controller.views import Stored
 
 
 class Disk:
--- a/opalwick/post/office/window.py
+++ b/opalwick/post/controller/maintenance_window.py
@@ -17,14 +17,14 @@
 
 from opalwick.post.directory import Directory
 from opalwick.post.maintenance import shares
-from opalwick.post.maintenance.conductor import Coordinator, Refused
+from opalwick.post.maintenance.coordinator import Coordinator, Refused
 from opalwick.post.maintenance.fleet import Fleet, LiveWorker, Machine, contents
 from opalwick.post.maintenance.needs import unmet_needs
 from opalwick.post.maintenance.racks import check
 from opalwick.post.maintenance.state import RESTING, State, read
-from opalwick.post.office.registry import Registry
-from opalwick.post.office.views import Views
-from opalwick.post.station import Link
+from opalwick.post.controller.registry import Registry
+from opalwick.post.controller.views import Views
+from opalwick.post.base_role import Link
 from opalwick.post.wire_pb2 import Conf, Node, Pulse
 
 CHECK_INTERVAL = 0.25  # s between runs of the coordinator, as often as keepalives arrive
--- a/opalwick/post/office/notices.py
+++ b/opalwick/post/controller/notices.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from opalwick.post.office.views import Views
-from opalwick.post.station import Link
+from opalwick.post.controller.views import Views
+from opalwick.post.base_role import Link
 from opalwick.post.wire_pb2 import Known, News, Spread, View
 
 CONFIRM_TIMEOUT = 0.85  # s for a majority's answers: callers time out after 1 s
--- a/opalwick/post/office/agent.py
+++ b/opalwick/post/controller/process.py
@@ -13,15 +13,15 @@
 
 from opalwick.post import events
 from opalwick.post.link import Process, Shell
-from opalwick.post.office.disk import Disk
-from opalwick.post.office.role import Controller
+from opalwick.post.controller.disk import Disk
+from opalwick.post.controller.role import Controller
 from opalwick.post.settings import Settings
-from opalwick.protocol.conversation import Call, Conversation
-from opalwick.protocol.door import Listener
+from opalwick.protocol.server_connection import Call, Conversation
+from opalwick.protocol.listener import Listener
 from opalwick.protocol.http import Malformed, Message
 from opalwick.transport.connection import listen
 from opalwick.transport.limits import Limits, compute_limits
-from opalwick.transport.pulse import StallDetector as StallDetector
+from opalwick.transport.stalls import StallDetector as StallDetector
 
 MAX_BODY = 4 << 20  # bytes of a call: a configuration of ten thousand routes
 STORE_INTERVAL = (
--- a/opalwick/post/office/registry.py
+++ b/opalwick/post/controller/registry.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from opalwick.post.beats import Heartbeat
+from opalwick.post.worker_heartbeats import Heartbeat
 from opalwick.post.directory import Directory
 from opalwick.post.wire_pb2 import News, Node, Worker
 
--- a/opalwick/post/office/role.py
+++ b/opalwick/post/controller/role.py
@@ -14,22 +14,22 @@
 
 from returns.result import Success
 
-from opalwick.post.beats import BAD_ID, is_worker_id
-from opalwick.post.beats import parse_heartbeat as read_beat
+from opalwick.post.worker_heartbeats import BAD_ID, is_worker_id
+from opalwick.post.worker_heartbeats import parse_heartbeat as read_beat
 from opalwick.post.configuration import Configuration, check
 from opalwick.post.directory import is_empty
-from opalwick.post.home.policy import in_force
-from opalwick.post.home.reading import check as check_home
-from opalwick.post.home.reading import key_digest, too_few_stores
+from opalwick.post.residency.policy import in_force
+from opalwick.post.residency.policy_file import check as check_home
+from opalwick.post.residency.policy_file import key_digest, too_few_stores
 from opalwick.post.names import process_id
-from opalwick.post.office import numbers
-from opalwick.post.office.duties import LeaseTable
-from opalwick.post.office.notices import Notices, first_call
-from opalwick.post.office.registry import Registry
-from opalwick.post.office.views import CONFLICT, OK, SUPERSEDED, UNABLE, Save, Stored, Views
-from opalwick.post.office.window import Window
+from opalwick.post.controller import conf_history
+from opalwick.post.controller.leases import LeaseTable
+from opalwick.post.controller.notices import Notices, first_call
+from opalwick.post.controller.registry import Registry
+from opalwick.post.controller.views import CONFLICT, OK, SUPERSEDED, UNABLE, Save, Stored, Views
+from opalwick.post.controller.maintenance_window import Window
 from opalwick.post.settings import Settings
-from opalwick.post.station import Link, RoleBase
+from opalwick.post.base_role import Link, RoleBase
 from opalwick.post.wire_pb2 import (
     Conf,
     Forward,
@@ -44,7 +44,7 @@
     Service,
     Worker,
 )
-from opalwick.protocol.conversation import Call
+from opalwick.protocol.server_connection import Call
 from opalwick.protocol.http import Malformed, Message
 
 PRIMARY_TIMEOUT = 0.85  # s for the primary's answer: callers time out after 1 s
@@ -96,7 +96,7 @@
         head=caps.head_ms / 1000.0,
         idle=caps.idle_ms / 1000.0,
         said=said,
-        digest=numbers.digest(said),
+        digest=conf_history.digest(said),
     ).SerializeToString()
 
 
@@ -355,7 +355,7 @@
             following, newest = Conf.FromString(body), Conf.FromString(v.newest())
             following.seq = newest.seq
             if following.gen > newest.gen:
-                numbers.follow(following, newest)
+                conf_history.follow(following, newest)
             following.retiring.extend(newest.retiring)
             following.emptied.extend(newest.emptied)
             if newest.HasField("window"):
--- a/opalwick/post/office/status.py
+++ b/opalwick/post/controller/status.py
@@ -5,8 +5,8 @@
 import json
 from typing import Any
 
-from opalwick.post.home.policy import in_force
-from opalwick.post.office.role import Controller
+from opalwick.post.residency.policy import in_force
+from opalwick.post.controller.role import Controller
 from opalwick.post.operators import elapsed
 from opalwick.post.wire_pb2 import Conf
 
--- a/opalwick/post/office/views.py
+++ b/opalwick/post/controller/views.py
@@ -19,7 +19,7 @@
 from collections.abc import Container
 from typing import Any, NamedTuple
 
-from opalwick.post.office import numbers
+from opalwick.post.controller import conf_history
 from opalwick.post.wire_pb2 import (
     Beat,
     Beaten,
@@ -63,7 +63,11 @@
 OK, CONFLICT, SUPERSEDED = 200, 409, 208
 UNKNOWN, UNABLE = 504, 503  # UNKNOWN: it may or may not be in force; UNABLE: no effect
 
-STATUS_OF_MATCH = {numbers.Match.SAME: OK, numbers.Match.OTHER: CONFLICT, numbers.Match.UNKNOWN: SUPERSEDED}
+STATUS_OF_MATCH = {
+    conf_history.Match.SAME: OK,
+    conf_history.Match.OTHER: CONFLICT,
+    conf_history.Match.UNKNOWN: SUPERSEDED,
+}
 
 Key = tuple[int, int]  # of a configuration: its number, and a count of changes made without a new number
 
@@ -714,7 +718,7 @@
             if len(self.queue) == 1:
                 self.write_next()
             return
-        found = numbers.match(Conf.FromString(self.newest()), Conf.FromString(conf))
+        found = conf_history.match(Conf.FromString(self.newest()), Conf.FromString(conf))
         status = STATUS_OF_MATCH[found]
         if not self.queue:
             self.read(call, status)
--- a/opalwick/post/counter/answers.py
+++ b/opalwick/post/gateway/answers.py
@@ -11,7 +11,7 @@
 
 from __future__ import annotations
 
-from opalwick.post.verdict import DeliveryOutcome, outcome_of_status
+from opalwick.post.delivery_outcome import DeliveryOutcome, outcome_of_status
 from opalwick.protocol.http import Message
 
 # bytes; requests longer than this may be answered before they are completely written
--- a/opalwick/post/counter/shares.py
+++ b/opalwick/post/gateway/connection_budget.py
@@ -8,7 +8,7 @@
 
 import zlib
 
-from opalwick.post.counter.desks import WorkerRow
+from opalwick.post.gateway.dispatchers import WorkerRow
 
 # share of a worker's connections that is allotted: gateways learn of each other with a delay
 ALLOTTED_SHARE = 0.9
--- a/opalwick/post/counter/delivery.py
+++ b/opalwick/post/gateway/delivery.py
@@ -8,11 +8,11 @@
 from typing import Any, NamedTuple
 
 from opalwick.interface import Outcome
-from opalwick.post.counter.answers import EARLY_ANSWER_SIZE, WITHHELD_TAIL, belongs, verdict
-from opalwick.post.counter.desks import Load, parse_load
-from opalwick.post.verdict import DeliveryOutcome
+from opalwick.post.gateway.answers import EARLY_ANSWER_SIZE, WITHHELD_TAIL, belongs, verdict
+from opalwick.post.gateway.dispatchers import Load, parse_load
+from opalwick.post.delivery_outcome import DeliveryOutcome
 from opalwick.post.wire_pb2 import Letter
-from opalwick.protocol.errand import ResponseParser, OutgoingRequest
+from opalwick.protocol.outgoing import ResponseParser, OutgoingRequest
 from opalwick.protocol.http import Malformed, Message
 from opalwick.transport.connection import Connection
 from opalwick.transport.limits import Limits
--- a/opalwick/post/counter/front.py
+++ b/opalwick/post/gateway/http_api.py
@@ -7,7 +7,7 @@
 from typing import Any, NamedTuple, Protocol
 
 from opalwick.post.wire_pb2 import Field, Letter
-from opalwick.protocol.conversation import Call, Conversation, ServerState
+from opalwick.protocol.server_connection import Call, Conversation, ServerState
 from opalwick.protocol.http import Malformed, Message
 
 # headers that apply to one connection only, or are set on each delivery; not stored with the message
--- a/opalwick/post/counter/intake.py
+++ b/opalwick/post/gateway/intake.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any, NamedTuple
 
-from opalwick.post.home.policy import Policy
+from opalwick.post.residency.policy import Policy
 from opalwick.post.wire_pb2 import Holders, Keep, Letter, Refuse
 
 # s until one more store is asked: half of the shortest latency target, several disk syncs and round trips
--- a/opalwick/post/counter/lookup.py
+++ b/opalwick/post/gateway/lookup.py
@@ -12,12 +12,12 @@
 from collections.abc import Mapping
 from typing import Any, Protocol
 
-from opalwick.post.counter.front import RETRY_AFTER, answer_error, header
-from opalwick.post.home.guard import Guard
+from opalwick.post.gateway.http_api import RETRY_AFTER, answer_error, header
+from opalwick.post.residency.guard import Guard
 from opalwick.post.message_state import CLIENT_STATES, FOUND, MessageState
 from opalwick.post.names import ParsedName, parse_name
 from opalwick.post.wire_pb2 import Ask, Node, Told
-from opalwick.protocol.conversation import Call
+from opalwick.protocol.server_connection import Call
 
 QUERY_TIMEOUT = 0.35  # s that one store has for its answer: clients wait 2 s for theirs
 MAX_LOOKUPS = 256  # lookups in progress at once
--- a/opalwick/post/counter/agreement.py
+++ b/opalwick/post/gateway/ownership.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Callable, Iterable, Mapping
 
-from opalwick.post.counter.item import Item
+from opalwick.post.gateway.item import Item
 from opalwick.post.wire_pb2 import Mine
 
 # s between checks whether a store that has not answered has lost contact: the interval of the role's ticks
--- a/opalwick/post/counter/agent.py
+++ b/opalwick/post/gateway/process.py
@@ -9,21 +9,21 @@
 import gevent
 
 from opalwick.post import events
-from opalwick.post.counter.delivery import Delivery, Identification
-from opalwick.post.counter.front import ClientConnection
-from opalwick.post.counter.item import Start
-from opalwick.post.counter.role import Gateway
+from opalwick.post.gateway.delivery import Delivery, Identification
+from opalwick.post.gateway.http_api import ClientConnection
+from opalwick.post.gateway.item import Start
+from opalwick.post.gateway.role import Gateway
 from opalwick.post.link import Process, Shell
 from opalwick.post.settings import Settings
-from opalwick.post.verdict import DeliveryOutcome
+from opalwick.post.delivery_outcome import DeliveryOutcome
 from opalwick.post.wire_pb2 import Letter
-from opalwick.protocol.conversation import Call
-from opalwick.protocol.door import Listener
+from opalwick.protocol.server_connection import Call
+from opalwick.protocol.listener import Listener
 from opalwick.protocol.http import Message
 from opalwick.transport.connection import listen
 from opalwick.transport.limits import Limits, compute_limits
 from opalwick.transport.pool import Pool
-from opalwick.transport.pulse import StallDetector as StallDetector
+from opalwick.transport.stalls import StallDetector as StallDetector
 
 MAX_ACCEPTS = 512  # messages being replicated to stores at once: what a small machine accepts in 2 s at most
 MAX_BODY = 1 << 20  # bytes of a message's body, whatever the configuration allows
--- a/opalwick/post/counter/role.py
+++ b/opalwick/post/gateway/role.py
@@ -11,25 +11,25 @@
 from typing import Any
 from zlib import crc32
 
-from opalwick.post.counter.ceilings import Ceilings
-from opalwick.post.counter.desks import Load, worker_rows
-from opalwick.post.counter.front import RETRY_AFTER, answer_error
-from opalwick.post.counter.holding import WindowShares
-from opalwick.post.counter.intake import Intake
-from opalwick.post.counter.item import Item, Start, Stop
-from opalwick.post.counter.known import linked_stores
-from opalwick.post.counter.lookup import Lookups
-from opalwick.post.counter.rounds import PARK_AFTER, Rounds
-from opalwick.post.depot.keeping import LAPSE, MARGIN
-from opalwick.post.home.guard import Guard
-from opalwick.post.home.policy import partner_name
-from opalwick.post.home.short import WaitEstimate
+from opalwick.post.gateway.rate_limits import Ceilings
+from opalwick.post.gateway.dispatchers import Load, worker_rows
+from opalwick.post.gateway.http_api import RETRY_AFTER, answer_error
+from opalwick.post.gateway.window_shares import WindowShares
+from opalwick.post.gateway.intake import Intake
+from opalwick.post.gateway.item import Item, Start, Stop
+from opalwick.post.gateway.linked_stores import linked_stores
+from opalwick.post.gateway.lookup import Lookups
+from opalwick.post.gateway.scheduling import PARK_AFTER, Rounds
+from opalwick.post.store.message_store import LAPSE, MARGIN
+from opalwick.post.residency.guard import Guard
+from opalwick.post.residency.policy import partner_name
+from opalwick.post.residency.wait_estimate import WaitEstimate
 from opalwick.post.names import NameGenerator, RandomBytes, complete_name
 from opalwick.post.settings import Settings
-from opalwick.post.station import Link, RoleBase
-from opalwick.post.verdict import DeliveryOutcome
+from opalwick.post.base_role import Link, RoleBase
+from opalwick.post.delivery_outcome import DeliveryOutcome
 from opalwick.post.wire_pb2 import Keep, Letter, News, Partner, Pulse, Refuse, Route
-from opalwick.protocol.conversation import Call
+from opalwick.protocol.server_connection import Call
 from opalwick.protocol.http import Message
 
 # share of the memory that held messages may use; above it messages wait at their stores
--- a/opalwick/post/counter/rounds.py
+++ b/opalwick/post/gateway/scheduling.py
@@ -12,18 +12,18 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from opalwick.chance import RandomSource
-from opalwick.post.counter.agreement import Agreement
-from opalwick.post.counter.ceilings import PERMIT_LIFETIME
-from opalwick.post.counter.desks import MESSAGE_EXPIRY, Dispatcher, Load, WorkerRow, worker_rows
-from opalwick.post.counter.item import Item, RememberedEnd, Start, Stop, UnconfirmedEnd
-from opalwick.post.counter.routes import Routes
-from opalwick.post.counter.shares import connection_budget, choose_workers
-from opalwick.post.home.policy import Policy, partner_name
-from opalwick.post.home.shelf import ResidencyQueue
+from opalwick.random_source import RandomSource
+from opalwick.post.gateway.ownership import Agreement
+from opalwick.post.gateway.rate_limits import PERMIT_LIFETIME
+from opalwick.post.gateway.dispatchers import MESSAGE_EXPIRY, Dispatcher, Load, WorkerRow, worker_rows
+from opalwick.post.gateway.item import Item, RememberedEnd, Start, Stop, UnconfirmedEnd
+from opalwick.post.gateway.routes import Routes
+from opalwick.post.gateway.connection_budget import connection_budget, choose_workers
+from opalwick.post.residency.policy import Policy, partner_name
+from opalwick.post.residency.queue import ResidencyQueue
 from opalwick.post.maintenance.resting import Resting
 from opalwick.post.settings import Settings
-from opalwick.post.verdict import DeliveryOutcome
+from opalwick.post.delivery_outcome import DeliveryOutcome
 from opalwick.post.wire_pb2 import Conf, End, Letter, Mine, Park, Refuse, Tried, Worker
 from opalwick.routing.reducer import Answer, Close, Final, Send
 
--- a/opalwick/post/counter/status.py
+++ b/opalwick/post/gateway/status.py
@@ -5,10 +5,10 @@
 from typing import Any
 
 from opalwick.interface import Phase
-from opalwick.post.counter.ceilings import MAX_SAVED
-from opalwick.post.counter.desks import Dispatcher
-from opalwick.post.counter.item import Item
-from opalwick.post.counter.role import HELD_MEMORY_SHARE, Gateway
+from opalwick.post.gateway.rate_limits import MAX_SAVED
+from opalwick.post.gateway.dispatchers import Dispatcher
+from opalwick.post.gateway.item import Item
+from opalwick.post.gateway.role import HELD_MEMORY_SHARE, Gateway
 from opalwick.post.names import message_id
 from opalwick.post.operators import elapsed
 
--- a/opalwick/post/counter/holding.py
+++ b/opalwick/post/gateway/window_shares.py
@@ -11,7 +11,7 @@
 from opalwick.post.wire_pb2 import Route
 
 if TYPE_CHECKING:
-    from opalwick.post.counter.rounds import Rounds
+    from opalwick.post.gateway.scheduling import Rounds
     from opalwick.post.maintenance.shares import Share
 
 # s between counts of due messages: a tenth of the time that a message may wait for its start
--- a/opalwick/post/link.py
+++ b/opalwick/post/link.py
@@ -21,7 +21,7 @@
 from opalwick.post import events
 from opalwick.post.operators import DiskReader, MetricsEndpoint, OperatorServer, operators_address
 from opalwick.post.settings import InvalidFile, read
-from opalwick.post.station import RoleBase
+from opalwick.post.base_role import RoleBase
 from opalwick.post.wire_pb2 import Envelope, Hello
 from opalwick.transport.connection import Address, listen
 
--- a/opalwick/post/maintenance/commands.py
+++ b/opalwick/post/maintenance/commands.py
@@ -9,7 +9,7 @@
 
 from cyclopts import App, Parameter
 
-from opalwick.post.asking import (
+from opalwick.post.command_helpers import (
     Address,
     At,
     CommandError,
--- a/opalwick/post/maintenance/racks.py
+++ b/opalwick/post/maintenance/racks.py
@@ -16,7 +16,7 @@
 from mashumaro.codecs.basic import BasicDecoder
 from returns.result import Failure, Result, Success
 
-from opalwick.lines import line_of
+from opalwick.toml_lines import line_of
 from opalwick.post.strict import (
     InvalidValue,
     StrictConfig,
--- a/opalwick/post/operators.py
+++ b/opalwick/post/operators.py
@@ -24,16 +24,18 @@
 from opalwick import __version__
 from opalwick.post import events
 from opalwick.post.settings import Settings
-from opalwick.post.station import RoleBase
-from opalwick.protocol.conversation import Conversation
-from opalwick.protocol.door import Listener
+from opalwick.post.base_role import RoleBase
+from opalwick.protocol.server_connection import Conversation
+from opalwick.protocol.listener import Listener
 from opalwick.protocol.http import Malformed, Message
 from opalwick.transport.connection import Address, Connection, listen
 from opalwick.transport.limits import compute_limits
-from opalwick.transport.pulse import StallDetector
+from opalwick.transport.stalls import StallDetector
 
 MAX_CONNECTIONS = 6  # simultaneous connections; at the limit the one that has been idle longest is closed
 BIND_RETRY = 5.0  # s between attempts to bind the address
+# the package of each role, by the role's name in settings, on the wire and on the command line
+PACKAGES = {"counter": "gateway", "depot": "store", "office": "controller"}
 _ODD = re.compile(r"[^a-zA-Z0-9_]")
 JSON, TEXT = "application/json", "text/plain; version=0.0.4; charset=utf-8"
 
@@ -194,7 +196,7 @@
     @property
     def status_module(self) -> Any:
         """The status module of this role; those of other roles are not imported."""
-        return import_module(f"opalwick.post.{self.role.role}.status")
+        return import_module(f"opalwick.post.{PACKAGES[self.role.role]}.status")
 
     def answer(self, message: Message) -> tuple[int, bytes, str]:
         """Status, body and content type."""
--- a/opalwick/post/plan.py
+++ b/opalwick/post/plan.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from opalwick.post.office.views import MAX_VOTERS
+from opalwick.post.controller.views import MAX_VOTERS
 from opalwick.post.operators import MetricsEndpoint
 from opalwick.post.settings import InvalidFile, Settings, Survive
 
--- a/opalwick/post/replay.py
+++ b/opalwick/post/replay.py
@@ -21,13 +21,13 @@
 
 # module and class by the name that a trace has; these names are part of its format
 CORES = {
-    "intake": ("counter.intake", "Intake"),
-    "rounds": ("counter.rounds", "Rounds"),
-    "ceilings": ("counter.ceilings", "Ceilings"),
-    "keeping": ("depot.keeping", "MessageStore"),
-    "views": ("office.views", "Views"),
-    "duties": ("office.duties", "LeaseTable"),
-    "registry": ("office.registry", "Registry"),
+    "intake": ("gateway.intake", "Intake"),
+    "rounds": ("gateway.scheduling", "Rounds"),
+    "ceilings": ("gateway.rate_limits", "Ceilings"),
+    "keeping": ("store.message_store", "MessageStore"),
+    "views": ("controller.views", "Views"),
+    "duties": ("controller.leases", "LeaseTable"),
+    "registry": ("controller.registry", "Registry"),
     "directory": ("directory", "Directory"),
 }
 
--- a/opalwick/post/home/commands.py
+++ b/opalwick/post/residency/commands.py
@@ -130,7 +130,7 @@
     """
     from returns.result import Success
 
-    from opalwick.post.home.reading import check as read
+    from opalwick.post.residency.policy_file import check as read
     from opalwick.post.settings import parse
 
     zones = parse(read_file(settings), settings).zones if settings else None
--- a/opalwick/post/home/guard.py
+++ b/opalwick/post/residency/guard.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from opalwick.post.directory import Directory
-from opalwick.post.home.policy import Policy, in_force
+from opalwick.post.residency.policy import Policy, in_force
 from opalwick.post.settings import Settings
 from opalwick.post.wire_pb2 import Conf, Hello, Letter
 
--- a/opalwick/post/home/policy.py
+++ b/opalwick/post/residency/policy.py
@@ -9,7 +9,7 @@
 
 from __future__ import annotations
 
-from opalwick.post.counter.routes import Routes
+from opalwick.post.gateway.routes import Routes
 from opalwick.post.settings import Settings
 from opalwick.post.wire_pb2 import Conf, Letter, Partner
 
--- a/opalwick/post/home/shelf.py
+++ b/opalwick/post/residency/queue.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from opalwick.post.counter.desks import WaitQueue
+from opalwick.post.gateway.dispatchers import WaitQueue
 
 Rank = tuple[int, str]  # prio, partner
 
--- a/opalwick/post/depot/disk.py
+++ b/opalwick/post/store/disk.py
@@ -16,7 +16,7 @@
 from collections.abc import Iterator, Sequence
 from typing import Any, NamedTuple
 
-from opalwick.post.files import (
+from opalwick.post.database_files import (
     CORRUPT,
     add_columns,
     closing_on_error,
@@ -24,7 +24,7 @@
     sync_directory,
     checksum,
 )
-from opalwick.post.home import audit
+from opalwick.post.residency import audit
 
 _TABLES = """
 create table if not exists letters (mid text primary key, letter blob not null, due real not null,
--- a/opalwick/post/depot/keeping.py
+++ b/opalwick/post/store/message_store.py
@@ -19,11 +19,11 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from opalwick.post.depot.moving import Rebalancing
-from opalwick.post.depot.reconciliation import BATCH, Reconciliation
-from opalwick.post.depot.records import Entry, Fetch, KnownEnd, Send, Write
-from opalwick.post.depot.seal import Seal
-from opalwick.post.home.policy import Policy
+from opalwick.post.store.rebalancing import Rebalancing
+from opalwick.post.store.reconciliation import BATCH, Reconciliation
+from opalwick.post.store.records import Entry, Fetch, KnownEnd, Send, Write
+from opalwick.post.store.seal import Seal
+from opalwick.post.residency.policy import Policy
 from opalwick.post.message_state import MessageState
 from opalwick.post.names import process_id
 from opalwick.post.wire_pb2 import (
--- a/opalwick/post/depot/agent.py
+++ b/opalwick/post/store/process.py
@@ -12,11 +12,11 @@
 from gevent.threadpool import ThreadPool
 
 from opalwick.post import events
-from opalwick.post.depot.disk import Disk
-from opalwick.post.depot.records import Fetch, Write
-from opalwick.post.depot.role import StoreRole
-from opalwick.post.files import is_corrupt, set_aside
-from opalwick.post.home.audit import window
+from opalwick.post.store.disk import Disk
+from opalwick.post.store.records import Fetch, Write
+from opalwick.post.store.role import StoreRole
+from opalwick.post.database_files import is_corrupt, set_aside
+from opalwick.post.residency.audit import window
 from opalwick.post.link import Process, Shell
 from opalwick.post.settings import Settings
 from opalwick.post.wire_pb2 import Letter
--- a/opalwick/post/depot/moving.py
+++ b/opalwick/post/store/rebalancing.py
@@ -12,8 +12,8 @@
 from collections import deque
 from typing import Any, NamedTuple
 
-from opalwick.post.depot.messages import StoreState
-from opalwick.post.depot.records import Entry
+from opalwick.post.store.state import StoreState
+from opalwick.post.store.records import Entry
 from opalwick.post.wire_pb2 import Holders
 
 MAX_TRANSFERS = 64  # transfers in progress at once: a few hundred kilobytes, a tenth of a second of a disk
--- a/opalwick/post/depot/reconciliation.py
+++ b/opalwick/post/store/reconciliation.py
@@ -10,8 +10,8 @@
 
 from collections.abc import Iterable
 
-from opalwick.post.depot.messages import StoreState
-from opalwick.post.depot.records import Entry
+from opalwick.post.store.state import StoreState
+from opalwick.post.store.records import Entry
 from opalwick.post.wire_pb2 import Have
 
 OVERDUE = 3.0  # s after a message was due until the other replicas are asked whether it has ended
--- a/opalwick/post/depot/role.py
+++ b/opalwick/post/store/role.py
@@ -10,14 +10,14 @@
 import math
 from typing import Any
 
-from opalwick.post.depot.keeping import MessageStore
-from opalwick.post.depot.records import Fetch, Write
-from opalwick.post.files import CORRUPT
-from opalwick.post.home.guard import Guard
+from opalwick.post.store.message_store import MessageStore
+from opalwick.post.store.records import Fetch, Write
+from opalwick.post.database_files import CORRUPT
+from opalwick.post.residency.guard import Guard
 from opalwick.post.message_state import FOUND, WITH_BODY, MessageState
 from opalwick.post.names import matches_tags
 from opalwick.post.settings import Settings
-from opalwick.post.station import Link, RoleBase
+from opalwick.post.base_role import Link, RoleBase
 from opalwick.post.wire_pb2 import Hand, Hello, Kept, Letter, News, Pulse, Told
 
 # share of the disk that messages may take: sqlite's pages, its log and freed space take as much again
--- a/opalwick/post/depot/messages.py
+++ b/opalwick/post/store/state.py
@@ -9,8 +9,8 @@
 from collections.abc import Iterable
 from typing import Any, Protocol
 
-from opalwick.post.depot.records import Entry, KnownEnd
-from opalwick.post.depot.seal import Seal
+from opalwick.post.store.records import Entry, KnownEnd
+from opalwick.post.store.seal import Seal
 from opalwick.post.wire_pb2 import Holders
 
 
--- a/opalwick/post/depot/status.py
+++ b/opalwick/post/store/status.py
@@ -7,13 +7,13 @@
 import time
 from typing import Any
 
-from opalwick.post.counter.routes import Routes
-from opalwick.post.depot.disk import Row
-from opalwick.post.depot.keeping import LAPSE
-from opalwick.post.depot.records import Entry
-from opalwick.post.depot.role import StoreRole
-from opalwick.post.home.audit import rows as rows_of
-from opalwick.post.home.audit import with_digest
+from opalwick.post.gateway.routes import Routes
+from opalwick.post.store.disk import Row
+from opalwick.post.store.message_store import LAPSE
+from opalwick.post.store.records import Entry
+from opalwick.post.store.role import StoreRole
+from opalwick.post.residency.audit import rows as rows_of
+from opalwick.post.residency.audit import with_digest
 from opalwick.post.names import message_id
 from opalwick.post.wire_pb2 import Letter, Route
 
--- a/opalwick/processor/commands.py
+++ b/opalwick/processor/commands.py
@@ -16,7 +16,7 @@
 ) -> None:
     """Runs an external processor for proxies (gRPC, envoy.service.ext_proc.v3) until SIGTERM."""
     try:
-        from opalwick.processor.front import serve
+        from opalwick.processor.server import serve
     except ModuleNotFoundError as exc:
         typer.echo(
             f"opalwick: {exc.name} is missing: pip install 'opalwick[processor]', "
@@ -30,7 +30,7 @@
 def check(file: str) -> str:
     """Checks a processor's settings file; returns a summary. Raises ValueError with the fault."""
     try:
-        from opalwick.checked import InvalidFile
+        from opalwick.settings_file import InvalidFile
         from opalwick.processor.configuration import read
     except ModuleNotFoundError as exc:
         raise ValueError(f"{exc.name} is missing: pip install 'opalwick[processor]'") from None
--- a/opalwick/processor/configuration.py
+++ b/opalwick/processor/configuration.py
@@ -8,7 +8,7 @@
 
 from msgspec import Struct, field
 
-from opalwick.checked import InvalidFile, Seconds, decode, fault_at
+from opalwick.settings_file import InvalidFile, Seconds, decode, fault_at
 from opalwick.processor.exchange import Proxy
 from opalwick.processor.grpc import Bounds
 from opalwick.program.configuration import BadConfiguration, Configuration
--- a/opalwick/processor/front.py
+++ b/opalwick/processor/server.py
@@ -12,11 +12,11 @@
 from gevent.event import Event
 from loguru import logger
 
-from opalwick.checked import InvalidFile
+from opalwick.settings_file import InvalidFile
 from opalwick.processor import grpc
 from opalwick.processor.configuration import Settings, read
 from opalwick.processor.exchange import Call, Exchange
-from opalwick.processor.messages import Conversation, Malformed
+from opalwick.processor.ext_proc import Conversation, Malformed
 from opalwick.program.configuration import BadConfiguration, Configuration
 from opalwick.program.core import Core
 from opalwick.program.service import prepare, run
--- a/opalwick/program/configuration.py
+++ b/opalwick/program/configuration.py
@@ -107,7 +107,7 @@
         raise BadConfiguration(f"fleet.members needs {'peer_listen' if peers else 'peers'}")
     if terms.position >= len(peers):
         raise BadConfiguration(f"fleet.members: peers has no address for position {terms.position}")
-    from opalwick.fleet.members import MembershipConfig as Times
+    from opalwick.fleet.membership import MembershipConfig as Times
 
     found = Times(**{key[:-3]: fleet[key] * 1e-6 for key in _FLEET_TIMES if key in fleet})
     for less, more in (
--- a/opalwick/program/core.py
+++ b/opalwick/program/core.py
@@ -17,7 +17,7 @@
 from opalwick.program.configuration import BadConfiguration, Configuration
 from opalwick.program.handover import Handover, socket_path
 from opalwick.program.operators import Operators
-from opalwick.protocol import figures
+from opalwick.protocol import metrics
 from opalwick.protocol.discovery import Discovery, encode_list, parse_list
 from opalwick.protocol.handover import read_count, read_ids, read_pairs
 from opalwick.protocol.probes import probe
@@ -25,7 +25,7 @@
 from opalwick.transport.connection import Address, listen
 from opalwick.transport.datagrams import Datagrams
 from opalwick.transport.pool import Pool
-from opalwick.transport.pulse import StallDetector
+from opalwick.transport.stalls import StallDetector
 
 
 MEMBERSHIP_PREFIX = b"\2"  # as in `fleet/words.py`, which is not imported while membership is off
@@ -59,7 +59,7 @@
         self.reducer = Reducer(c.scheduler_config, c.seed, now)
         self.pool = Pool(c.limits.workers, c.limits.idle_worker, c.limits.ring)  # to workers
         self.state = State.STARTING
-        self.counts = figures.Counts(c.names.categories.values())
+        self.counts = metrics.Counts(c.names.categories.values())
         self.operators = Operators(c.operator, c.limits, self) if c.operator else None
         self.wake_at, self.timer_changed = now, Event()
         self.pulse = StallDetector(now)
@@ -382,7 +382,7 @@
         """The metrics, as text."""
         counts = {} if self.agent is None else self.agent.counts
         fleet = {f"fleet_{name}": value for name, value in counts.items()}
-        return figures.render(
+        return metrics.render(
             self.names.categories,
             self.counts,
             {"open_requests": self.open_items(), **self.reducer.gauges(), **fleet},
--- a/opalwick/program/scheduler.py
+++ b/opalwick/program/scheduler.py
@@ -13,7 +13,7 @@
 from opalwick.program.configuration import Configuration
 from opalwick.program.core import Core, State
 from opalwick.protocol.clients import Conversation, WorkItemCall, retry_after
-from opalwick.protocol.door import Listener
+from opalwick.protocol.listener import Listener
 from opalwick.protocol.workers import WorkerRequest
 from opalwick.routing.reducer import Answer, Close, Final, Send
 
--- a/opalwick/protocol/clients.py
+++ b/opalwick/protocol/clients.py
@@ -9,8 +9,8 @@
 from gevent.event import Event
 
 from opalwick.interface import Category, Customer, Effect
-from opalwick.protocol import conversation
-from opalwick.protocol.figures import Counts
+from opalwick.protocol import server_connection
+from opalwick.protocol.metrics import Counts
 from opalwick.protocol.http import Malformed, Message
 from opalwick.protocol.settings import NameMaps
 from opalwick.transport.connection import Connection
@@ -23,7 +23,7 @@
 )  # far longer than any id; printable ASCII, as workers close the connection on other characters
 
 
-class WorkItemCall(conversation.Call):
+class WorkItemCall(server_connection.Call):
     """A client's request that may be a work item."""
 
     __slots__ = ("accepted", "redispatched", "category")
@@ -39,7 +39,7 @@
         return self.message.headers[b"x-correlation-id"]
 
 
-class WorkItemHandler(conversation.ServerState, Protocol):
+class WorkItemHandler(server_connection.ServerState, Protocol):
     """What a client's connection requires of the scheduler. No method blocks."""
 
     counts: Counts
@@ -131,7 +131,7 @@
     )
 
 
-class Conversation(conversation.Conversation):
+class Conversation(server_connection.Conversation):
     """A client's connection that carries work items and readiness checks."""
 
     call_type = WorkItemCall
--- a/opalwick/protocol/door.py
+++ b/opalwick/protocol/listener.py
@@ -11,11 +11,11 @@
 from gevent import socket
 from gevent.event import Event
 
-from opalwick.protocol.conversation import Conversation
+from opalwick.protocol.server_connection import Conversation
 from opalwick.transport.connection import Connection, readable
 from opalwick.transport.limits import Limits
 from opalwick.transport.pool import Pool
-from opalwick.transport.pulse import StallDetector
+from opalwick.transport.stalls import StallDetector
 
 
 class Listener:
--- a/opalwick/protocol/conversation.py
+++ b/opalwick/protocol/server_connection.py
@@ -17,7 +17,7 @@
 from opalwick.protocol.http import Malformed, Message, Parser, response
 from opalwick.transport.connection import Connection
 from opalwick.transport.limits import Limits
-from opalwick.transport.pulse import StallDetector
+from opalwick.transport.stalls import StallDetector
 
 
 class Call:
--- a/opalwick/protocol/workers.py
+++ b/opalwick/protocol/workers.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from opalwick.interface import Outcome
-from opalwick.protocol import errand
-from opalwick.protocol.figures import Counts
+from opalwick.protocol import outgoing
+from opalwick.protocol.metrics import Counts
 from opalwick.protocol.http import Malformed, Message, is_client_error
 from opalwick.transport.connection import Address, Connection
 from opalwick.transport.limits import Limits
@@ -52,7 +52,7 @@
     return b"\r\n".join(lines) + b"\r\n\r\n" + message.body
 
 
-class WorkerResponseParser(errand.ResponseParser):
+class WorkerResponseParser(outgoing.ResponseParser):
     """Parses a worker's streamed response: one JSON object per line."""
 
     def __init__(self, limits: Limits) -> None:
@@ -78,7 +78,7 @@
 End = tuple[Outcome, tuple[float, ...], bytes]  # with the load report and the result of the response
 
 
-class WorkerRequest(errand.OutgoingRequest):
+class WorkerRequest(outgoing.OutgoingRequest):
     """One attempt in progress; `emit` is called with the reducer's inputs about it."""
 
     __slots__ = ("id", "names", "counts", "emit", "rejected_status")
--- a/opalwick/routing/reducer.py
+++ b/opalwick/routing/reducer.py
@@ -30,8 +30,8 @@
     WorkItem,
     Fail,
 )
-from opalwick.protocol.words import decode, encode, fold_id
-from opalwick.routing import learned
+from opalwick.protocol.peer_messages import decode, encode, fold_id
+from opalwick.routing import statistics
 
 
 class Final(Enum):
@@ -157,7 +157,7 @@
 
     def taught(self, statistics: Any) -> None:
         """The statistics of the preceding process; to be applied after its worker list."""
-        learned.imported(self.balancer, self.workers, statistics)
+        statistics.imported(self.balancer, self.workers, statistics)
 
     def moved(self) -> None:
         """Service discovery has a new address."""
@@ -291,7 +291,7 @@
 
     def learned(self) -> dict[str, Any]:
         """Statistics, in the form that `taught` takes."""
-        return learned.exported(self.balancer, self.workers)
+        return statistics.exported(self.balancer, self.workers)
 
     # ---- figures
 
--- a/opalwick/checked.py
+++ b/opalwick/settings_file.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from opalwick.lines import line_of as line_of
+from opalwick.toml_lines import line_of as line_of
 
 _FORM = re.compile(r"\s*([0-9]+(?:[.][0-9]+)?)\s*(us|ms|s|min|h)\s*")
 # divisors, as division gives the exact same float when a written time is read again
--- a/opalwick/transport/connection.py
+++ b/opalwick/transport/connection.py
@@ -11,8 +11,8 @@
 import gevent
 from gevent import socket
 
-from opalwick.transport.pulse import StallDetector, kernel_age
-from opalwick.transport.ring import RingBuffer
+from opalwick.transport.stalls import StallDetector, kernel_age
+from opalwick.transport.ring_buffer import RingBuffer
 
 Address = tuple[str, int]
 # replaces the buffers of a closed connection, so that references to it do not keep them until a full
--- a/opalwick/transport/pool.py
+++ b/opalwick/transport/pool.py
@@ -7,7 +7,7 @@
 from collections import Counter
 
 from opalwick.transport.connection import Address, Connection, new_connection
-from opalwick.transport.idle import IdleTime
+from opalwick.transport.idle_time import IdleTime
 
 
 class PoolExhausted(Exception):
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -41,13 +41,13 @@
     WorkItem,
 )
 from opalwick.protocol.clients import Conversation, WorkItemCall
-from opalwick.protocol.figures import Counts
+from opalwick.protocol.metrics import Counts
 from opalwick.protocol.settings import flatten, read_name_maps, read_scheduler_config
 from opalwick.routing.reducer import Answer, Reducer
 from opalwick.routing.reducer import Effect as ReducerEffect
 from opalwick.transport.connection import Connection
 from opalwick.transport.limits import Limits, compute_limits
-from opalwick.transport.pulse import StallDetector
+from opalwick.transport.stalls import StallDetector
 
 TRACES = Path(__file__).parent / "traces"
 START = 1000.0
--- a/tests/post_cluster.py
+++ b/tests/post_cluster.py
@@ -10,11 +10,11 @@
 from types import SimpleNamespace
 from typing import Any
 
-from opalwick.post.counter.item import Start
-from opalwick.post.counter.role import Gateway
-from opalwick.post.depot.role import StoreRole
+from opalwick.post.delivery_outcome import DeliveryOutcome
+from opalwick.post.gateway.item import Start
+from opalwick.post.gateway.role import Gateway
 from opalwick.post.settings import Settings, parse
-from opalwick.post.verdict import DeliveryOutcome
+from opalwick.post.store.role import StoreRole
 from opalwick.post.wire_pb2 import Conf, Envelope, Letter, News, Node, Route, Service, Worker
 from opalwick.protocol.http import Message
 
--- a/tests/post_helper.py
+++ b/tests/post_helper.py
@@ -13,8 +13,8 @@
 from random import Random
 from typing import Any
 
-from opalwick.post.office import numbers
-from opalwick.post.office.views import Stored, Views
+from opalwick.post.controller import conf_history
+from opalwick.post.controller.views import Stored, Views
 from opalwick.post.wire_pb2 import Conf, Envelope, Letter
 
 
@@ -234,7 +234,7 @@
         if me in self.views:
             newest = Conf.FromString(self.views[me].newest())
         if gen > newest.gen:
-            numbers.follow(conf, newest)
+            conf_history.follow(conf, newest)
         self.apply_input(me, self.lives[me], "put", len(self.calls) - 1, conf.SerializeToString())
 
     def do_read(self, me: str) -> None:
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -14,8 +14,8 @@
 from typer.testing import CliRunner
 
 from opalwick.commands import app
-from opalwick.fleet.members import Event, Members, MembershipConfig, Send, Wake
-from opalwick.fleet.words import MAX_UPDATES, Message, MessageType, State, Update, decode, encode
+from opalwick.fleet.membership import Event, Members, MembershipConfig, Send, Wake
+from opalwick.fleet.messages import MAX_UPDATES, Message, MessageType, State, Update, decode, encode
 from opalwick.lab.fleet.day import FleetDay, parse
 from opalwick.lab.fleet.judge import judge
 from opalwick.lab.fleet.run import failures, reported
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -26,8 +26,8 @@
 from opalwick.program.handover import socket_path
 from opalwick.program.scheduler import Scheduler
 from opalwick.protocol.handover import MAX_MESSAGE, InvalidMessage, Reader, encode, read_pairs
-from opalwick.protocol.words import decode
-from opalwick.routing import learned
+from opalwick.protocol.peer_messages import decode
+from opalwick.routing import statistics
 
 CONFLICT = "HTTP/1.1 409 Conflict | Connection: close | a work item with this id is open"
 NO = "HTTP/1.1 503 Service Unavailable"
@@ -327,7 +327,7 @@
         {"workers": {"A": 7}},
         {"workers": []},
     ):
-        learned.imported(here.reducer.balancer, here.reducer.workers, odd)
+        statistics.imported(here.reducer.balancer, here.reducer.workers, odd)
         assert json.loads(json.dumps(here.reducer.learned())) == kept
 
 
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -15,7 +15,6 @@
 from fleet_members import PLANTED, SOUND
 from typer.testing import CliRunner
 
-from opalwick.checked import Seconds
 from opalwick.commands import app
 from opalwick.lab.day import BadDay, write
 from opalwick.lab.fleet.agents import AgentProcess
@@ -27,6 +26,7 @@
 from opalwick.lab.fleet.virtual import play
 from opalwick.lab.ledger import pack
 from opalwick.lab.sockets.stage import NotReady
+from opalwick.settings_file import Seconds
 
 FLEET = """
 title = "stand-ins"
--- a/tests/test_lab_post.py
+++ b/tests/test_lab_post.py
@@ -23,7 +23,7 @@
 from opalwick.lab.post.run import history, hunt, play, run, shrink
 from opalwick.lab.post.strangers import KINDS as STRANGE
 from opalwick.lab.post.world import World
-from opalwick.post.depot.keeping import MessageStore
+from opalwick.post.store.message_store import MessageStore
 from opalwick.post.wire_pb2 import End
 
 SHORT = 'title = "short"\nlength = "5 s"\nafter = "6 s"\n'
--- a/tests/test_lab_post_home.py
+++ b/tests/test_lab_post_home.py
@@ -20,11 +20,11 @@
 from opalwick.lab.post.home_world import HomeWorld
 from opalwick.lab.post.run import history
 from opalwick.lab.post.workers import request
-from opalwick.post.counter.intake import Intake
-from opalwick.post.counter.rounds import Rounds
-from opalwick.post.depot.keeping import MessageStore
-from opalwick.post.depot.moving import Rebalancing
-from opalwick.post.home.guard import Guard
+from opalwick.post.gateway.intake import Intake
+from opalwick.post.gateway.scheduling import Rounds
+from opalwick.post.residency.guard import Guard
+from opalwick.post.store.message_store import MessageStore
+from opalwick.post.store.rebalancing import Rebalancing
 
 SMALL = {
     "title": "small",
--- a/tests/test_lab_post_mutants.py
+++ b/tests/test_lab_post_mutants.py
@@ -11,22 +11,22 @@
 from opalwick.lab.post.day import parse
 from opalwick.lab.post.run import run
 from opalwick.post import names
-from opalwick.post.counter.ceilings import Ceilings, HeldLease
-from opalwick.post.counter.lookup import Lookups
-from opalwick.post.counter.role import Gateway
-from opalwick.post.counter.rounds import Rounds
-from opalwick.post.depot import keeping
-from opalwick.post.depot.keeping import MessageStore
-from opalwick.post.depot.moving import Rebalancing
-from opalwick.post.depot.records import Send, Write
-from opalwick.post.depot.role import StoreRole
+from opalwick.post.controller import conf_history
+from opalwick.post.controller.notices import Notices
+from opalwick.post.controller.registry import Registry
+from opalwick.post.controller.role import Controller
+from opalwick.post.controller.views import Views
 from opalwick.post.directory import Directory
+from opalwick.post.gateway.lookup import Lookups
+from opalwick.post.gateway.rate_limits import Ceilings, HeldLease
+from opalwick.post.gateway.role import Gateway
+from opalwick.post.gateway.scheduling import Rounds
 from opalwick.post.message_state import FOUND, MessageState
-from opalwick.post.office import numbers
-from opalwick.post.office.notices import Notices
-from opalwick.post.office.registry import Registry
-from opalwick.post.office.role import Controller
-from opalwick.post.office.views import Views
+from opalwick.post.store import message_store
+from opalwick.post.store.message_store import MessageStore
+from opalwick.post.store.rebalancing import Rebalancing
+from opalwick.post.store.records import Send, Write
+from opalwick.post.store.role import StoreRole
 from opalwick.post.wire_pb2 import Conf, News, Told, Written
 
 Patch = Callable[[pytest.MonkeyPatch], None]
@@ -225,7 +225,7 @@
         told: Told = self.store.state(word.mid)
         told.call = word.call
         if word.body and told.state == MessageState.PENDING:
-            self.queue.append(keeping.Fetch(word.mid, ("told", link, word.call)))
+            self.queue.append(message_store.Fetch(word.mid, ("told", link, word.call)))
         else:
             link.send("told", told)
 
@@ -265,12 +265,12 @@
 
 @mutant('length = "10 s"\n' + ORDERS, "NUMBER")
 def another_content_is_confirmed(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(numbers, "match", lambda newest, given: numbers.Match.SAME)
+    patch.setattr(numbers, "match", lambda newest, given: conf_history.Match.SAME)
 
 
 @mutant('length = "10 s"\n' + ORDERS, "NUMBER")
 def a_repeated_order_is_refused(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(numbers, "match", lambda newest, given: numbers.Match.OTHER)
+    patch.setattr(numbers, "match", lambda newest, given: conf_history.Match.OTHER)
 
 
 @mutant('length = "12 s"\n' + ORDERS + fault("alone", 2.0, 8.0, of=["office-0"]), "STALE")
@@ -311,7 +311,7 @@
 
     def by_number(keeping: MessageStore, mid: str) -> Told:
         pieces = mid.split(".")[:3]
-        known = [one for one in [*keeping.entries, *keeping.ends] if one.split(".")[:3] == pieces]
+        known = [one for one in [*message_store.entries, *message_store.ends] if one.split(".")[:3] == pieces]
         return state(keeping, known[0] if known else mid)
 
     patch.setattr(MessageStore, "state", by_number)
--- a/tests/test_lab_post_window.py
+++ b/tests/test_lab_post_window.py
@@ -11,8 +11,8 @@
 from opalwick.lab.post.run import history, play
 from opalwick.lab.post.window import on_time_shares
 from opalwick.lab.post.world import World
-from opalwick.post.counter.rounds import Rounds
-from opalwick.post.depot.moving import Rebalancing
+from opalwick.post.gateway.scheduling import Rounds
+from opalwick.post.store.rebalancing import Rebalancing
 
 DAY = """title = "small"
 length = "{length} s"
--- a/tests/test_lab_sockets.py
+++ b/tests/test_lab_sockets.py
@@ -10,13 +10,13 @@
 from gevent import socket
 from lab_days import day
 
-from opalwick.checked import Seconds
 from opalwick.lab.experiment import judged
 from opalwick.lab.sockets.clock import RealAgenda
 from opalwick.lab.sockets.ports import HOST, free_port
 from opalwick.lab.sockets.relays import DatagramRelay, LinkState, TcpRelay
 from opalwick.lab.sockets.stage import play
 from opalwick.lab.sockets.wire import listener
+from opalwick.settings_file import Seconds
 
 
 class Echo:
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -13,7 +13,7 @@
 
 from opalwick.interface import Category, Effect, Group, ListForm, Outcome, Phase
 from opalwick.program.configuration import BadConfiguration, read
-from opalwick.protocol.figures import Counts, render
+from opalwick.protocol.metrics import Counts, render
 
 BUSY = chunked('{"id":"c1","state":"started"}', last=False)[:-1]  # started, never done
 
--- a/tests/test_post_ceilings.py
+++ b/tests/test_post_ceilings.py
@@ -7,8 +7,8 @@
 import pytest
 from post_helper import Network
 
-from opalwick.post.counter.ceilings import MAX_HOLDERS, Ceilings
-from opalwick.post.office.duties import LeaseTable
+from opalwick.post.controller.leases import LeaseTable
+from opalwick.post.gateway.rate_limits import MAX_HOLDERS, Ceilings
 from opalwick.post.wire_pb2 import Leased, Permit, Permitted
 
 
--- a/tests/test_post_commands.py
+++ b/tests/test_post_commands.py
@@ -19,10 +19,10 @@
 from opalwick.post import commands, plan, replay
 from opalwick.post.__main__ import split_options
 from opalwick.post.commands import combined_status, differences, run, send_request
-from opalwick.post.counter.intake import Intake
-from opalwick.post.depot.disk import Disk
+from opalwick.post.gateway.intake import Intake
 from opalwick.post.operators import MetricsEndpoint, OperatorServer
 from opalwick.post.settings import InvalidFile
+from opalwick.post.store.disk import Disk
 from opalwick.post.wire_pb2 import Conf, End, Keep, Letter, News, Route, Service, Worker
 from opalwick.protocol.http import Message
 
@@ -310,7 +310,7 @@
     ]
     assert answers(store, "/dead/b", read_disk)[1]["cause"] == "no route takes it any more"
     assert answers(store, "/dead/b", read_disk)[1]["body"] == "bw=="
-    monkeypatch.setattr("opalwick.post.depot.status.PAGE", 2)
+    monkeypatch.setattr("opalwick.post.store.status.PAGE", 2)
     page = answers(store, "/dead", read_disk)[1]
     assert ([one["id"] for one in page["dead"]], page["last"], page["more"]) == (["a", "b"], "b", True)
     page = answers(store, "/dead?after=b", read_disk)[1]
--- a/tests/test_post_configuration.py
+++ b/tests/test_post_configuration.py
@@ -9,9 +9,9 @@
 import pytest
 import yaml
 
-from opalwick.post import beats, configuration
-from opalwick.post.beats import parse_heartbeat
+from opalwick.post import configuration, worker_heartbeats
 from opalwick.post.configuration import check
+from opalwick.post.worker_heartbeats import parse_heartbeat
 
 DESCRIPTION = yaml.safe_load((Path(__file__).parent.parent / "openapi" / "post.yaml").read_text())
 SCHEMAS = DESCRIPTION["components"]["schemas"]
@@ -37,10 +37,12 @@
 
 
 def test_the_examples_are_valid():
-    assert {*beats.REQUIRED, *beats.OPTIONAL} == set(SCHEMAS["Beat"]["properties"])
-    assert list(beats.REQUIRED) == SCHEMAS["Beat"]["required"]
+    assert {*worker_heartbeats.REQUIRED, *worker_heartbeats.OPTIONAL} == set(SCHEMAS["Beat"]["properties"])
+    assert list(worker_heartbeats.REQUIRED) == SCHEMAS["Beat"]["required"]
     parsed = parse_heartbeat("i-7f", example("/workers/{id}")).unwrap()
-    assert parsed == beats.Heartbeat("i-7f", "huvo11a", "10.128.0.9", 8080, "maipu", "v1", 2, False, 0.0, 4)
+    assert parsed == worker_heartbeats.Heartbeat(
+        "i-7f", "huvo11a", "10.128.0.9", 8080, "maipu", "v1", 2, False, 0.0, 4
+    )
     assert check(example("/conf")).unwrap().routing[0].limit_ms == 1500.0
 
 
--- a/tests/test_post_disk.py
+++ b/tests/test_post_disk.py
@@ -13,14 +13,14 @@
 import pytest
 from test_post_roles import SETTINGS
 
-from opalwick.post.depot.agent import open_disk
-from opalwick.post.depot.disk import Disk
-from opalwick.post.depot.records import Fetch
-from opalwick.post.depot.role import StoreRole
-from opalwick.post.files import CORRUPT
-from opalwick.post.office.disk import Disk as OfficeDisk
-from opalwick.post.office.views import Stored
+from opalwick.post.controller.disk import Disk as OfficeDisk
+from opalwick.post.controller.views import Stored
+from opalwick.post.database_files import CORRUPT
 from opalwick.post.settings import parse
+from opalwick.post.store.disk import Disk
+from opalwick.post.store.process import open_disk
+from opalwick.post.store.records import Fetch
+from opalwick.post.store.role import StoreRole
 from opalwick.post.wire_pb2 import Keep, Letter
 
 KEEPS = [("keep", (f"m{n}", b"octets %d" % n, 10.0, 90.0, 0, 0)) for n in (1, 2, 3)]
--- a/tests/test_post_events.py
+++ b/tests/test_post_events.py
@@ -11,10 +11,11 @@
 import pytest
 
 from opalwick.post import events
-from opalwick.post.counter.role import Gateway
-from opalwick.post.depot.role import StoreRole
-from opalwick.post.office.role import Controller
+from opalwick.post.controller.role import Controller
+from opalwick.post.gateway.role import Gateway
+from opalwick.post.operators import PACKAGES
 from opalwick.post.settings import parse
+from opalwick.post.store.role import StoreRole
 
 HERE = Path(__file__).parent.parent
 PAGES = HERE / "docs" / "operate"
@@ -73,7 +74,7 @@
 def test_the_figures_are_in_the_catalogue(role: str) -> None:
     documented = {name.strip("`"): kind for _, name, kind, _ in rows("events.md", role)}
     assert documented.keys() == ROLES[role]().figures().keys()
-    now = import_module(f"opalwick.post.{role}.status").NOW
+    now = import_module(f"opalwick.post.{PACKAGES[role]}.status").NOW
     assert {name for name, kind in documented.items() if kind == "now"} - {"state"} == now
 
 
--- a/tests/test_post_home.py
+++ b/tests/test_post_home.py
@@ -17,22 +17,22 @@
 from returns.result import Success
 from test_post_events import SETTINGS
 
-from opalwick.post.counter.delivery import Delivery, Identification
-from opalwick.post.counter.item import Item, Start
-from opalwick.post.counter.lookup import Lookup
-from opalwick.post.counter.role import Gateway
-from opalwick.post.depot.disk import Disk
-from opalwick.post.depot.role import StoreRole
+from opalwick.post.delivery_outcome import DeliveryOutcome
 from opalwick.post.directory import Directory
-from opalwick.post.home import audit, commands
-from opalwick.post.home.guard import Guard
-from opalwick.post.home.policy import Policy, in_force
-from opalwick.post.home.reading import check, too_few_stores
-from opalwick.post.home.shelf import ResidencyQueue
-from opalwick.post.home.short import MAX_RETRY_AFTER, WaitEstimate
+from opalwick.post.gateway.delivery import Delivery, Identification
+from opalwick.post.gateway.item import Item, Start
+from opalwick.post.gateway.lookup import Lookup
+from opalwick.post.gateway.role import Gateway
 from opalwick.post.names import ParsedName
+from opalwick.post.residency import audit, commands
+from opalwick.post.residency.guard import Guard
+from opalwick.post.residency.policy import Policy, in_force
+from opalwick.post.residency.policy_file import check, too_few_stores
+from opalwick.post.residency.queue import ResidencyQueue
+from opalwick.post.residency.wait_estimate import MAX_RETRY_AFTER, WaitEstimate
 from opalwick.post.settings import parse
-from opalwick.post.verdict import DeliveryOutcome
+from opalwick.post.store.disk import Disk
+from opalwick.post.store.role import StoreRole
 from opalwick.post.wire_pb2 import Ask, Conf, Hello, Keep, Letter, News, Node, Route, Service, Told, Worker
 from opalwick.protocol.http import Message
 from opalwick.transport.limits import compute_limits
--- a/tests/test_post_intake.py
+++ b/tests/test_post_intake.py
@@ -7,7 +7,7 @@
 import pytest
 from post_helper import Player
 
-from opalwick.post.counter.intake import GIVE_UP, SLOW_DISK_DELAY, Intake
+from opalwick.post.gateway.intake import GIVE_UP, SLOW_DISK_DELAY, Intake
 from opalwick.post.wire_pb2 import Letter
 
 ZONES = {"d1": "n", "d2": "s", "d3": "w", "d4": "n", "d5": "s"}
--- a/tests/test_post_keeping.py
+++ b/tests/test_post_keeping.py
@@ -7,8 +7,8 @@
 import pytest
 from post_helper import Player, client_message, peer_message
 
-from opalwick.post.depot.keeping import LAPSE, STALL, MessageStore
-from opalwick.post.depot.records import Fetch, Write
+from opalwick.post.store.message_store import LAPSE, STALL, MessageStore
+from opalwick.post.store.records import Fetch, Write
 from opalwick.post.wire_pb2 import Hand, Keep, Letter, Pulse
 
 STATES = ["unknown", "pending", "complete", "dead", "unsure"]
--- a/tests/test_post_known.py
+++ b/tests/test_post_known.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from opalwick.post.counter.known import STORES_PER_OTHER_ZONE, STORES_PER_REPLICA, linked_stores
-from opalwick.post.counter.role import TEMPORARY_LINK_IDLE, Gateway
+from opalwick.post.gateway.linked_stores import STORES_PER_OTHER_ZONE, STORES_PER_REPLICA, linked_stores
+from opalwick.post.gateway.role import TEMPORARY_LINK_IDLE, Gateway
 from opalwick.post.names import complete_name
 from opalwick.post.settings import parse
 from opalwick.post.wire_pb2 import Assign, Conf, Hello, Letter, News, Node, Pulse, Route, Service, Told
--- a/tests/test_post_maintenance.py
+++ b/tests/test_post_maintenance.py
@@ -14,8 +14,8 @@
 
 from opalwick.post.commands import run
 from opalwick.post.maintenance import commands as window_commands
-from opalwick.post.maintenance import conductor as coordinator_module
-from opalwick.post.maintenance.conductor import Coordinator, Refused, returned
+from opalwick.post.maintenance import coordinator as coordinator_module
+from opalwick.post.maintenance.coordinator import Coordinator, Refused, returned
 from opalwick.post.maintenance.fleet import Fleet, LiveWorker, Machine
 from opalwick.post.maintenance.needs import unmet_needs
 from opalwick.post.maintenance.planner import MAX_UNFAIRNESS, NoPlan, Plan, Planner, plan
--- a/tests/test_post_moving.py
+++ b/tests/test_post_moving.py
@@ -5,8 +5,8 @@
 import pytest
 from post_helper import Network
 
-from opalwick.post.depot.keeping import MessageStore
-from opalwick.post.depot.records import Write
+from opalwick.post.store.message_store import MessageStore
+from opalwick.post.store.records import Write
 from opalwick.post.wire_pb2 import End, Keep, Letter, Pulse
 
 ZONES = {"d1": "a", "d2": "b", "d3": "c", "d4": "a"}
--- a/tests/test_post_numbers.py
+++ b/tests/test_post_numbers.py
@@ -8,8 +8,8 @@
 import pytest
 from post_helper import Controllers
 
+from opalwick.post.controller.conf_history import HISTORY, Match, digest, follow, match
 from opalwick.post.directory import MAX_GONE_NODES, MAX_GONE_WORKERS, Directory
-from opalwick.post.office.numbers import HISTORY, Match, digest, follow, match
 from opalwick.post.wire_pb2 import Conf, News, Node, Worker
 
 
--- a/tests/test_post_roles.py
+++ b/tests/test_post_roles.py
@@ -6,12 +6,12 @@
 
 import pytest
 
-from opalwick.post.beats import Heartbeat
-from opalwick.post.counter.role import Gateway
-from opalwick.post.depot.role import StoreRole
-from opalwick.post.office.role import Controller
+from opalwick.post.controller.role import Controller
+from opalwick.post.gateway.role import Gateway
 from opalwick.post.settings import parse
+from opalwick.post.store.role import StoreRole
 from opalwick.post.wire_pb2 import Ask, Checked, Conf, End, Hello, Keep, Letter, Pulse
+from opalwick.post.worker_heartbeats import Heartbeat
 
 SETTINGS = """node=d1
 role=depot
--- a/tests/test_post_rounds.py
+++ b/tests/test_post_rounds.py
@@ -7,11 +7,11 @@
 import pytest
 from post_helper import Player, client_message
 
-from opalwick.post.counter.item import Item, Start, Stop
-from opalwick.post.counter.role import Gateway
-from opalwick.post.counter.rounds import Rounds
+from opalwick.post.delivery_outcome import DeliveryOutcome
+from opalwick.post.gateway.item import Item, Start, Stop
+from opalwick.post.gateway.role import Gateway
+from opalwick.post.gateway.scheduling import Rounds
 from opalwick.post.settings import parse
-from opalwick.post.verdict import DeliveryOutcome
 from opalwick.post.wire_pb2 import Conf, End, Letter, Route, Service, Worker
 from opalwick.routing.reducer import Answer, Final
 
--- a/tests/test_post_safety.py
+++ b/tests/test_post_safety.py
@@ -11,12 +11,12 @@
 import pytest
 from test_post_roles import Spy
 
-from opalwick.post.counter.agent import GatewayShell
-from opalwick.post.counter.role import Gateway
-from opalwick.post.depot.disk import Disk
-from opalwick.post.depot.role import StoreRole
-from opalwick.post.office.role import Controller
+from opalwick.post.controller.role import Controller
+from opalwick.post.gateway.process import GatewayShell
+from opalwick.post.gateway.role import Gateway
 from opalwick.post.settings import parse
+from opalwick.post.store.disk import Disk
+from opalwick.post.store.role import StoreRole
 from opalwick.post.wire_pb2 import (
     Conf,
     Confirmed,
@@ -374,7 +374,7 @@
         if steps.count("looked") == 1:
             conversations["a client"] = None  # read by now
 
-    agent = "opalwick.post.counter.agent"
+    agent = "opalwick.post.gateway.process"
     monkeypatch.setattr(f"{agent}.Listener", Listener)
     monkeypatch.setattr(f"{agent}.listen", lambda *_: None)
     monkeypatch.setattr(f"{agent}.gevent.sleep", sleep)
--- a/tests/test_post_shares.py
+++ b/tests/test_post_shares.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from opalwick.post.counter.desks import WorkerRow
-from opalwick.post.counter.shares import choose_workers, connection_budget
+from opalwick.post.gateway.connection_budget import choose_workers, connection_budget
+from opalwick.post.gateway.dispatchers import WorkerRow
 
 ZONES = "nesw"
 
--- a/tests/test_post_tables.py
+++ b/tests/test_post_tables.py
@@ -9,11 +9,13 @@
 import pytest
 from post_helper import fill, show
 
-from opalwick.post.beats import Heartbeat
-from opalwick.post.counter.delivery import Delivery, request_bytes
-from opalwick.post.counter.desks import Load, parse_load
-from opalwick.post.counter.routes import Routes
+from opalwick.post.controller.leases import MAX_LEASE, LeaseTable
+from opalwick.post.controller.registry import FORGET_AFTER, MISSED_HEARTBEATS, Registry
+from opalwick.post.delivery_outcome import DeliveryOutcome, outcome_of_status
 from opalwick.post.directory import Directory, is_empty
+from opalwick.post.gateway.delivery import Delivery, request_bytes
+from opalwick.post.gateway.dispatchers import Load, parse_load
+from opalwick.post.gateway.routes import Routes
 from opalwick.post.names import (
     NameGenerator,
     ParsedName,
@@ -25,10 +27,8 @@
     parse_name,
     process_id,
 )
-from opalwick.post.office.duties import MAX_LEASE, LeaseTable
-from opalwick.post.office.registry import FORGET_AFTER, MISSED_HEARTBEATS, Registry
-from opalwick.post.verdict import DeliveryOutcome, outcome_of_status
 from opalwick.post.wire_pb2 import Conf, Field, Letter, News, Node, Route, Worker
+from opalwick.post.worker_heartbeats import Heartbeat
 
 
 @pytest.mark.parametrize(
--- a/tests/test_post_twice.py
+++ b/tests/test_post_twice.py
@@ -10,8 +10,8 @@
 import pytest
 from post_cluster import Cluster
 
-from opalwick.post.counter.agreement import Agreement
-from opalwick.post.depot.moving import Transfer
+from opalwick.post.gateway.ownership import Agreement
+from opalwick.post.store.rebalancing import Transfer
 from opalwick.post.wire_pb2 import Hello, Keep, Letter, Mine
 
 
--- a/tests/test_processor_grpc.py
+++ b/tests/test_processor_grpc.py
@@ -451,8 +451,8 @@
     ],
 )
 def test_an_invalid_file_is_reported_with_line_and_key(text: str, told: str, tmp_path: Path) -> None:
-    from opalwick.checked import InvalidFile
     from opalwick.processor.configuration import read
+    from opalwick.settings_file import InvalidFile
 
     (tmp_path / "scheduler.json").write_text(json.dumps({"discovery": "127.0.0.1:1", "settings": SETTINGS}))
     (tmp_path / "processor.toml").write_text('scheduler = "scheduler.json"\nlisten = "127.0.0.1:0"\n' + text)
@@ -465,7 +465,7 @@
     import tempfile
 
     from opalwick.processor.configuration import Fields, File, Rule, Settings
-    from opalwick.processor.messages import Refused, work_item
+    from opalwick.processor.ext_proc import Refused, work_item
     from opalwick.program.configuration import read as read_scheduler
 
     with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -18,7 +18,7 @@
 
 from opalwick.program.configuration import BadConfiguration, Configuration, read
 from opalwick.program.scheduler import Scheduler
-from opalwick.protocol.door import Listener
+from opalwick.protocol.listener import Listener
 
 READY = b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n"
 DONE = chunked('{"id":"c1","state":"started"}', '{"id":"c1","state":"done","result":"7"}')
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -27,7 +27,7 @@
 from opalwick.routing.reducer import Answer, Close, Final, Send
 from opalwick.transport import connection
 from opalwick.transport.connection import Connection
-from opalwick.transport.pulse import StallDetector
+from opalwick.transport.stalls import StallDetector
 
 
 def stall(seconds: float) -> None:
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -14,7 +14,7 @@
 from opalwick.protocol.workers import WorkerResponseParser
 from opalwick.transport.connection import Connection
 from opalwick.transport.pool import Pool, PoolExhausted
-from opalwick.transport.ring import RingBuffer
+from opalwick.transport.ring_buffer import RingBuffer
 
 
 def test_a_ring_buffer_wraps_round_and_accepts_no_more_than_fits() -> None:
--- a/tests/test_verify.py
+++ b/tests/test_verify.py
@@ -17,7 +17,7 @@
 from opalwick.lab.verify.mutants import MUTANTS, search_mutant
 from opalwick.lab.verify.parts import PARTS, SERVING, STORED, Fence, Takeover, fence, takeover
 from opalwick.lab.verify.rows import InMemoryDisk
-from opalwick.post.depot.disk import Disk
+from opalwick.post.store.disk import Disk
 
 FEW = 150  # state limit for a case: all parts together take a second or two
 
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -8,8 +8,8 @@
 import pytest
 from helper import StubServer, chunked, limits
 
-from opalwick.protocol.figures import Counts
 from opalwick.protocol.http import Message
+from opalwick.protocol.metrics import Counts
 from opalwick.protocol.workers import WorkerRequest
 from opalwick.transport.connection import Connection
 from opalwick.transport.pool import Pool
