--- a/opalwick/balance.py
+++ b/opalwick/balance.py
@@ -14,7 +14,6 @@
   6 affinity     items with a subject go to workers ranked by rendezvous hashing, alike at every scheduler
 In the code a is an attempt, c a category, w a worker, z a zone.
 """
-
 from __future__ import annotations
 
 import heapq
@@ -25,58 +24,32 @@
 from itertools import accumulate
 
 from opalwick.random_source import RandomSource
-from opalwick.interface import (
-    NEVER_RAN,
-    Attempt,
-    Block,
-    Cancel,
-    Customer,
-    Decision,
-    Defer,
-    Effect,
-    Fail,
-    Group,
-    Kind,
-    ListForm,
-    LoadMetric,
-    LoadReport,
-    LoadRow,
-    LoadTotals,
-    Outcome,
-    Phase,
-    Probe,
-    ReportSource,
-    SchedulerConfig,
-    Send,
-    Subscribe,
-    Wake,
-    Worker,
-    WorkItem,
-    Zone,
-)
+from opalwick.interface import (NEVER_RAN, Attempt, Block, Cancel, Customer, Decision, Defer, Effect, Fail,
+                                Group, Kind, ListForm, LoadMetric, LoadReport, LoadRow, LoadTotals, Outcome,
+                                Phase, Probe, ReportSource, SchedulerConfig, Send, Subscribe, Wake, Worker,
+                                WorkItem, Zone)
 from opalwick.load_aggregation import LoadAggregator, older
 
 
 class Balancer:
     """Decides where a scheduler's work items go; the same seed and inputs give the same decisions."""
-
     def __init__(self, config: SchedulerConfig, seed: int, now: float) -> None:
         self.config, self.now, self.random = config, now, RandomSource(seed)
         self.all_workers: dict[Worker, None] = {}
-        self.workers: list[Worker] = []  # of those, the usable ones
+        self.workers: list[Worker] = []         # of those, the usable ones
         self.pending: deque[WorkItem] = deque()  # to be sent or answered
-        self.freed: deque[Attempt] = deque()  # ended attempts whose worker may take a hedged one
+        self.freed: deque[Attempt] = deque()    # ended attempts whose worker may take a hedged one
         self.to_cancel: deque[Attempt] = deque()
         self.checks: list[tuple[float, int, WorkItem]] = []
-        self.serial, self.wake_at = 0, -1.0  # wake_at: the last Wake requested
+        self.serial, self.wake_at = 0, -1.0     # wake_at: the last Wake requested
         self.first_attempts, self.hedges, self.arrival_rate, self.accepted_at = 0, 0, 0.0, now
         self.kinds: dict[int, Kind] = {}
-        self.assumed_slots = 4.0  # of a worker, until its kind has reported
+        self.assumed_slots = 4.0                # of a worker, until its kind has reported
         self.update_means()
-        self.run_error = 0.5  # mean squared log error of expected runs; high at first
-        self.active: dict[Worker, None] = {}  # workers with own attempts
+        self.run_error = 0.5                    # mean squared log error of expected runs; high at first
+        self.active: dict[Worker, None] = {}    # workers with own attempts
         self.zones: dict[int, Zone] = {}
-        self.aggregator = LoadAggregator()  # for the zones that this scheduler aggregates
+        self.aggregator = LoadAggregator()      # for the zones that this scheduler aggregates
         self.absent: frozenset[int] = frozenset()  # schedulers that are known to be gone
         self.reports_load = config.may_message_peers and config.schedulers > 1
         self.inferred = config.report_source is not ReportSource.RESPONSES and config.reports_start
@@ -88,15 +61,11 @@
         self.recent_subjects: deque[int] = deque()  # of the latest work items
         self.subject_counts: dict[int, int] = {}  # occurrences among those
         self.rankings: dict[int, tuple[list[Worker], list[Worker]]] = {}
-        self.fetch_s = 0.3 * self.mean_run  # extra seconds of a run on a worker without the subject
+        self.fetch_s = 0.3 * self.mean_run      # extra seconds of a run on a worker without the subject
         self.margin = max(0.01, 2.0 * config.tick)  # answers precede the expiry by this: some ticks
         self.mean_credit = self.mean_work = 0.0  # recent means of a work item's credit and work
         self.subscribed, self.subscribe_at, self.subscribing, self.refusals = (
-            not config.must_subscribe,
-            now,
-            False,
-            0,
-        )
+            not config.must_subscribe, now, False, 0)
 
     # ---- inputs: they only update state
 
@@ -109,17 +78,15 @@
             self.subscribing, self.subscribed = False, form is not ListForm.FAILED
             self.refusals = 0 if self.subscribed else self.refusals + 1
             # discovery serves all from one slow queue: jittered backoff, under half of the time it has
-            self.subscribe_at = self.now + min(
-                0.5 * self.backoff(self.refusals) * (0.5 + self.random.draw()),
-                0.4 * self.config.subscribe_within,
-            )
+            self.subscribe_at = self.now + min(0.5 * self.backoff(self.refusals) * (0.5 + self.random.draw()),
+                                               0.4 * self.config.subscribe_within)
         elif form is ListForm.FAILED:
             self.subscribed, self.subscribe_at = False, self.now + 0.5 * self.random.draw()
         if form is ListForm.FAILED:
             return
         if form is not ListForm.CHANGES:
             for w in self.all_workers:
-                w.phase = Phase.GONE  # unless it is in this complete list
+                w.phase = Phase.GONE            # unless it is in this complete list
         for w, zone, kind, cell, phase, ready_at, share in rows:
             if ready_at > w.ready_at and w.alive_at > 0:
                 w.ejections, w.ejected_until, w.others = 0, 0.0, 0.0  # a new process under the same id
@@ -132,11 +99,8 @@
             if zone not in self.zones:
                 late = self.config.position / self.config.schedulers  # schedulers report at different moments
                 self.zones[zone] = Zone(
-                    zone,
-                    self.now + self.REPORT_INTERVAL * late,
-                    start_delay=self.START_TIMEOUT / 3.0,
-                    start_timeout=self.START_TIMEOUT,
-                )
+                    zone, self.now + self.REPORT_INTERVAL * late, start_delay=self.START_TIMEOUT / 3.0,
+                    start_timeout=self.START_TIMEOUT)
         self.update_sizes()
 
     def set_disabled(self, w: Worker, disabled: bool) -> None:
@@ -166,7 +130,7 @@
         if item.customer is not None and self.over_quota(item.customer):
             item.credit *= self.config.excess_credit
         self.arrival_rate = self.arrival_rate * math.exp((self.accepted_at - self.now) / 5.0) + 0.2
-        self.accepted_at = self.now  # arrival_rate: per second, over five
+        self.accepted_at = self.now             # arrival_rate: per second, over five
         if item.subject:
             self.recent_subjects.append(item.subject)
             self.subject_counts[item.subject] = self.subject_counts.get(item.subject, 0) + 1
@@ -181,7 +145,7 @@
         self.pending.append(item)
 
     def close(self, item: WorkItem) -> None:
-        item.answered = True  # or needs no answer any more
+        item.answered = True                    # or needs no answer any more
         self.to_cancel.extend(a for a in item.attempts if not a.ended)
 
     def attempt_ended(self, attempt: Attempt, outcome: Outcome, answered: bool, reused: bool = False) -> None:
@@ -210,17 +174,15 @@
                 w.still_running.append(attempt)
             elif attempt.hedge:
                 self.freed.append(attempt)
-        elif not attempt.hedge:  # hedged attempts do not count as failures of the worker
+        elif not attempt.hedge:                 # hedged attempts do not count as failures of the worker
             # a worker that has responded since the send is up: a broken connection is then no reason to eject
             # it, and a refused one means overload. A reused connection that breaks at once was closed as idle
             up = w.alive_at >= attempt.sent_at or reused and self.now - attempt.sent_at < self.START_TIMEOUT
             if outcome is Outcome.FULL or outcome is Outcome.NO_CONNECTION and up:
                 w.limit = max(1.0, min(w.limit, len(w.in_flight) + 1.0) * 0.7)  # 2: a mild decrease
-                if outcome is Outcome.FULL:  # 2: a worker with a rate limit looks idle while it rejects
+                if outcome is Outcome.FULL:     # 2: a worker with a rate limit looks idle while it rejects
                     w.rejections, w.backoff_until = (
-                        w.rejections + 1,
-                        self.now + min(0.05 * self.backoff(w.rejections), 0.8),
-                    )
+                        w.rejections + 1, self.now + min(0.05 * self.backoff(w.rejections), 0.8))
             elif outcome in (Outcome.NO_CONNECTION, Outcome.BROKEN) and not up:
                 self.eject(w)
         if not item.answered and all(a.ended for a in item.attempts):
@@ -249,7 +211,7 @@
         z.start_timeout = min(max(self.START_TIMEOUT, 0.1 * self.mean_due), 3.0 * z.start_delay + self.margin)
         if self.inferred:
             self.record_delay(w, took)
-        if took < z.start_timeout:  # a slot was free: others have no more than the rest
+        if took < z.start_timeout:              # a slot was free: others have no more than the rest
             self.set_others(w, min(w.others, max(0.0, self.unused_slots(w))))
 
     def record_delay(self, w: Worker, took: float, started: bool = True) -> None:
@@ -261,28 +223,26 @@
             # capped at the slots: the long queue of one slow worker is not typical of the others
             self.mean_queue += (min(ahead, w.slots) - self.mean_queue) * 0.05
             self.set_others(w, self.unused_slots(w) + ahead)  # as many wait behind as waited ahead
-        if not self.probing:  # random probes give a better mean
+        if not self.probing:                    # random probes give a better mean
             # the mean of a Poisson number that fills all slots about so often
-            self.mean_others = (
-                self.assumed_slots * min(1.0, 1.25 * math.sqrt(self.queued_share))
-                + self.queued_share**3 * self.mean_queue
-            )
+            self.mean_others = (self.assumed_slots * min(1.0, 1.25 * math.sqrt(self.queued_share))
+                                + self.queued_share ** 3 * self.mean_queue)
 
     def attempt_progressed(self, attempt: Attempt, share: float) -> None:
-        if not 0 < share <= 1:  # an invalid report is ignored
+        if not 0 < share <= 1:                  # an invalid report is ignored
             return
         w = attempt.worker
         self.mark_alive(w)
         attempt.started_at = attempt.started_at or max(attempt.sent_at, self.now - self.config.progress_every)
         spent = self.now - attempt.started_at
-        if spent > 0.2:  # below this the network delay would distort it
+        if spent > 0.2:                         # below this the network delay would distort it
             attempt.run = max(spent / share, spent)
 
     def load_reported(self, w: Worker, figures: Sequence[float]) -> None:
         """A worker's load metrics, in the order of the settings; invalid values (also NaN) are ignored."""
         seen = {name: x for name, x in zip(self.config.load_metrics, figures) if 0 <= x < 1e5}
         free, held = seen.get(LoadMetric.FREE_SLOTS, -1.0), seen.get(LoadMetric.IN_FLIGHT, -1.0)
-        if free >= 0:  # a kind's size is the most that one reported, less noise
+        if free >= 0:                           # a kind's size is the most that one reported, less noise
             kind = self.kinds[w.kind]
             size, kind.reports = max(kind.slots, float(int(0.9 * free + 0.5))), kind.reports + 1
             if size > kind.slots or kind.reports == 50:
@@ -330,7 +290,7 @@
 
     @staticmethod
     def backoff(times: int) -> float:
-        return 2.0 ** min(times, 16)  # capped: 1,024 failures in a row would overflow a float
+        return 2.0 ** min(times, 16)            # capped: 1,024 failures in a row would overflow a float
 
     def unused_slots(self, w: Worker) -> float:  # slots without own running items
         return w.slots - sum(1 for a in w.in_flight if a.started_at) - len(w.still_running)
@@ -338,7 +298,7 @@
     def over_quota(self, customer: Customer) -> bool:
         """5: token bucket; a scheduler sees only part of the traffic, so shares are of that part."""
         quota = sum(other.quota for other in self.config.customers)
-        for other in self.config.customers:  # a quarter above the share and a burst of ten, for chance
+        for other in self.config.customers:     # a quarter above the share and a burst of ten, for chance
             other.tokens = min(10.0, other.tokens + 1.25 * other.quota / quota) if quota else 10.0
         customer.tokens -= 1.0
         over, customer.tokens = customer.tokens < 0.0, max(0.0, customer.tokens)
@@ -351,20 +311,15 @@
         self.serial += 1
         heapq.heappush(self.checks, (min(when, item.expiry_at - self.margin), self.serial, item))
 
-    def update_mean(self, w: Worker) -> None:  # over 5 s: longer than most runs, shorter than most faults
+    def update_mean(self, w: Worker) -> None:   # over 5 s: longer than most runs, shorter than most faults
         w.mean_outstanding += (w.outstanding - w.mean_outstanding) * -math.expm1((w.mean_at - self.now) / 5.0)
         w.mean_at = self.now
 
     def mark_alive(self, w: Worker, works: bool = True) -> None:  # 2: it responded; not `works`: a rejection
         w.alive_at, w.ejections, w.ejected_until = self.now, 0, -1e9
-        if (
-            works
-            and w.phase is Phase.GONE
-            and not w.presumed_up
-            and self.config.only_draining_binds
-            and not w.drained
-        ):
-            w.presumed_up = True  # 2: the list was wrong
+        if (works and w.phase is Phase.GONE and not w.presumed_up and self.config.only_draining_binds
+                and not w.drained):
+            w.presumed_up = True                # 2: the list was wrong
             self.update_sizes()
 
     def eject(self, w: Worker) -> None:
@@ -378,10 +333,10 @@
         item, w = attempt.item, attempt.worker
         c, kind = item.category, self.kinds[w.kind]
         work = item.work_hint or c.mean_run
-        if attempt.cache_miss:  # 6: the excess is due to the fetch, not to the worker
+        if attempt.cache_miss:                  # 6: the excess is due to the fetch, not to the worker
             self.fetch_s += (min(max(run - work * w.pace, 0.0), 4.0 * self.mean_run) - self.fetch_s) * 0.05
             return
-        capped = min(run, 8.0 * work)  # limits the weight of an outlier
+        capped = min(run, 8.0 * work)           # limits the weight of an outlier
         self.run_error += (min(math.log(run / (work * w.pace)) ** 2, 4.0) - self.run_error) * 0.02
         fade = math.exp((w.ran_at - self.now) / 10.0)
         w.run_sum, w.work_sum, w.ran_at = w.run_sum * fade + capped, w.work_sum * fade + work, self.now
@@ -394,24 +349,24 @@
         c.mean_run += ((item.work_hint or run) - c.mean_run) / min(c.finished, 100)
         self.update_means()
 
-    def update_means(self) -> None:  # over the categories, which are about equally frequent
+    def update_means(self) -> None:             # over the categories, which are about equally frequent
         categories = self.config.categories
         self.mean_run = sum(c.mean_run for c in categories) / max(1, len(categories))
         self.mean_due = sum(c.due + c.due_stretch * c.mean_run for c in categories) / max(1, len(categories))
 
-    def update_sizes(self) -> None:  # the usable workers, and the size of each
+    def update_sizes(self) -> None:             # the usable workers, and the size of each
         self.workers = [w for w in self.all_workers if w.usable]
         if self.config.only_draining_binds and all(w.phase is Phase.GONE for w in self.all_workers):
-            for w in self.all_workers:  # all gone at once: a fault of the list, not of the workers
+            for w in self.all_workers:          # all gone at once: a fault of the list, not of the workers
                 w.presumed_up = w.phase is Phase.GONE and not w.drained
             self.workers = [w for w in self.all_workers if w.usable]
         # until a kind has reported: what some item needs, at least four, as few machines have fewer cores
         most = max((kind.slots for kind in self.kinds.values() if kind.reports), default=self.assumed_slots)
         for w in self.all_workers:
-            kind = self.kinds[w.kind]  # the first few reports may all be of full workers
+            kind = self.kinds[w.kind]           # the first few reports may all be of full workers
             w.slots = kind.slots if kind.reports >= 50 else most
         mean = sum(w.listed_size / w.slots for w in self.workers) / max(1, len(self.workers))
-        for w in self.all_workers:  # by its listed size, until its runs show its pace
+        for w in self.all_workers:              # by its listed size, until its runs show its pace
             w.listed_pace = min(4.0, max(0.25, mean * w.slots / w.listed_size))
         self.rankings.clear()
 
@@ -421,16 +376,13 @@
     def warm_share(self, w: Worker) -> float:
         """3: the share of its capacity that a worker is guaranteed to have at its age."""
         conf, age = self.config, self.now - w.ready_at
-        return (
-            min(1.0, conf.cold_share + (1.0 - conf.cold_share) * max(0.0, age) / conf.ramp)
-            if age < conf.ramp
-            else 1.0
-        )
+        return (min(1.0, conf.cold_share + (1.0 - conf.cold_share) * max(0.0, age) / conf.ramp)
+                if age < conf.ramp else 1.0)
 
     def estimate(self, w: Worker) -> None:
         """1: estimates pace, busy slots and backlog of a worker at this moment."""
         now = self.now
-        if now - w.as_of < 0.01:  # little changes within some ticks
+        if now - w.as_of < 0.01:                # little changes within some ticks
             return
         w.as_of = now
         w.warm_share = self.warm_share(w)
@@ -439,9 +391,8 @@
         fade = math.exp((w.ran_at - now) / 10.0)
         ran, work = w.run_sum * fade, w.work_sum * fade
         if w.still_running:
-            w.still_running = [
-                a for a in w.still_running if (a.started_at or a.sent_at + a.wait) + a.run > now
-            ]
+            w.still_running = [a for a in w.still_running
+                               if (a.started_at or a.sent_at + a.wait) + a.run > now]
         for attempt in (*w.in_flight, *w.still_running) if w.in_flight or w.still_running else ():
             busy += attempt.item.slots
             left = attempt.run
@@ -449,23 +400,21 @@
                 spent = now - attempt.started_at
                 # running times are heavy-tailed: one that has run long goes on for about half as long again
                 left = max(attempt.run - spent, 0.3 * spent)
-                if spent > attempt.run:  # the worker is slower, or the item heavier, than expected
+                if spent > attempt.run:         # the worker is slower, or the item heavier, than expected
                     ran, work = ran + spent, work + attempt.item.work
             backlog += left * attempt.item.slots
         # paces within a kind differ by about a fifth, a variance of 0.05: so many items outweigh the kind's
         prior = mean * max(1.0, self.run_error / 0.05)
-        w.pace = (prior * (prior * w.listed_pace + kind.run_sum) / (prior + kind.work_sum) + ran) / (
-            prior + work
-        )
+        w.pace = ((prior * (prior * w.listed_pace + kind.run_sum) / (prior + kind.work_sum) + ran)
+                  / (prior + work))
         # a report loses its weight within a few report intervals
-        others = self.mean_others + (w.others - self.mean_others) * 0.5 ** min(
-            60.0, (now - w.others_at) / 3.0
-        )
+        others = (self.mean_others
+                  + (w.others - self.mean_others) * 0.5 ** min(60.0, (now - w.others_at) / 3.0))
         w.own_busy, w.own_left, peers_left = busy, backlog, 0.0
         if self.reports_load:
             z = self.zones.get(w.zone)
             if z is not None and now - z.totals_at < 1.0:  # older totals are out of date
-                others *= 1.0 - z.coverage  # reports stand in for schedulers that are not in the totals
+                others *= 1.0 - z.coverage      # reports stand in for schedulers that are not in the totals
                 busy, peers_left = busy + w.peers_busy, w.peers_left
         # items of others are on average half done, with heavy tails a little less: 0.6 of their run remains
         remaining = mean * w.pace * 0.6
@@ -481,35 +430,23 @@
         first = next((a for a in w.in_flight if not a.hedge), None)
         # thrice, as a slow worker still sends start reports; and never less than two progress reports
         return first is not None and self.now - max(w.alive_at, first.sent_at) > max(
-            3.0 * (first.wait + first.run), 2.2 * self.config.progress_every, 0.5
-        )
+            3.0 * (first.wait + first.run), 2.2 * self.config.progress_every, 0.5)
 
     # ---- the rules: every attempt has to pass them
 
     def may_send(self, item: WorkItem, w: Worker) -> bool:
         """Whether an item may be sent to a worker: expiry, list, duplicates and slow start allow it."""
         conf, c = self.config, item.category
-        if (
-            item.answered
-            or self.now >= item.expiry_at
-            or not w.usable
-            or c.kind not in (-1, w.kind)
-            or len(item.attempts) >= conf.max_attempts
-            or not item.permits
-        ):
+        if (item.answered or self.now >= item.expiry_at or not w.usable or c.kind not in (-1, w.kind)
+                or len(item.attempts) >= conf.max_attempts or not item.permits):
             return False
         for attempt in item.attempts:
             if not attempt.ended and (attempt.worker is w or not conf.may_hedge):
                 return False
             if attempt.outcome in NEVER_RAN or c.effect is Effect.IDEMPOTENT:
                 continue
-            same = (
-                c.group is Group.ALL
-                or c.group is Group.ZONE
-                and attempt.worker.zone == w.zone
-                or c.group is Group.CELL
-                and attempt.worker.cell == w.cell
-            )
+            same = (c.group is Group.ALL or c.group is Group.ZONE and attempt.worker.zone == w.zone
+                    or c.group is Group.CELL and attempt.worker.cell == w.cell)
             if c.effect is Effect.AT_MOST_ONCE or not same:
                 return False
             # 0.5 s for network and queue; a process that started after the send may not have the key
@@ -526,10 +463,8 @@
         """3: whether a new worker can take one more, given what all schedulers together send it."""
         # equal parts of the budget starve new workers of large fleets: a part is less than a work item. So
         # chance admits as many as are safe if all schedulers are as busy as this one
-        conf, w.cold_sends = (
-            self.config,
-            [send for send in w.cold_sends if self.now - send[0] < self.config.overload_span],
-        )
+        conf, w.cold_sends = self.config, [
+            send for send in w.cold_sends if self.now - send[0] < self.config.overload_span]
         budget = conf.overload_multiple * self.warm_share(w) * w.slots / max(w.pace, 0.2) * conf.overload_span
         work, own = self.slot_time(item), sum(work for _, work in w.cold_sends)
         # half of it: hints are rough, and rejected items count too
@@ -540,13 +475,9 @@
         return self.random.draw() * rate < n * n / (25.0 + 3.0 * n)
 
     def may_defer(self, item: WorkItem) -> bool:
-        c = item.category  # whether the client may safely send it again
-        return (
-            c.effect is Effect.IDEMPOTENT
-            or c.effect is Effect.KEYED
-            and c.group is Group.ALL
-            or all(a.outcome in NEVER_RAN for a in item.attempts)
-        )
+        c = item.category                       # whether the client may safely send it again
+        return (c.effect is Effect.IDEMPOTENT or c.effect is Effect.KEYED and c.group is Group.ALL
+                or all(a.outcome in NEVER_RAN for a in item.attempts))
 
     # ---- decisions
 
@@ -569,7 +500,7 @@
             else:
                 yield from self.hedge(self.freed.popleft())
         while self.checks and self.checks[0][2].answered:
-            heapq.heappop(self.checks)  # otherwise half of all wakes are for answered items
+            heapq.heappop(self.checks)          # otherwise half of all wakes are for answered items
         subscribe_at = math.inf if self.subscribed else max(self.subscribe_at, self.now + 0.05)
         wake = min(subscribe_at, self.checks[0][0] if self.checks else math.inf)
         if self.reports_load and (self.active or self.now - self.accepted_at < 10.0):
@@ -594,7 +525,7 @@
             z.report_at = self.now + min(1.0, max(self.REPORT_INTERVAL, 1.0 / max(often, 1e-9)))
             if not here and not z.reported_load and rate <= 0.05:
                 continue
-            if z.unanswered >= 2:  # two lost in a row: it is down or unreachable
+            if z.unanswered >= 2:               # two lost in a row: it is down or unreachable
                 z.skipped, z.unanswered, z.retry_first_at = z.skipped + 1, 0, self.now + 5.0
             elif z.skipped and self.now >= z.retry_first_at:
                 z.skipped = z.unanswered = 0
@@ -602,12 +533,8 @@
             for w in here:
                 self.estimate(w)
             # the clock is the sequence mark, so that reports after a restart count as newer
-            report = LoadReport(
-                z.aggregator(conf.schedulers, self.absent),
-                int(self.now * 1000) & 0xFFFFFFFF,
-                z.id,
-                [(w, w.own_busy, w.own_left) for w in here],
-            )
+            report = LoadReport(z.aggregator(conf.schedulers, self.absent), int(self.now * 1000) & 0xFFFFFFFF,
+                                z.id, [(w, w.own_busy, w.own_left) for w in here])
             if report.to == conf.position:
                 self.report_received(*report)
             else:
@@ -634,10 +561,8 @@
             # a host that allows attempts one by one can cancel none
             return self.check_at(self.now + max(0.5, live[0].run), item)
         for a in live:
-            if (
-                self.config.reports_start
-                and self.now - a.sent_at >= self.zones[a.worker.zone].start_timeout - 1e-6
-            ):
+            if (self.config.reports_start
+                    and self.now - a.sent_at >= self.zones[a.worker.zone].start_timeout - 1e-6):
                 # 1: no start report: others occupy every slot, whatever the last load report said
                 self.set_others(a.worker, max(a.worker.others, self.unused_slots(a.worker)))
         best = max(self.payoff(item, a.worker, a) for a in live)
@@ -670,7 +595,7 @@
             if item.pending_probes:
                 return
         w = self.choose(item)
-        if live:  # one more was allowed: a hedged attempt within the budget
+        if live:                                # one more was allowed: a hedged attempt within the budget
             if w is not None and self.hedges + 1 <= 0.2 * self.first_attempts and not self.too_late(item, w):
                 self.hedges += 1
                 yield self.send(item, w, True)
@@ -688,16 +613,15 @@
         # in more for items that need several slots at once
         item.sampled = self.sample()
         count = math.sqrt(
-            0.05 * item.slots * item.credit / self.mean_credit / max(self.config.price_probe, 1e-4)
-        )
-        for w in item.sampled[: int(count)]:
-            if self.now - w.others_at > 0.3:  # otherwise its load is recent enough
+            0.05 * item.slots * item.credit / self.mean_credit / max(self.config.price_probe, 1e-4))
+        for w in item.sampled[:int(count)]:
+            if self.now - w.others_at > 0.3:    # otherwise its load is recent enough
                 if not w.probe_waiters or self.now - w.probed_at > 1.0:
                     w.probe_waiters, w.probed_at = [], self.now
                     yield Probe(w)
                 w.probe_waiters.append(item)
                 item.pending_probes += 1
-        if item.pending_probes:  # after a round trip the draw goes on without what is missing
+        if item.pending_probes:                 # after a round trip the draw goes on without what is missing
             self.check_at(self.now + max(self.zones[w.zone].start_timeout for w in item.sampled), item)
 
     def wait_at(self, item: WorkItem, w: Worker) -> float:
@@ -732,7 +656,7 @@
         # a logistic curve; the spread is a third of the estimate, and a round trip
         z = (item.due_at - self.now - wait - run) / (0.35 * (wait + run) + 0.02)
         chance = 1.0 / (1.0 + math.exp(-max(-30.0, min(30.0, z))))
-        if w.errors > 0.0 and sent is None:  # smoothed by twenty runs at the common rate: a single error
+        if w.errors > 0.0 and sent is None:     # smoothed by twenty runs at the common rate: a single error
             fade = math.exp((w.errors_at - self.now) / 10.0)  # stays within the draw's margin
             worse = (w.errors * fade + 20.0 * self.error_rate) / (w.runs * fade + 20.0) - self.error_rate
             chance *= 1.0 - max(0.0, worse)
@@ -749,15 +673,8 @@
     def choose(self, item: WorkItem) -> Worker | None:
         """A random draw among the workers whose gain is close to the best."""
         preferred, fallback = self.preferred(item) if item.subject else ((), ())
-        found = self.candidates(
-            item,
-            self.bound_cell(item)
-            or not item.attempts
-            and item.sampled
-            or [*preferred, *fallback]
-            or self.sample(),
-            preferred,
-        )
+        found = self.candidates(item, self.bound_cell(item) or not item.attempts and item.sampled
+                               or [*preferred, *fallback] or self.sample(), preferred)
         if not found and preferred:
             found = self.candidates(item, self.sample(), preferred)
         if not found:
@@ -770,13 +687,12 @@
         ends = list(accumulate(w.slots / w.pace ** (3 if self.probing else 1) * w.warm_share for w in below))
         return below[min(bisect(ends, self.random.draw() * ends[-1]), len(below) - 1)]
 
-    def candidates(
-        self, item: WorkItem, sampled: Iterable[Worker], preferred: Sequence[Worker]
-    ) -> list[tuple[float, Worker]]:
+    def candidates(self, item: WorkItem, sampled: Iterable[Worker], preferred: Sequence[Worker]
+                  ) -> list[tuple[float, Worker]]:
         """Of the workers examined those that the rules allow and that promise a gain, each with its gain."""
         found, conf = [], self.config
         for w in sampled:
-            self.estimate(w)  # first, as cancelled attempts may have ended by now
+            self.estimate(w)                    # first, as cancelled attempts may have ended by now
             load = w.outstanding
             w.limit = w.limit or 4.0 * w.slots  # 2: a queue of a few times the slots; rejections reduce it
             if self.avoids(w) or load >= w.limit or w.ejections and load or not self.may_send(item, w):
@@ -784,12 +700,8 @@
             miss = bool(item.subject) and w not in preferred
             gain = self.gain(item, w, payoff := self.payoff(item, w, None, miss * self.fetch_s), item.slots)
             # one that was enabled again is in slow start and never close to the best: a light item tests it
-            if (
-                w.reenabled
-                and payoff > 0.5
-                and item.work < self.mean_work
-                and item.category.effect is Effect.IDEMPOTENT
-            ):
+            if (w.reenabled and payoff > 0.5 and item.work < self.mean_work
+                    and item.category.effect is Effect.IDEMPOTENT):
                 return [(math.inf, w)]
             # 5: a small gain pays neither another zone nor a fetch; 6: a fetch also occupies a slot
             gain -= (w.zone != conf.zone) * conf.price_cross_zone
@@ -805,18 +717,18 @@
         is popular gets as many workers as its traffic fills, in each zone; a rare one has one for all."""
         s, conf = item.subject, self.config
         if s not in self.rankings:
-            if len(self.rankings) >= 512:  # covers the cached subjects of some tens of workers
+            if len(self.rankings) >= 512:       # covers the cached subjects of some tens of workers
                 self.rankings.clear()
             order = sorted(self.workers, key=lambda w: self.rank(s, w), reverse=True)
             self.rankings[s] = order, [w for w in order if w.zone == conf.zone]
         order, near = self.rankings[s]
-        if any(map(self.is_cold, order)):  # 3: in slow start with a probability that rises with age
+        if any(map(self.is_cold, order)):       # 3: in slow start with a probability that rises with age
             out = {w for w in order if self.is_cold(w) and self.random.draw() >= self.warm_share(w)}
             order, near = ([w for w in some if w not in out] for some in (order, near))
         count = self.subject_counts.get(s, 0)
         if count >= 10 and near:
             k = 1 + int(1.5 * len(near) * count / (len(self.recent_subjects) + 16.0))
-            return near[:k], near[k : k + 3]
+            return near[:k], near[k:k + 3]
         return order[:1], near[:2]
 
     def rank(self, subject: int, w: Worker) -> float:
@@ -841,7 +753,7 @@
         at, step, drawn = int(self.random.draw() * count), 1 + int(self.random.draw() * (count - 1)), {}
         while math.gcd(step, count) > 1:
             step += 1
-        for _ in range(2 * self.sample_size):  # 3: in slow start with a probability that rises with age
+        for _ in range(2 * self.sample_size):   # 3: in slow start with a probability that rises with age
             w, at = self.workers[at], (at + step) % count
             if not self.is_cold(w) or self.random.draw() < self.warm_share(w):
                 drawn[w] = None
@@ -865,7 +777,7 @@
         w.as_of, w.reenabled = -1.0, False
         if self.is_cold(w):
             w.cold_sends.append((self.now, self.slot_time(item)))
-        if not hedge:  # 4: checked some time after it should have started
+        if not hedge:                            # 4: checked some time after it should have started
             check = max(0.05, 1.5 * wait + 0.25 * run)
             check = self.zones[w.zone].start_timeout if self.config.reports_start else check
             self.check_at(self.now + check, item)
@@ -880,7 +792,7 @@
         block.items.append(item)
         block.workers.append(w)
         item.block = block
-        c.open_block = None  # full: blocks have two items
+        c.open_block = None                     # full: blocks have two items
 
     def hedge(self, freed: Attempt) -> Iterator[Decision]:
         """A freed worker takes a hedged attempt of the next unfinished item in its cyclic row."""
--- a/opalwick/lab/post/disks.py
+++ b/opalwick/lab/post/disks.py
@@ -30,7 +30,7 @@
 
 
 class Office:
-    """A controller's disk (role office): one record and the last directory, as in `post/controller/disk.py`."""
+    """A controller's disk (role office): one record and a directory, as in `post/controller/disk.py`."""
 
     def __init__(self) -> None:
         self.stored: Stored | None = None
--- a/opalwick/lab/verify/mutants.py
+++ b/opalwick/lab/verify/mutants.py
@@ -215,17 +215,17 @@
 
 @mutant("takeover", takeover(Takeover(puts=1, again=1, reorder=0), *SERVING), "two confirmed")
 def another_content_is_confirmed(patch: Patch) -> None:
-    patch(numbers, "match", lambda newest, given: conf_history.Match.SAME)
+    patch(conf_history, "match", lambda newest, given: conf_history.Match.SAME)
 
 
 @mutant("takeover", takeover(Takeover(puts=1, again=1, reorder=0), *SERVING), "refused again")
 def a_repeated_order_is_refused(patch: Patch) -> None:
-    patch(numbers, "match", lambda newest, given: conf_history.Match.OTHER)
+    patch(conf_history, "match", lambda newest, given: conf_history.Match.OTHER)
 
 
 @mutant("takeover", takeover(Takeover(puts=1, again=1, reorder=0), *TWO_WRITES), "forgotten")
 def earlier_numbers_are_forgotten(patch: Patch) -> None:
-    patch(numbers, "follow", lambda conf, newest: None)
+    patch(conf_history, "follow", lambda conf, newest: None)
 
 
 @mutant("takeover", takeover(Takeover(puts=2, short=1, slow=1, reorder=0), *SERVING), "lost")
@@ -316,7 +316,7 @@
 
 @mutant("fence", fence(Fence(time=6, freeze=1, reorder=0), *STORED), "two deliverers")
 def assigned_before_the_lapse(patch: Patch) -> None:
-    patch(keeping, "LAPSE", 0.6)
+    patch(message_store, "LAPSE", 0.6)
 
 
 @mutant("fence", fence(Fence(time=6, freeze=1, reorder=0), *STORED), "two deliverers")
@@ -467,12 +467,12 @@
 
 @mutant("lease", lease(Lease(time=2, reorder=0)), "beyond its grant")
 def held_to_the_very_end(patch: Patch) -> None:
-    patch(ceilings, "MARGIN", 0.0)
+    patch(rate_limits, "MARGIN", 0.0)
 
 
 @mutant("lease", lease(Lease(time=2, reorder=0)), "beyond its grant")
 def longer_than_a_voter_grants(patch: Patch) -> None:
-    patch(ceilings, "LEASE_SPAN", 2.5)
+    patch(rate_limits, "LEASE_SPAN", 2.5)
 
 
 @mutant("lease", lease(Lease(time=4, leaves=1, reorder=2)), "two holders", "beyond its grant")
--- a/opalwick/routing/reducer.py
+++ b/opalwick/routing/reducer.py
@@ -155,9 +155,9 @@
             if w.sibling_busy:
                 self.balancer.active[w] = None  # so that load reports to peers include it
 
-    def taught(self, statistics: Any) -> None:
+    def taught(self, received: Any) -> None:
         """The statistics of the preceding process; to be applied after its worker list."""
-        statistics.imported(self.balancer, self.workers, statistics)
+        statistics.imported(self.balancer, self.workers, received)
 
     def moved(self) -> None:
         """Service discovery has a new address."""
--- a/tests/test_lab_post_mutants.py
+++ b/tests/test_lab_post_mutants.py
@@ -149,7 +149,7 @@
 @mutant('rate = 20.0\nlength = "3 s"', "AGAIN", "TWICE", "RECOVER")
 def assigned_without_a_lapse(patch: pytest.MonkeyPatch) -> None:
     for name, span in (("LAPSE", 0.1), ("QUERY_AFTER", 0.0), ("QUERY_FOR", 0.0)):
-        patch.setattr(keeping, name, span)
+        patch.setattr(message_store, name, span)
 
 
 @mutant(
@@ -265,12 +265,12 @@
 
 @mutant('length = "10 s"\n' + ORDERS, "NUMBER")
 def another_content_is_confirmed(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(numbers, "match", lambda newest, given: conf_history.Match.SAME)
+    patch.setattr(conf_history, "match", lambda newest, given: conf_history.Match.SAME)
 
 
 @mutant('length = "10 s"\n' + ORDERS, "NUMBER")
 def a_repeated_order_is_refused(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(numbers, "match", lambda newest, given: conf_history.Match.OTHER)
+    patch.setattr(conf_history, "match", lambda newest, given: conf_history.Match.OTHER)
 
 
 @mutant('length = "12 s"\n' + ORDERS + fault("alone", 2.0, 8.0, of=["office-0"]), "STALE")
@@ -309,10 +309,10 @@
     """Whoever writes the rest as it should be sees the message of that number."""
     state = MessageStore.state
 
-    def by_number(keeping: MessageStore, mid: str) -> Told:
+    def by_number(store: MessageStore, mid: str) -> Told:
         pieces = mid.split(".")[:3]
-        known = [one for one in [*message_store.entries, *message_store.ends] if one.split(".")[:3] == pieces]
-        return state(keeping, known[0] if known else mid)
+        known = [one for one in [*store.entries, *store.ends] if one.split(".")[:3] == pieces]
+        return state(store, known[0] if known else mid)
 
     patch.setattr(MessageStore, "state", by_number)
 
--- a/tests/test_post_commands.py
+++ b/tests/test_post_commands.py
@@ -422,7 +422,7 @@
         assert f'opalwick_post_process{{node="{role}-1",role="{role}"' in metrics
         assert "process_resident_memory_bytes" in metrics and "opalwick_post_link_age_seconds" in metrics
         server.kill()
-        operators.door.listener.close()
+        operators.door.sock.close()
     with pytest.raises(commands.CommandError, match=r"127.0.0.1:\d+: "):
         send_request(operators.address, "/status")
 
