--- a/opalwick/post/controller/role.py
+++ b/opalwick/post/controller/role.py
@@ -414,7 +414,7 @@
             answer(403, b"only a keeper of the policy in force may change it")
             return
         if {one.name: one.region for one in home.zones} != self.settings.zones:
-            answer(422, b"zones: the controller that took it and the primary have them in other regions")
+            answer(422, b"zones: the office that took it and the primary have them in other regions")
             return
         depots = [node for node in self.nodes("depot") if node.node not in newest.retiring]
         if why := too_few_stores(home, self.settings.zones, depots, self.settings.survive.boxes + 1):
@@ -580,13 +580,13 @@
             body = body or b'{"err":"there is no configuration yet"}'
             call.answer(404, body, "Content-Type: application/json")
         elif status == 409:
-            call.answer(409, b'{"err":"too few stores would be left"}', "Content-Type: application/json")
+            call.answer(409, b'{"err":"too few machines would be left"}', "Content-Type: application/json")
         elif status == UNABLE:
             self.answer_unavailable(call, "no primary is available")
         else:
             call.answer(
                 status,
-                b'{"err":"outcome unknown, it may be in force: retry"}',
+                b'{"err":"it may be in force: ask again"}',
                 "Content-Type: application/json",
             )
 
