--- a/opalwick/lab/verify/copying.py
+++ b/opalwick/lab/verify/copying.py
@@ -25,7 +25,7 @@
 IGNORED = {"figures", "counts", "events", "cross_zone_bytes"}
 NOT_TIMES = {"rate", "tokens", "room", "state_s"}
 # dictionaries whose order matters: the first of several equal entries is chosen
-ORDERED = {"votes", "counters", "gateways", "peers", "answered"}
+ORDERED = {"votes", "counters", "gateways", "peers", "answered_messages"}
 
 
 @cache
--- a/opalwick/post/gateway/intake.py
+++ b/opalwick/post/gateway/intake.py
@@ -91,7 +91,7 @@
         self.pending: dict[str, PendingMessage] = {}
         self.timers: list[tuple[float, str]] = []
         # messages answered before all stores had replied: when, and the replicas
-        self.answered: dict[str, tuple[float, list[str]]] = {}
+        self.answered_messages: dict[str, tuple[float, list[str]]] = {}
         self.sends: list[tuple[str, str, Any]] = []
         self.answers: list[ClientAnswer] = []
         self.accepted: list[Accepted] = []
@@ -201,7 +201,7 @@
             touched = tuple(node for node in entry.requested if node not in entry.full)
             # a surplus replica would stay on a store that is never sent the outcome
             if len(touched) > len(replicas):
-                self.answered[mid] = self.now, replicas
+                self.answered_messages[mid] = self.now, replicas
             if entry.hedged:  # the replicas are not the stores that were chosen first
                 del letter.holders[:]
                 letter.holders.extend(replicas)
@@ -233,7 +233,7 @@
         """A store replied after the client was answered: it is sent the list of replicas, and deletes the
         message if it is not one of them.
         """
-        found = self.answered.get(mid)
+        found = self.answered_messages.get(mid)
         if found is not None and not refused:
             self.sends.append((node, "holders", Holders(mid=mid, holders=found[1])))
 
@@ -265,7 +265,7 @@
         del self.pending[entry.letter.mid]
         self.figures["unsure"] += 1
         self.answers.append(ClientAnswer(entry.call, 504))
-        self.answered[entry.letter.mid] = self.now, []
+        self.answered_messages[entry.letter.mid] = self.now, []
         for node in entry.requested:
             if node not in entry.full:
                 self.sends.append((node, "holders", Holders(mid=entry.letter.mid)))
@@ -293,5 +293,8 @@
                 self.figures["hedged"] += 1
                 self.send_keep(entry, other)
             heapq.heappush(self.timers, (min(self.now + HEDGE, deadline), mid))
-        while self.answered and self.now - next(iter(self.answered.values()))[0] > ANSWERED_RETENTION:
-            del self.answered[next(iter(self.answered))]
+        while (
+            self.answered_messages
+            and self.now - next(iter(self.answered_messages.values()))[0] > ANSWERED_RETENTION
+        ):
+            del self.answered_messages[next(iter(self.answered_messages))]
